--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -95,10 +95,10 @@
   void UpdateLeaving(const std::set<vm_id>& leaving) {
     Replace(&leaving_, leaving);
   }
-  /// `is_settled`: the order was carried out, or surely wasn't.
+  /// `is_reconciled`: the order was carried out, or surely wasn't.
   void OnMoveAnswer(const host_id& host,
                     bool is_accepted,
-                    bool is_settled,
+                    bool is_reconciled,
                     time_point now);
 
   /// Returns when the move of the host was ordered, or ordered again; nothing
--- a/include/plantainhead/core/jobs/vm_life.h
+++ b/include/plantainhead/core/jobs/vm_incarnation.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
-#define PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
+#define PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
 
 #include <cstdint>
 #include <optional>
@@ -7,18 +7,19 @@
 
 namespace plantainhead::core::jobs {
 
-/// A VM. One that begins anew has another id, or another `life_mark`.
+/// A VM. One that begins anew has another id, or another `vm_incarnation`.
 using vm_id = std::string;
 /// Tells one life of a VM from others under the same id: when it began, in
 /// milliseconds since 1970 by its own clock. Nothing: it isn't told.
-using life_mark = std::optional<std::int64_t>;
+using vm_incarnation = std::optional<std::int64_t>;
 
 /// Returns whether the marks are surely of two lives. Thread safety: safe from
 /// any thread.
-inline bool AreOtherLives(const life_mark& one, const life_mark& other) {
+inline bool AreDifferentIncarnations(const vm_incarnation& one,
+                                     const vm_incarnation& other) {
   return one && other && *one != *other;
 }
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
--- a/src/core/jobs/arrival_meter.cc
+++ b/src/core/jobs/arrival_meter.cc
@@ -19,7 +19,7 @@
   arrival noted;
   noted.at = now - age;
   for (const step_spec& step : job.steps) {
-    if (step.lasting) {
+    if (step.long_running) {
       continue;
     }
     const double time = Seconds(step.estimate) * step.task_count;
--- a/src/core/jobs/pool_plan.cc
+++ b/src/core/jobs/pool_plan.cc
@@ -14,10 +14,10 @@
   std::vector<vm_order> orders;
   vms_.WakeDue(now);
   for (vm_state* vm : vms_.TakeDue()) {
-    LapseIfSilent(vm, now);
+    ExpireIfSilent(vm, now);
     vms_.Touch(vm);
   }
-  SkipUntoldRuns(now);
+  SkipUnreportedRuns(now);
   // With those that a lapse of others has changed.
   const std::vector<vm_state*> due = vms_.TakeDue();
   for (vm_state* vm : due) {
@@ -41,7 +41,7 @@
     }
   }
   for (vm_state* vm : vms_.TakeDue()) {
-    PlanNextLook(vm, now);
+    ScheduleNextCheck(vm, now);
     ForgetIfGone(vm, now);
   }
   return orders;
@@ -59,9 +59,10 @@
                                   time_point now,
                                   std::vector<vm_order>* orders) {
   // A listing is acted on once.
-  const bool is_news = vm->IsReachable() && vm->last_heard() > vm->checked_at;
+  const bool is_news =
+      vm->IsReachable() && vm->last_answer_at() > vm->checked_at;
   if (is_news) {
-    vm->checked_at = vm->last_heard();
+    vm->checked_at = vm->last_answer_at();
     StopHungRuns(vm, now);
     PlanPace(vm, orders);
   }
@@ -82,7 +83,7 @@
 }
 
 // What else may change the plan for a VM is a call about it.
-void pool_scheduler::impl::PlanNextLook(vm_state* vm, time_point now) {
+void pool_scheduler::impl::ScheduleNextCheck(vm_state* vm, time_point now) {
   const bool is_emptied = vm->is_closed || vm->description().draining;
   const bool is_at_work =
       (is_emptied && !vm->runs().empty()) ||
@@ -93,8 +94,8 @@
     return;
   }
   std::optional<time_point> next;
-  if (!vm->IsLapsed(now)) {
-    next = vm->lapse_at();
+  if (!vm->IsLeaseExpired(now)) {
+    next = vm->lease_expires_at();
   }
   if (vm->trusted_until && vm->IsTrusted(now)) {
     const time_point doubted_from = *vm->trusted_until + duration(1);
--- a/tests/core/jobs/arrival_meter_test.cc
+++ b/tests/core/jobs/arrival_meter_test.cc
@@ -83,10 +83,10 @@
   }
 
   SECTION("Lasting steps bring no rate") {
-    job_spec lasting = ShortJob();
-    lasting.steps[0].lasting = true;
+    job_spec long_running = ShortJob();
+    long_running.steps[0].long_running = true;
     for (int i = 0; i < 20; ++i) {
-      meter.Note(lasting, now);
+      meter.Note(long_running, now);
     }
     CHECK(meter.RisingDemand(now) == resources());
   }
--- a/tests/core/jobs/send_window_test.cc
+++ b/tests/core/jobs/congestion_window_test.cc
@@ -1,4 +1,4 @@
-#include "core/jobs/send_window.h"
+#include "core/jobs/congestion_window.h"
 
 #include <catch2/catch.hpp>
 
@@ -27,7 +27,7 @@
 // each `spacing`, in turn. Orders that wait past the timeout are given up, and
 // take their time on the link all the same.
 link_figures Play(duration spacing, bool has_window) {
-  send_window window;
+  congestion_window window;
   std::deque<time_point> waiting;
   link_figures figures;
   time_point now(seconds(1));
@@ -77,7 +77,7 @@
   }
 
   SECTION("a link that carries all isn't held back") {
-    send_window window;
+    congestion_window window;
     for (int i = 0; i < 1000; ++i) {
       window.NoteResult(milliseconds(6), time_point(milliseconds(i)));
     }
@@ -87,7 +87,7 @@
 
   // Guards against a pool whose starts wait for those on one silent VM.
   SECTION("nor is one by a peer that doesn't answer") {
-    send_window window;
+    congestion_window window;
     time_point now(seconds(1));
     for (int i = 0; i < 10'000; ++i, now += kTick) {
       window.NoteResult(i % 100 == 0 ? kTimeout : milliseconds(6), now);
@@ -96,7 +96,7 @@
   }
 
   SECTION("and the time that answers take is told while it is long") {
-    send_window window;
+    congestion_window window;
     for (int i = 0; i < 100; ++i) {
       window.NoteResult(milliseconds(650), time_point(seconds(i)));
     }
@@ -117,7 +117,7 @@
   driver.Add(Job("job", {Step(700)}));
   const auto starts = driver.Starts();
   CHECK(starts.size() == 512);
-  CHECK(driver.scheduler.HoldsStartsBack());
+  CHECK(driver.scheduler.IsStartWindowFull());
   CHECK(driver.Starts().empty());
 
   SECTION("and goes on when VMs have answered") {
@@ -126,7 +126,7 @@
                                      driver.now);
     }
     CHECK(driver.Starts().size() == 188);
-    CHECK_FALSE(driver.scheduler.HoldsStartsBack());
+    CHECK_FALSE(driver.scheduler.IsStartWindowFull());
   }
 
   SECTION("and has half as many under way once answers are missing") {
--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -70,8 +70,8 @@
     Store();
     const time_point now = driver_->now + seconds(1);
     takeover_bounds bounds;
-    bounds.fresh_from = now;
-    bounds.others_lapsed_at = now + seconds(5);
+    bounds.exclusive_from = now;
+    bounds.default_lease_end = now + seconds(5);
     Begin(bounds, now);
   }
 
--- a/tests/core/jobs/job_age_test.cc
+++ b/tests/core/jobs/job_age_test.cc
@@ -16,8 +16,8 @@
 
 takeover_bounds Bounds() {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   return bounds;
 }
 
@@ -31,13 +31,13 @@
   const time_point now{hours(500'000)};
   job_spec job;
   CHECK(AgeOf(job, now) == duration::zero());
-  job.handed_in_at = now - milliseconds(1234);
+  job.submitted_at = now - milliseconds(1234);
   CHECK(AgeOf(job, now) == milliseconds(1234));
-  job.handed_in_at = now + seconds(5);
+  job.submitted_at = now + seconds(5);
   CHECK(AgeOf(job, now) == duration::zero());
-  job.handed_in_at = now - hours(1);
+  job.submitted_at = now - hours(1);
   CHECK(AgeOf(job, now) == kMostAge);
-  job.handed_in_at = time_point();
+  job.submitted_at = time_point();
   CHECK(AgeOf(job, now) == kMostAge);
 }
 
--- a/tests/core/jobs/late_end_test.cc
+++ b/tests/core/jobs/late_end_test.cc
@@ -116,7 +116,7 @@
   REQUIRE(starts.size() == 1);
   const run_ref target = starts[0].target;
   driver.Pass(milliseconds(100));
-  vm_listing overtaken;
+  run_listing overtaken;
   overtaken.vm_clock = driver.now.time_since_epoch();
   overtaken.running = {Running(target.task, target.run)};
   const time_point sent_at = driver.now;
--- a/tests/core/jobs/pool_model.h
+++ b/tests/core/jobs/pool_model.h
@@ -188,7 +188,7 @@
     const vm_id id = "vm-" + std::to_string(++last_vm_);
     vm& added = vms_[id];
     added.description = Vm(id, kVmCores);
-    added.description.born = ++last_born_;
+    added.description.incarnation = ++last_incarnation_;
     added.speed = 0.98 + 0.02 * Chance();
     added.zero = Between(std::chrono::seconds(0), std::chrono::seconds(1000));
   }
@@ -328,7 +328,7 @@
     machine->begins_again_at = time_point::max();
     machine->zero =
         Between(std::chrono::seconds(0), std::chrono::seconds(1000));
-    machine->description.born = ++last_born_;
+    machine->description.incarnation = ++last_incarnation_;
     owner_->scheduler->UpdateVms(Registry(), now);
   }
 
@@ -403,10 +403,10 @@
       zombie_ = owner_;
       zombie_until_ = now + Between(duration::zero(), kActing);
       takeover_bounds bounds;
-      bounds.fresh_from = now + kActing + std::chrono::milliseconds(1);
+      bounds.exclusive_from = now + kActing + std::chrono::milliseconds(1);
       const auto lease =
           static_cast<double>(scheduler_settings().lease.count());
-      bounds.others_lapsed_at =
+      bounds.default_lease_end =
           now + kActing + duration(static_cast<std::int64_t>(lease / 0.975));
       BeginOwner(bounds);
     }
@@ -424,9 +424,10 @@
     }
   }
 
-  life_mark BornOf(const vm_id& id) const {
+  vm_incarnation IncarnationOf(const vm_id& id) const {
     const auto found = vms_.find(id);
-    return found == vms_.end() ? std::nullopt : found->second.description.born;
+    return found == vms_.end() ? std::nullopt
+                               : found->second.description.incarnation;
   }
 
   duration Delay() {
@@ -451,15 +452,15 @@
         is_late ? Between(std::chrono::seconds(2), std::chrono::seconds(12))
                 : Delay();
     const time_point sent_at = now;
-    const life_mark meant = BornOf(id);
+    const vm_incarnation meant = IncarnationOf(id);
     Later(delay, [=, this] {
       if (replaced_.count(id) != 0) {
         worker->scheduler->OnReplaced(id, now);
         return;
       }
       const auto found = vms_.find(id);
-      const bool is_over =
-          is_late && BornOf(id) != meant && !faults_.late_orders_outlive_vms;
+      const bool is_over = is_late && IncarnationOf(id) != meant &&
+                           !faults_.late_orders_outlive_vms;
       const bool is_reached =
           found != vms_.end() && !is_over && now >= found->second.silent_until;
       const auto answer = is_reached ? at_vm(&found->second) : nullptr;
@@ -561,8 +562,8 @@
           }
           Extend(machine, hold.lease_until);
           Acknowledge(machine, hold.acknowledged_through);
-          vm_listing listing;
-          listing.born = machine->description.born;
+          run_listing listing;
+          listing.incarnation = machine->description.incarnation;
           listing.vm_clock = ClockOf(*machine);
           for (const auto& [task, held] : machine->runs) {
             listing.running.push_back(
@@ -644,14 +645,14 @@
     }
     const task_name& task = order.target.task;
     if (order.target.run <= machine->highest[task]) {
-      return start_result::kOldRun;
+      return start_result::kStaleRun;
     }
     if (order.lease_until <= ClockOf(*machine)) {
-      return start_result::kLate;
+      return start_result::kOrderExpired;
     }
     Extend(machine, order.lease_until);
     if (Happens(faults_.refused_orders)) {
-      return start_result::kNoRoom;
+      return start_result::kNoCapacity;
     }
     taken_.insert(task.job);
     machine->highest[task] = order.target.run;
@@ -753,7 +754,7 @@
         }
         end_kind how = end_kind::kDone;
         if (now < it->second.ends_at) {
-          how = end_kind::kLapsed;
+          how = end_kind::kLeaseExpired;
         } else if (it->second.is_stopping) {
           how = end_kind::kStopped;
         } else if (it->second.fails) {
@@ -770,7 +771,7 @@
   model_faults faults_;
   std::map<vm_id, vm> vms_;
   int last_vm_ = 0;
-  std::int64_t last_born_ = 0;
+  std::int64_t last_incarnation_ = 0;
   /// Lives that are over, until the next one is there, and after that.
   std::map<vm_id, vm_description> crashed_;
   std::set<vm_id> replaced_;
--- a/tests/core/jobs/pool_model_test.cc
+++ b/tests/core/jobs/pool_model_test.cc
@@ -26,7 +26,7 @@
       step.depends_on = {i - 1};
     }
     if ((*random)() % 4 == 0) {
-      step.most_per_vm = 2;
+      step.max_per_vm = 2;
     }
     steps.push_back(step);
   }
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -78,7 +78,7 @@
 
   SECTION("a limit of tasks of a step on one VM holds") {
     step_spec step = Step(3);
-    step.most_per_vm = 1;
+    step.max_per_vm = 1;
     driver.Add(Job("job", {step}));
     CHECK(driver.StartAll().size() == 2);
   }
@@ -156,7 +156,7 @@
   }
 
   SECTION("and not when it has no room") {
-    driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoRoom,
+    driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoCapacity,
                                    driver.now);
     CHECK(phase() == job_phase::kQueued);
   }
@@ -202,8 +202,8 @@
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
-  step.lasting = true;
-  step.most_per_vm = 1;
+  step.long_running = true;
+  step.max_per_vm = 1;
   driver.Add(Job("job", {step}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
@@ -415,11 +415,11 @@
 TEST_CASE("A VM that is emptied keeps what may not be disturbed") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
-  step_spec lasting = Step(2);
-  lasting.lasting = true;
-  lasting.most_per_vm = 1;
-  lasting.may_miss = 1;
-  driver.Add(Job("job", {lasting}));
+  step_spec long_running = Step(2);
+  long_running.long_running = true;
+  long_running.max_per_vm = 1;
+  long_running.max_unavailable = 1;
+  driver.Add(Job("job", {long_running}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
   const run_ref moved = starts[0].target;
@@ -455,11 +455,11 @@
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
   step_spec serving = Step(1);
-  serving.lasting = true;
+  serving.long_running = true;
   serving.latency_target = milliseconds(100);
   step_spec filling = Step(1, 50000);
-  filling.fills = true;
-  filling.lasting = true;
+  filling.best_effort = true;
+  filling.long_running = true;
   driver.Add(Job("job", {serving, filling}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
--- a/tests/core/jobs/scheduler_driver.h
+++ b/tests/core/jobs/scheduler_driver.h
@@ -84,7 +84,7 @@
                   time_point sent_at,
                   std::vector<running_task> running,
                   std::vector<ended_task> ended) {
-    vm_listing listing;
+    run_listing listing;
     listing.vm_clock = now.time_since_epoch();
     listing.running = std::move(running);
     listing.ended = std::move(ended);
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -33,8 +33,8 @@
 
 step_spec Lasting(std::uint32_t tasks) {
   step_spec step = Step(tasks, 2000);
-  step.lasting = true;
-  step.may_miss = 1;
+  step.long_running = true;
+  step.max_unavailable = 1;
   return step;
 }
 
@@ -94,7 +94,7 @@
 
   SECTION("has no room for tasks that take no processor time of their own") {
     step_spec filling = Step(1, 500);
-    filling.fills = true;
+    filling.best_effort = true;
     driver.Add(Job("filling", {filling}));
     driver.scheduler.UpdateVms({ShortOfMemory()}, driver.now);
     CHECK(driver.Starts().empty());
@@ -137,7 +137,8 @@
   }
 
   SECTION("refuses it, and the task starts elsewhere without a lost attempt") {
-    driver.scheduler.OnStartAnswer(target, start_result::kNoRoom, driver.now);
+    driver.scheduler.OnStartAnswer(target, start_result::kNoCapacity,
+                                   driver.now);
     const auto again = driver.StartAll();
     REQUIRE(again.size() == 1);
     CHECK(again[0].target.vm == other);
@@ -196,8 +197,8 @@
 // when it begins on a VM that has shrunk.
 TEST_CASE("An owner that begins after a VM has shrunk") {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   scheduler_driver driver(bounds);
   driver.now = kClaimed;
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
--- a/tests/core/jobs/suspected_task_test.cc
+++ b/tests/core/jobs/suspected_task_test.cc
@@ -207,7 +207,7 @@
 // VMs: what counts are crashes at starts in a row.
 TEST_CASE("A lasting task that was at work has nothing against it") {
   step_spec step = Step(1);
-  step.lasting = true;
+  step.long_running = true;
   suspected_task play(step);
   scheduler_driver& driver = play.driver;
   const auto starts = driver.StartAll();
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -13,8 +13,8 @@
 
 takeover_bounds Bounds() {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   return bounds;
 }
 
@@ -77,7 +77,7 @@
 // one after the other, on VMs that were vacant.
 TEST_CASE("The end of a vacant VM's lease holds up no takeover") {
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-2"] = kClaimed;
+  bounds.lease_ends["vm-2"] = kClaimed;
   scheduler_driver driver(bounds);
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -170,7 +170,7 @@
 
   SECTION("a known end of a VM's lease goes before the general bound") {
     takeover_bounds bounds = Bounds();
-    bounds.lapsed_at["vm-2"] = kClaimed + seconds(1);
+    bounds.lease_ends["vm-2"] = kClaimed + seconds(1);
     scheduler_driver informed(bounds);
     informed.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
     informed.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -205,7 +205,7 @@
     CHECK(driver.stops.empty());
 
     SECTION("and when that run is over, the next one has a higher number") {
-      driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+      driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
       const auto starts = driver.Starts();
       REQUIRE(starts.size() == 1);
       CHECK(starts[0].target.run == 2);
@@ -258,7 +258,7 @@
     "The end of a run that nobody has heard doesn't pass for a newer one") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-1"] = kClaimed;
+  bounds.lease_ends["vm-1"] = kClaimed;
   const known_vm silent{"vm-1", "10.0.0.1:80"};
 
   // Brings the silent VM back while the task's new run is on vm-2.
@@ -266,7 +266,7 @@
     driver->Pass(milliseconds(500));
     driver->scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver->now);
     driver->List("vm-2", {Running(task, run)}, {});
-    driver->List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+    driver->List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
     driver->Store();
   };
 
@@ -317,7 +317,7 @@
 TEST_CASE("A number that was given before a record of it is not given again") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-1"] = kClaimed;
+  bounds.lease_ends["vm-1"] = kClaimed;
   scheduler_driver heir(bounds);
   std::vector<start_order> given;
 
@@ -333,7 +333,7 @@
   }
 
   SECTION("because of a VM of which no record was kept") {
-    bounds.lapsed_at["vm-1"] = kClaimed + milliseconds(100);
+    bounds.lease_ends["vm-1"] = kClaimed + milliseconds(100);
     scheduler_driver other(bounds);
     other.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
     other.Add(Job("job", {Step(1)}));
@@ -354,7 +354,7 @@
   REQUIRE(given[0].target.vm == "vm-2");
 
   takeover_bounds later = Bounds();
-  later.lapsed_at["vm-2"] = kClaimed;
+  later.lease_ends["vm-2"] = kClaimed;
   scheduler_driver next(later);
   next.Add(Job("job", {Step(1)}));
   next.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -368,7 +368,7 @@
   next.scheduler.UpdateVms({Vm("vm-2"), Vm("vm-3")}, next.now);
   next.List("vm-3", {Running(task, starts[0].target.run)}, {});
   next.List("vm-2", {},
-            {Ended(1, task, given[0].target.run, end_kind::kLapsed)});
+            {Ended(1, task, given[0].target.run, end_kind::kLeaseExpired)});
   next.Store();
   CHECK(next.Starts().empty());
 }
@@ -422,7 +422,7 @@
   SECTION("one that ran") {
     driver.List("vm-1", {Running(task, 1)}, {});
     start_after_read();
-    driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+    driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
     driver.Starts();
     driver.Store();
     CHECK(driver.Starts().empty());
--- a/tests/core/jobs/unanswered_start_test.cc
+++ b/tests/core/jobs/unanswered_start_test.cc
@@ -17,9 +17,9 @@
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
-  step.lasting = true;
-  step.most_per_vm = 1;
-  step.may_miss = 1;
+  step.long_running = true;
+  step.max_per_vm = 1;
+  step.max_unavailable = 1;
   driver.Add(Job("job", {step}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 2);
--- a/tests/core/jobs/vm_restart_test.cc
+++ b/tests/core/jobs/vm_restart_test.cc
@@ -18,9 +18,9 @@
  public:
   restarted_vm() { driver.Bring({Described(kFirstLife), Vm("vm-2", 1000)}); }
 
-  static vm_description Described(std::int64_t born) {
+  static vm_description Described(std::int64_t incarnation) {
     vm_description vm = Vm("vm-1");
-    vm.born = born;
+    vm.incarnation = incarnation;
     return vm;
   }
 
@@ -30,20 +30,21 @@
                                driver.now);
   }
 
-  void List(std::int64_t born,
+  void List(std::int64_t incarnation,
             duration clock,
             std::vector<running_task> running = {},
             std::vector<ended_task> ended = {}) {
-    ListSentAt(driver.now, born, clock, std::move(running), std::move(ended));
+    ListSentAt(driver.now, incarnation, clock, std::move(running),
+               std::move(ended));
   }
 
   void ListSentAt(time_point sent_at,
-                  std::int64_t born,
+                  std::int64_t incarnation,
                   duration clock,
                   std::vector<running_task> running = {},
                   std::vector<ended_task> ended = {}) {
-    vm_listing listing;
-    listing.born = born;
+    run_listing listing;
+    listing.incarnation = incarnation;
     listing.vm_clock = clock;
     listing.running = std::move(running);
     listing.ended = std::move(ended);
@@ -170,7 +171,7 @@
 
 // Guards against the same where another owner has recorded the loss.
 TEST_CASE("A loss in a VM's former life isn't withdrawn by its next one") {
-  const auto born = GENERATE(kFirstLife, kNextLife);
+  const auto incarnation = GENERATE(kFirstLife, kNextLife);
   scheduler_driver driver;
   driver.Add(Job("job", {Step(1, 2000)}));
   task_record record;
@@ -178,9 +179,9 @@
   record.is_presumed = true;
   record.losses = {{1, loss_kind::kSilenceAtStart, "vm-1", kFirstLife}};
   driver.scheduler.RestoreJob("job", {job_phase::kRunning, {record}});
-  driver.Bring({restarted_vm::Described(born)});
-  vm_listing listing;
-  listing.born = born;
+  driver.Bring({restarted_vm::Described(incarnation)});
+  run_listing listing;
+  listing.incarnation = incarnation;
   listing.vm_clock = driver.now.time_since_epoch();
   driver.scheduler.OnHoldUnanswered("vm-1");
   driver.scheduler.OnListing("vm-1", driver.now, listing, driver.now);
@@ -191,7 +192,7 @@
   REQUIRE_FALSE(batches.empty());
   const job_progress& progress = batches.back().jobs.back().second;
   REQUIRE(progress.tasks.size() == 1);
-  CHECK(progress.tasks[0].losses.empty() == (born == kFirstLife));
+  CHECK(progress.tasks[0].losses.empty() == (incarnation == kFirstLife));
 }
 
 // Guards against a start of the former life that the next one carries out late,
