--- a/src/core/jobs/congestion_window.cc
+++ b/src/core/jobs/congestion_window.cc
@@ -19,20 +19,20 @@
   smoothed_delay_ += (took - smoothed_delay_) / kSmoothing;
   counted_from_ = counted_ == 0 ? now : counted_from_;
   ++counted_;
-  if (took <= settings_.late_threshold) {
+  if (took <= settings_.slow) {
     size_ += size_ < slow_start_threshold_ ? 1.0 : 1.0 / size_;
     size_ = std::min(size_, static_cast<double>(settings_.max_size));
     return;
   }
-  ++late_;
+  ++slow_;
   if (now - counted_from_ < settings_.min_halving_interval) {
     return;
   }
   const double share =
-      static_cast<double>(late_) / static_cast<double>(counted_);
+      static_cast<double>(slow_) / static_cast<double>(counted_);
   counted_ = 0;
-  late_ = 0;
-  if (share < settings_.min_late_share) {
+  slow_ = 0;
+  if (share < settings_.min_slow_share) {
     return;
   }
   size_ = std::max(static_cast<double>(settings_.min_size), size_ / 2);
@@ -40,8 +40,7 @@
 }
 
 duration congestion_window::delay() const {
-  return smoothed_delay_ > settings_.late_threshold ? smoothed_delay_
-                                                    : duration::zero();
+  return smoothed_delay_ > settings_.slow ? smoothed_delay_ : duration::zero();
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/congestion_window.h
+++ b/src/core/jobs/congestion_window.h
@@ -10,19 +10,19 @@
 
 /// Limits of a `congestion_window`. The defaults are those of starts. VMs
 /// answer in some ms, and an owner that orders hundreds of starts is busy for
-/// some tenths of a second, so that `late_threshold` is far above both.
+/// some tenths of a second, so that `slow` is far above both.
 struct congestion_window_settings {
   std::size_t min_size = 8;
   /// How many calls may be under way before any was answered.
   std::size_t initial_size = 512;
   std::size_t max_size = 512;
   /// Answers that take longer have waited for the link.
-  duration late_threshold = std::chrono::milliseconds(600);
+  duration slow = std::chrono::milliseconds(600);
   /// The answers of what was sent before the last halving say nothing new.
   duration min_halving_interval = std::chrono::milliseconds(700);
   /// A full link makes most results late. Where fewer are, single peers are
   /// silent, and all others would be held back for them.
-  double min_late_share = 0.1;
+  double min_slow_share = 0.1;
 };
 
 /// Bounds the calls that are under way by what the link carries, as a sender's
@@ -51,7 +51,7 @@
   /// The results since the window was last halved, or might have been.
   time_point counted_from_;
   std::size_t counted_ = 0;
-  std::size_t late_ = 0;
+  std::size_t slow_ = 0;
 };
 
 }  // namespace plantainhead::core::jobs
