--- a/include/plantainhead/core/jobs/job_types.h
+++ b/include/plantainhead/core/jobs/job_types.h
@@ -12,16 +12,17 @@
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
-/// Jobs: steps of tasks that run on the VMs of one pool.
+/// Defines jobs: steps of tasks that run on the VMs of one pool.
 namespace plantainhead::core::jobs {
 
-/// The caller's name of a job; it is the idempotency key of the submission.
+/// Identifies a job. The caller chooses it, and it is the idempotency key of
+/// the submission.
 using job_id = std::string;
-/// A pool of VMs that serve the same queues.
+/// Identifies a pool of VMs that serve the same queues.
 using pool_id = std::string;
 using queue_id = std::string;
 
-/// An amount of the three resources that a VM has and a task takes.
+/// An amount of the resources that a VM provides and a task requires.
 struct resources {
   std::int64_t cpu_millis = 0;
   std::int64_t memory_mb = 0;
@@ -46,46 +47,48 @@
           a.gpus - b.gpus};
 }
 
-/// Like tasks of a job that may start together.
+/// Describes a group of identical tasks of a job that may start together.
 struct step_spec {
   std::uint32_t task_count = 1;
-  /// Of one task.
+  /// The resources that one task requires.
   resources need;
-  /// The caller's guess of a task's run time; may be far off.
+  /// The caller's estimate of the run time of one task. It may be far off.
   duration estimate = duration::zero();
-  /// Numbers of earlier steps that must be complete first.
+  /// Indices of earlier steps that must be complete before this one starts.
   std::vector<std::uint32_t> depends_on;
-  /// A stopped task can resume from its checkpoint.
+  /// Whether a stopped task can resume from its checkpoint.
   bool checkpoints = false;
-  /// All tasks must run at the same time, and end together.
+  /// Whether all tasks must run at the same time and end together.
   bool gang = false;
-  /// The tasks of a gang are slow unless all are in one rack.
+  /// Whether the tasks of a gang are slow unless they all run in one rack.
   bool same_rack = false;
-  /// Empty: any VM.
+  /// The label that a VM must have. Empty: any VM is suitable.
   std::string required_label;
-  /// The rack that holds the data; elsewhere a task is slower. Empty: none.
+  /// The rack that holds the data; a task runs more slowly in other racks.
+  /// Empty: no preference.
   std::string preferred_rack;
-  /// Most tasks of the step on one VM; 0: no limit.
+  /// The maximum number of tasks of the step on one VM. 0: no limit.
   std::uint32_t max_per_vm = 0;
-  /// Copies of a task may run side by side.
+  /// Whether copies of a task may run concurrently.
   bool speculative = false;
-  /// The tasks run until the job is cancelled.
+  /// Whether the tasks run until the job is cancelled.
   bool long_running = false;
-  /// Tasks of the same image behave alike.
+  /// The image of the tasks. Tasks of the same image have similar behavior.
   std::string image;
-  /// A task that serves users must keep its tail latency below this; zero: the
-  /// task serves nobody.
+  /// The limit for the tail latency of a task that serves users. Zero: the task
+  /// serves no users.
   duration latency_target = duration::zero();
-  /// The tasks take processor time that others leave; only their memory and
-  /// accelerators count against a VM's capacity.
+  /// Whether the tasks use only the processor time that other tasks leave idle.
+  /// Only their memory and accelerators count against the capacity of a VM.
   bool best_effort = false;
-  /// Tasks of a lasting step that may be down at once for planned reasons.
+  /// The number of tasks of a long-running step that may be down at the same
+  /// time for planned reasons.
   std::uint32_t max_unavailable = 0;
 };
 
-/// When the occurrences of a repeated job are due.
+/// Defines when the occurrences of a repeated job are due.
 struct job_schedule {
-  /// Wall time of the first one.
+  /// The wall-clock time of the first occurrence.
   time_point first_due;
   duration interval = duration::zero();
   std::uint32_t count = 1;
@@ -94,26 +97,27 @@
 struct job_spec {
   job_id id;
   queue_id queue;
-  /// Chosen when the job is accepted; it stays when the queue moves elsewhere.
+  /// The pool is chosen when the job is accepted. The job stays in it when the
+  /// queue moves to another pool.
   pool_id pool;
-  /// Handed to each task as it is.
+  /// Passed to each task unchanged.
   std::string payload;
   std::vector<step_spec> steps;
   std::optional<job_schedule> schedule;
-  /// Wall time, to the millisecond, at which a process took the job in; nothing
-  /// where its record doesn't tell.
+  /// The wall-clock time, in milliseconds, at which a process accepted the job.
+  /// Empty if the record does not contain it.
   std::optional<time_point> submitted_at = std::nullopt;
 };
 
-/// What operators ask of a queue.
+/// The scheduling policy that operators configure for a queue.
 struct queue_policy {
-  /// 0 goes first.
+  /// Queues with a lower value are scheduled first.
   std::int32_t priority = 0;
-  /// Failed runs after which a task's job fails. At least 1.
+  /// The number of failed runs of a task after which its job fails. At least 1.
   std::uint32_t max_attempts = 1;
-  /// A job should end within this multiple of its longest chain of work ...
+  /// A job should end within this multiple of the length of its critical path,
   double stretch = 1.0;
-  /// ... and this much more.
+  /// plus this duration.
   duration latency_target = duration::zero();
 };
 
@@ -136,16 +140,16 @@
   return kJobPhaseNames;
 }
 
-/// Returns whether a job in this phase has ended for good.
+/// Returns whether a job in this phase has ended permanently.
 inline bool IsFinal(job_phase phase) {
   return phase == job_phase::kCompleted || phase == job_phase::kFailed ||
          phase == job_phase::kCancelled;
 }
 
-/// Names one task of one occurrence of a job.
+/// Identifies one task of one occurrence of a job.
 struct task_name {
   job_id job;
-  /// 0 for a job that isn't repeated.
+  /// 0 for a job that is not repeated.
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
   std::uint32_t index = 0;
@@ -157,20 +161,22 @@
   }
 };
 
-/// What must outlast the owner of a job about one of its tasks.
+/// The state of a task that is stored so that it survives a change of the owner
+/// of its job.
 struct task_record {
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
   std::uint32_t index = 0;
-  /// The highest run whose end is recorded here. A VM that lists that end again
-  /// brings nothing new.
+  /// The highest run whose end is recorded here. If a VM lists that end again,
+  /// it is a duplicate.
   std::uint32_t ended_run = 0;
-  /// Runs that ended as failed, in any order. VMs tell of them in any order.
+  /// Runs that failed, in the order in which VMs reported them, which is
+  /// arbitrary.
   std::vector<std::uint32_t> failed_runs;
   bool done = false;
   std::string checkpoint;
-  /// No VM has listed how `ended_run` ended: its VM was silent or didn't have
-  /// it.
+  /// No VM has reported how `ended_run` ended, because its VM did not answer or
+  /// did not have the run.
   bool is_presumed = false;
   /// Runs that count against the task because their VMs were lost.
   std::vector<run_loss> losses = {};
@@ -178,12 +184,13 @@
   bool operator==(const task_record&) const = default;
 };
 
-/// What must outlast the owner of a job. A final phase has no tasks.
+/// The state of a job that is stored so that it survives a change of the owner.
+/// In a final phase it contains no tasks.
 struct job_progress {
   job_phase phase = job_phase::kQueued;
   std::vector<task_record> tasks;
-  /// Runs up to this number may have been given by an earlier owner, on a VM
-  /// that never told of them.
+  /// An earlier owner may have used run numbers up to this one on a VM that
+  /// never reported those runs.
   std::uint32_t unreported_runs = 0;
 
   bool operator==(const job_progress&) const = default;
--- a/include/plantainhead/core/jobs/orders.h
+++ b/include/plantainhead/core/jobs/orders.h
@@ -13,10 +13,11 @@
 #include "plantainhead/core/jobs/vm_reports.h"
 #include "plantainhead/core/time.h"
 
-/// What a pool's owner asks of its VMs and of the store.
+/// Defines the orders that the owner of a pool sends to VMs, and the records
+/// that it stores.
 namespace plantainhead::core::jobs {
 
-/// One run of a task on one VM.
+/// Identifies one run of a task on one VM.
 struct run_ref {
   vm_id vm;
   task_name task;
@@ -28,9 +29,10 @@
 struct start_order {
   run_ref target;
   std::shared_ptr<const job_spec> job;
-  /// Empty: from the beginning.
+  /// The checkpoint from which the task resumes. Empty: it starts from the
+  /// beginning.
   std::string checkpoint;
-  /// The VM's lease after this order, on the VM's clock.
+  /// The end of the VM's lease once it accepts this order, on the VM's clock.
   duration lease_until = duration::zero();
 };
 
@@ -38,7 +40,7 @@
   run_ref target;
 };
 
-/// Lets a task work at a share of its speed.
+/// Limits a task to a percentage of its full speed.
 struct pace_order {
   run_ref target;
   std::uint32_t percent = 100;
@@ -46,16 +48,18 @@
 
 using vm_order = std::variant<start_order, stop_order, pace_order>;
 
-/// How the next hold of a VM is to be sent.
+/// The parameters of the next hold of a VM. A hold is a long-polling call that
+/// renews the lease of a VM and returns its running and ended tasks.
 struct hold_parameters {
   std::uint64_t acknowledged_through = 0;
-  /// On the VM's clock. None: the hold only looks and extends no lease.
+  /// The end of the lease, on the VM's clock. Empty: the hold only reads the
+  /// state of the VM and does not extend its lease.
   std::optional<duration> lease_until;
-  /// How long the VM may wait for an end before it answers.
+  /// How long the VM may wait for a task to end before it answers.
   duration wait = duration::zero();
 };
 
-/// A VM on which tasks may run.
+/// A recorded VM, on which tasks may be running.
 struct known_vm {
   vm_id id;
   std::string address;
@@ -63,15 +67,15 @@
   bool operator==(const known_vm&) const = default;
 };
 
-/// Records to be stored together, in one append.
+/// A set of records that are stored together, in one append.
 struct progress_batch {
   std::uint64_t number = 0;
   std::vector<std::pair<job_id, job_progress>> jobs;
-  /// Of those among them that have ended.
+  /// The results of those jobs in `jobs` that have ended.
   std::vector<job_result> results;
-  /// VMs that will be used from now on.
+  /// VMs on which tasks may be started once this batch is stored.
   std::vector<known_vm> used_vms;
-  /// VMs on which nothing can be running any more.
+  /// VMs on which no task can be running any more.
   std::vector<vm_id> dropped_vms;
 };
 
--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -19,98 +19,109 @@
 
 namespace plantainhead::core::jobs {
 
-/// Limits and waits of a `pool_scheduler`.
+/// The limits and timeouts of a `pool_scheduler`.
 struct scheduler_settings {
-  /// How long a VM may run tasks without hearing from the owner. After the last
-  /// hold (1 s) and the replacement of an owner that was killed (time to live
-  /// of a member, 2.4 s, a renewal of another one, 0.7 s, and the takeover) it
-  /// must not be over, so that the tasks survive. A new owner waits as long for
-  /// VMs that don't answer, so it is no longer than that needs.
+  /// How long a VM may run tasks without hearing from the owner. It must be
+  /// longer than the time between the last hold of an owner that is killed and
+  /// the first one of its replacement, so that the tasks survive: 1 s for the
+  /// hold, 2.4 s for the time to live of a member, 0.7 s for a renewal of
+  /// another one, and the takeover itself. It must not be longer than
+  /// necessary, because a new owner waits as long for VMs that do not answer.
   duration lease = std::chrono::milliseconds(4500);
-  /// How long a hold waits for an end. Holds keep the lease alive.
+  /// How long a hold waits for a task to end. Holds renew the lease.
   duration hold_wait = std::chrono::milliseconds(1000);
-  /// The same beside tasks that serve, whose tail latency must be watched.
+  /// The wait of a hold if the VM has latency-sensitive tasks, whose tail
+  /// latency must be monitored.
   duration watch_wait = std::chrono::milliseconds(500);
-  /// The same while a VM hasn't outlived the start of a task that may crash it:
-  /// nothing else starts there until then.
+  /// The wait of a hold while the VM is in the crash window of a suspected
+  /// task. No other task starts there until it has passed.
   duration suspect_wait = std::chrono::milliseconds(200);
-  /// A run that a VM lists this long after it began isn't what crashes the VM.
+  /// A run that the VM still lists this long after its start is not considered
+  /// the cause of a crash of the VM.
   duration crash_window = std::chrono::milliseconds(100);
-  /// A stop without an answer is sent again after this time.
+  /// The time after which a stop that was not answered is sent again.
   duration stop_retry = std::chrono::milliseconds(400);
-  /// A task whose percentage stands still this long, over at least two
-  /// listings, hangs. A sound task of a second or less ends before.
+  /// A task is considered hung if its progress has not changed for this long,
+  /// over at least two listings. A healthy task that takes at most 1 s ends
+  /// before this limit.
   duration hang_limit = std::chrono::milliseconds(2500);
-  /// A VM that fails every task gets none for this time.
+  /// How long a VM that fails every task gets no new ones.
   duration quarantine = std::chrono::seconds(4);
-  /// Failures in a row, of at least two jobs, that put a VM under quarantine.
+  /// The number of consecutive failures, of at least two jobs, after which a VM
+  /// is quarantined.
   std::uint32_t quarantine_failures = 3;
-  /// A task that failed waits this long for another VM. Then its own may take
-  /// it again: where each VM holds at most one task of the step there may be no
-  /// other, and one that fails all is set aside by then.
+  /// How long a failed task avoids the VM on which it failed. After that the
+  /// same VM may run it again: if each VM may hold at most one task of the
+  /// step, no other VM may be available. A VM that fails all tasks is
+  /// quarantined by then.
   duration failed_vm_avoidance = std::chrono::milliseconds(1000);
-  /// A VM that refused an order for a passing reason gets none for this time.
+  /// How long a VM that rejected an order for a transient reason gets no new
+  /// ones.
   duration refusal_pause = std::chrono::milliseconds(300);
-  /// Nothing starts while cancellations are known only up to a moment that is
-  /// this long ago. A caller may count on it that nothing of its job starts
-  /// later than 3 s after its cancellation was stored. What is known of an idle
-  /// partition is up to 1 s old, 2 s when a reading hangs, and two answers of
-  /// the store more (0.8 s when it is very slow).
+  /// The maximum age of the cancellations that are known when a task starts.
+  /// Callers may rely on it that no task of a job starts more than 3 s after
+  /// its cancellation was stored. The cancellations of an idle partition are up
+  /// to 1 s old, or 2 s if a read hangs, plus the time of two responses of the
+  /// store (0.8 s when it is very slow).
   duration max_cancellation_age = std::chrono::milliseconds(2600);
-  /// A VM that is to be emptied lets its tasks end for this time, so that most
-  /// of them, which take a second or less, lose no work; then it stops them.
+  /// How long the tasks of a closed VM may run before they are stopped. Most
+  /// tasks take at most 1 s, so that they end without losing work.
   duration empty_limit = std::chrono::milliseconds(2000);
 };
 
-/// What a new owner must assume of the one before it.
+/// What a new owner must assume about the previous owner.
 struct takeover_bounds {
-  /// From now on nobody else gives orders: jobs that are first read later can't
-  /// have been started by an earlier owner.
+  /// From this time on no other owner sends orders. Jobs that are first read
+  /// later cannot have been started by an earlier owner.
   time_point exclusive_from;
-  /// By now every lease that an earlier owner granted is over, on VMs for which
-  /// nothing else is known.
+  /// The time by which every lease that an earlier owner granted has expired,
+  /// for VMs that `lease_ends` does not contain.
   time_point default_lease_end;
-  /// By now the leases of these are over.
+  /// The times by which the leases of these VMs have expired.
   std::map<vm_id, time_point> lease_ends;
 };
 
-/// The VMs for which a new owner waits before it starts what an earlier owner
-/// may have started: each must tell what it runs, or its lease must end.
+/// The progress of a takeover. Before a new owner starts tasks that an earlier
+/// owner may have started, each VM must have listed its runs, or its lease must
+/// have expired.
 struct takeover_wait {
   bool is_over = false;
-  /// VMs that the registry lists.
+  /// The number of pending VMs that are in the registry.
   std::uint32_t registered = 0;
-  /// VMs that are only known from the records of an earlier owner.
+  /// The number of pending VMs that are only known from the records of an
+  /// earlier owner.
   std::uint32_t unregistered = 0;
-  /// One of them.
+  /// One of the pending VMs.
   vm_id vm;
 };
 
-/// A VM that runs a task, or has ended one, of a job that isn't known.
+/// A VM that lists a running or ended task of an unknown job.
 struct unknown_job_vm {
   vm_id vm;
   bool is_registered = false;
-  /// Its last hold had an answer.
+  /// The last hold of the VM was answered.
   bool is_reachable = false;
 };
 
-/// Figures for reports.
+/// Counters and gauges of a `pool_scheduler`.
 struct scheduler_counts {
   std::size_t open_jobs = 0;
   std::size_t waiting_tasks = 0;
   std::size_t placed_tasks = 0;
   std::uint64_t starts = 0;
   std::uint64_t lease_expired_runs = 0;
-  /// Runs that were on a VM when it was lost, the lapsed ones among them.
+  /// Runs that were on a VM when it was lost, including those whose lease
+  /// expired.
   std::uint64_t lost_runs = 0;
   std::uint64_t failed_runs = 0;
   std::uint64_t hung_runs = 0;
-  /// VMs that were looked at, one by one or in a pass. It tells whether the
-  /// work follows what changes or the size of the pool.
+  /// The number of visits of VMs, individually or in a scan. It shows whether
+  /// the work is proportional to the number of changes or to the size of the
+  /// pool.
   std::uint64_t visited_vms = 0;
 };
 
-/// A run that was lost with its VM, for reports.
+/// Reports a run that was lost with its VM.
 struct lost_run {
   run_ref run;
   loss_kind kind = loss_kind::kCrashAtStart;
@@ -119,20 +130,20 @@
   bool operator==(const lost_run&) const = default;
 };
 
-/// Decides for one pool which task runs on which VM.
-///
-/// Pure: events and times come in, orders come out. The promises it keeps, with
-/// orders that may be lost or carried out late:
-/// - a task has at most one run that can be alive. A run that may be alive ends
-///   by being listed as ended; by a listing without it that was asked for after
-///   the VM had confirmed a stop of it; by another life of the VM; or by the
-///   end of the VM's lease.
-/// - a VM never holds more than its capacity: a run takes its room until then.
-/// - an end is acknowledged to the VM only after the record of it is stored.
-/// - a task under which VMs crash again and again is given up, and its job
-///   fails; losses are recorded, so that the next owner counts on.
-/// - a VM is used only after a record of it is stored, so that the next owner
-///   asks it, also when the registry has lost it.
+/// Decides which task runs on which VM of one pool.
+/// It does no I/O: events and times are passed in, and orders are returned. It
+/// guarantees the following, although orders may be lost or carried out late:
+/// - At most one run of a task can be active. A run that may be active is
+///   considered ended when the VM lists its end; when a listing lacks the run
+///   and was requested after the VM had confirmed a stop of it; when another
+///   incarnation of the VM answers; or when the lease of the VM has expired.
+/// - A VM never holds more than its capacity. A run keeps its share until it is
+///   considered ended.
+/// - An end is acknowledged to the VM only after its record is stored.
+/// - If VMs crash repeatedly under a task, the task is given up and its job
+///   fails. Losses are recorded, so that the next owner continues the count.
+/// - A VM is used only after its record is stored, so that the next owner
+///   queries it even if the registry has lost it.
 /// Not thread-safe.
 class pool_scheduler {
  public:
@@ -142,133 +153,138 @@
   pool_scheduler& operator=(const pool_scheduler&) = delete;
   ~pool_scheduler();
 
-  /// Adds a job; one that is known already is left as it is. Jobs that are
-  /// added before the first `UpdateVms` are an earlier owner's. `now` tells
-  /// whether an earlier owner may have started the job; its target counts from
-  /// `age` before. Precondition: `spec` is valid (see `FindFaults`).
+  /// Adds a job. Does nothing if the job is known. Jobs that are added before
+  /// the first `UpdateVms` belong to an earlier owner. `now` determines whether
+  /// an earlier owner may have started the job; its target latency is measured
+  /// from `age` before `now`. Precondition: `spec` is valid (see `FindFaults`).
   void AddJob(std::shared_ptr<const job_spec> spec,
               const queue_policy& policy,
               time_point now,
               duration age = duration::zero());
-  /// Notes that all jobs that were accepted by then have been added, or noted
-  /// as ended. A VM may tell of a job that isn't known yet; only after a later
-  /// moment has been noted is it certain that there is no such job.
+  /// Records that all jobs that were accepted by `through` have been added, or
+  /// added as ended. A VM may list a task of a job that has not been read yet.
+  /// It is certain that there is no such job only after this method was called
+  /// with a later time.
   void NoteJobsRead(time_point through);
-  /// Notes that all cancellations that were stored by then have been passed on.
-  /// Until it is first called there is no bound on their age. Without it an
-  /// owner whose renewals are answered while its readings hang starts tasks of
-  /// jobs that were cancelled long before. See
+  /// Records that all cancellations that were stored by `through` have been
+  /// passed on. Until the first call their age is not limited. Without the
+  /// limit an owner whose renewals succeed while its reads hang would start
+  /// tasks of jobs that were cancelled long before. See
   /// `scheduler_settings::max_cancellation_age`.
   void NoteCancellationsRead(time_point through);
-  /// Returns whether cancellations are known well enough to start tasks.
+  /// Returns whether the known cancellations are recent enough to start tasks.
   bool MayStart(time_point now) const;
-  /// Returns whether a start of a task of the job that was ordered before may
-  /// be sent now: the job is known and not over.
+  /// Returns whether a start of a task of the job that was ordered earlier may
+  /// be sent now: the job is known and has not ended.
   bool MayStillStart(const job_id& job, time_point now) const;
-  /// Returns a VM that tells of a job that isn't known, if there is one.
+  /// Returns a VM that lists a task of an unknown job, if there is one.
   std::optional<unknown_job_vm> FindUnknownJob() const;
-  /// Notes a job that ended under an earlier owner. VMs may still list its
+  /// Records a job that ended under an earlier owner. VMs may still list its
   /// runs.
   void AddEndedJob(const job_id& id);
-  /// Takes over what an earlier owner recorded. Precondition: the job was added
-  /// and nothing of it was started since.
+  /// Restores the state that an earlier owner recorded. Precondition: the job
+  /// was added, and none of its tasks has been started since.
   void RestoreJob(const job_id& id, const job_progress& progress);
   void SetPolicy(const queue_id& queue, const queue_policy& policy);
-  /// Ends a job and its tasks. Returns false, and changes nothing, when the job
-  /// is unknown or has ended.
+  /// Cancels a job and its tasks. Returns false, and changes nothing, if the
+  /// job is unknown or has ended.
   bool CancelJob(const job_id& id);
 
-  /// Takes over the VMs of which an earlier owner has recorded that they run
-  /// nothing, and take no task for the rest of their lives: they aren't waited
-  /// for. The registry lists some of them for seconds after they are gone.
-  /// Preconditions: called before `AddKnownVm`; they are closed before the
+  /// Restores the VMs that an earlier owner has recorded as vacant: they run no
+  /// task and will never accept another one. The scheduler does not wait for
+  /// them; the registry lists some of them for seconds after they are gone.
+  /// Preconditions: called before `AddKnownVm`; the VMs are closed before the
   /// first plan.
   void RestoreVacantVms(std::set<vm_id> vms);
   /// Adds a VM that an earlier owner may have used, whether or not the registry
   /// lists it. Precondition: called before the first `UpdateVms`.
   void AddKnownVm(const known_vm& vm);
-  /// Replaces the list of the pool's VMs. A VM that is gone from it gets no new
-  /// tasks, and is forgotten when nothing can be running on it.
+  /// Replaces the list of registered VMs. A VM that is no longer in the list
+  /// gets no new tasks, and it is removed once no task can be running on it.
   void UpdateVms(const std::vector<vm_description>& vms, time_point now);
-  /// Takes in one VM of the list that is new or described in another way.
-  /// Precondition: `UpdateVms` was called.
+  /// Adds or updates one registered VM. Precondition: `UpdateVms` was called.
   void UpdateVm(const vm_description& vm, time_point now);
-  /// Takes one VM out of the list; see `UpdateVms`.
+  /// Removes one VM from the list of registered VMs; see `UpdateVms`.
   void UnregisterVm(const vm_id& vm);
-  /// Takes in until when the VM's report of its capacity is trusted; see
-  /// `report_ages`. After that nothing starts there.
+  /// Sets the time until which the VM's report of its capacity is valid; see
+  /// `report_ages`. No task starts on the VM after that.
   void NoteReport(const vm_id& vm, time_point trusted_until);
-  /// The same for several VMs.
+  /// Like `NoteReport`, for several VMs.
   void NoteReports(const std::map<vm_id, time_point>& trusted_until);
-  /// Empties a VM: no new tasks, and lasting ones move as their steps allow.
+  /// Closes a VM so that it can be emptied: it gets no new tasks, and its
+  /// long-running tasks are moved as their steps permit.
   void CloseVm(const vm_id& vm, time_point now);
-  /// Returns since when the VM is closed; nothing if it isn't.
+  /// Returns when the VM was closed, or nothing if it is not closed.
   std::optional<time_point> ClosedAt(const vm_id& vm) const;
-  /// Takes back `CloseVm`.
+  /// Reverts `CloseVm`.
   void OpenVm(const vm_id& vm);
-  /// Returns what the pool's tasks take and could take, as of the last plan.
-  /// Jobs that are late don't count.
+  /// Returns the used and the requested resources of the pool, as of the last
+  /// plan. Jobs that are late are not included in the demand.
   pool_load Load(const pool_id& pool, time_point now) const;
-  /// Returns up to `count` VMs of the pool that hold no lasting task, those
-  /// with the least work first.
+  /// Returns up to `count` VMs of the pool that have no long-running task,
+  /// ordered by used processor time, the least used first.
   std::vector<vm_id> LeastUsed(const pool_id& pool, std::size_t count) const;
-  /// Returns whether the VM is known, has told all, and holds neither a run nor
-  /// the end of one that isn't taken in.
+  /// Returns whether the VM is known, has listed all its tasks, and has neither
+  /// a run nor an end that has not been processed.
   bool IsEmpty(const vm_id& vm) const;
-  /// Returns by when the lease of each VM that may be running tasks is over,
-  /// for the next owner.
+  /// Returns the time by which the lease of each VM that may be running tasks
+  /// has expired, for the next owner.
   std::map<vm_id, time_point> LeaseEnds() const;
-  /// Returns the VMs that need a hold; also those that left the list. Copies
-  /// them all.
+  /// Returns the VMs that need a hold, including those that are no longer
+  /// registered. Copies them all.
   std::vector<vm_description> Vms() const;
-  /// Returns one of them, or null. It is valid until the next call that isn't
-  /// const.
+  /// Returns one of `Vms()`, or null. The pointer is valid until the next call
+  /// of a non-const method.
   const vm_description* FindVm(const vm_id& vm) const;
-  /// Returns the VMs that have joined `Vms`, have left it, or are described in
-  /// another way since the last call. One may come twice.
+  /// Returns the VMs that have been added to `Vms`, removed from it, or whose
+  /// description has changed since the last call. A VM may occur twice.
   std::vector<vm_id> TakeVmChanges();
-  /// Returns the closed VMs that were empty at a plan since the last call, as
-  /// `IsEmpty` tells. One may come twice.
+  /// Returns the closed VMs that were empty (see `IsEmpty`) in a plan since the
+  /// last call. A VM may occur twice.
   std::vector<vm_id> TakeEmptied();
 
   void OnStartAnswer(const run_ref& target,
                      start_result result,
                      time_point now);
   void OnStopAnswer(const run_ref& target, bool is_answered, time_point now);
-  /// A listing that the VM made before one that was taken changes nothing.
-  /// Precondition: `sent_at` is when the hold was sent.
+  /// Processes the answer to a hold. An outdated listing, which the VM made
+  /// before one that was already processed, is ignored. Precondition: `sent_at`
+  /// is when the hold was sent.
   void OnListing(const vm_id& vm,
                  time_point sent_at,
                  const run_listing& listing,
                  time_point now);
   void OnHoldUnanswered(const vm_id& vm);
-  /// Another life of the VM answered: all that ran on this one is over.
+  /// Handles an answer of another incarnation of the VM: all runs of the known
+  /// one have ended.
   void OnReplaced(const vm_id& vm, time_point now);
-  /// A VM refused an order because a newer owner holds it.
+  /// Handles the rejection of an order by a VM that a newer owner has fenced.
   void OnFenced() { is_fenced_ = true; }
 
-  /// Returns how long VMs take to answer while that is longer than usual, and
-  /// else zero. Holds that follow one another sooner only delay the answers.
+  /// Returns the current response time of VMs while it exceeds its limit,
+  /// otherwise zero. More frequent holds would only delay the responses
+  /// further.
   duration AnswerDelay() const;
-  /// Returns whether the last plan ordered as many starts as may be under way,
-  /// so that an answer lets more begin.
+  /// Returns whether the last plan ordered as many starts as may be in flight,
+  /// so that an answer permits more of them.
   bool IsStartWindowFull() const;
-  /// Returns how to send the next hold, and grants the lease in it.
+  /// Returns the parameters of the next hold, and grants the lease in it.
   hold_parameters NextHold(const vm_id& vm, time_point now);
-  /// Returns the orders to send now. `wall_now` is only used for due times.
+  /// Returns the orders to send now. `wall_now` is used only for due times.
   std::vector<vm_order> Plan(time_point now, time_point wall_now);
 
-  /// Returns, for reports, the runs that were lost with their VMs since the
-  /// last call.
+  /// Returns the runs that were lost with their VMs since the last call, for
+  /// reports.
   std::vector<lost_run> TakeLosses();
-  /// Returns what has to be stored next, if anything.
+  /// Returns the next batch to store, if there is one.
   std::optional<progress_batch> TakeBatch();
-  /// Precondition: batches are stored in their order.
+  /// Precondition: batches are stored in the order of their numbers.
   void OnBatchStored(const progress_batch& batch);
 
-  /// Returns for which VMs the takeover waits, as of the last plan.
+  /// Returns the VMs that the takeover waits for, as of the last plan.
   takeover_wait TakeoverWait(time_point now) const;
-  /// True when a newer owner was met. Give no more orders then.
+  /// Returns whether a newer owner was detected. No more orders may be sent
+  /// then.
   bool IsFenced() const { return is_fenced_; }
   scheduler_counts Counts() const;
 
--- a/include/plantainhead/core/jobs/run_loss.h
+++ b/include/plantainhead/core/jobs/run_loss.h
@@ -9,20 +9,23 @@
 
 namespace plantainhead::core::jobs {
 
-/// How a run was lost with its VM, so that nothing tells how it ended.
+/// Classifies how a run was lost together with its VM, so that no VM reports
+/// how it ended.
 enum class loss_kind {
-  /// That life of the VM is over. It had answered the start, and hadn't listed
-  /// the run a while after that.
+  /// The incarnation of the VM has ended. It had accepted the start and crashed
+  /// before the crash window of the run had passed.
   kCrashAtStart,
-  /// That life of the VM is over, and it may not have got the start.
-  kCrashUnanswered,
-  /// That life of the VM is over; it had listed the run a while after its
+  /// The incarnation of the VM has ended, and it may not have received the
   /// start.
+  kCrashUnanswered,
+  /// The incarnation of the VM has ended after it had listed the run past the
+  /// crash window.
   kCrashLater,
-  /// The VM's lease is over, and it hadn't listed the run a while after its
-  /// start. The VM may live.
+  /// The lease of the VM has expired, and the VM had not listed the run past
+  /// the crash window. The VM may still be running.
   kSilenceAtStart,
-  /// The VM's lease is over; it had listed the run by then. The VM may live.
+  /// The lease of the VM has expired after it had listed the run past the crash
+  /// window. The VM may still be running.
   kSilenceLater,
 };
 
@@ -41,8 +44,8 @@
 struct run_loss {
   std::uint32_t run = 0;
   loss_kind kind = loss_kind::kCrashAtStart;
-  /// The VM that lost it, or may have. If that life of it is heard again, the
-  /// run wasn't lost.
+  /// The VM that lost the run, or may have lost it. If the same incarnation of
+  /// this VM answers again, the run was not lost.
   vm_id vm;
   vm_incarnation incarnation = std::nullopt;
 
--- a/include/plantainhead/core/jobs/vm_incarnation.h
+++ b/include/plantainhead/core/jobs/vm_incarnation.h
@@ -7,13 +7,15 @@
 
 namespace plantainhead::core::jobs {
 
-/// A VM. One that begins anew has another id, or another `vm_incarnation`.
+/// Identifies a VM. A VM that restarts has another id, or the same id and
+/// another `vm_incarnation`.
 using vm_id = std::string;
-/// Tells one life of a VM from others under the same id: when it began, in
-/// milliseconds since 1970 by its own clock. Nothing: it isn't told.
+/// Distinguishes the incarnations of a VM under the same id. It is the time at
+/// which the incarnation started, in milliseconds since 1970 on the VM's own
+/// clock. Empty if the VM does not report it.
 using vm_incarnation = std::optional<std::int64_t>;
 
-/// Returns whether the marks are surely of two lives. Thread safety: safe from
+/// Returns whether both values are known and differ. Thread safety: safe from
 /// any thread.
 inline bool AreDifferentIncarnations(const vm_incarnation& one,
                                      const vm_incarnation& other) {
--- a/include/plantainhead/core/jobs/vm_registry.h
+++ b/include/plantainhead/core/jobs/vm_registry.h
@@ -11,36 +11,38 @@
 
 namespace plantainhead::core::jobs {
 
-/// The VMs that the platform's registry lists, and those whose record can't be
-/// read. Thread safety: one thread at a time.
+/// Stores the VMs that the platform's registry lists, including those whose
+/// record cannot be read. Thread safety: one thread at a time.
 class vm_registry {
  public:
-  /// Returns whether that is news: VMs renew their records twice in three
-  /// seconds, mostly without a change.
+  /// Adds or updates a VM. Returns whether its record changed: VMs renew their
+  /// records twice in three seconds, mostly without a change.
   bool Put(vm_description vm);
-  /// The VM's record can't be read. It names no VM to use: the VM is no longer
-  /// among the usable ones, and gets no new task. It isn't gone either: what
-  /// runs there is held and counted until the VM itself ends it or its lease
-  /// runs out, and its vacancy and offers aren't forgotten.
+  /// Marks the record of the VM as unreadable. The VM is no longer usable and
+  /// gets no new task. It is not treated as gone either: its runs are kept and
+  /// counted until the VM reports their end or its lease expires, and its
+  /// vacancy and offers are kept.
   void PutUnreadable(const vm_id& id);
   void Drop(const vm_id& id);
 
   using pool_predicate = std::function<bool(const pool_id&)>;
 
-  /// Returns the VMs of pools that the configuration names.
+  /// Returns the VMs whose pools are in the configuration.
   std::vector<vm_description> Usable(const routing_table& routes) const;
-  /// The same for the pools that are wanted; the others aren't copied.
+  /// Like `Usable`, but only for pools for which `is_wanted` returns true. VMs
+  /// of other pools are not copied.
   std::vector<vm_description> Usable(const routing_table& routes,
                                      const pool_predicate& is_wanted) const;
-  /// Returns the VM, or null when no readable record names it. It is valid
+  /// Returns the VM, or null if it has no readable record. The pointer is valid
   /// until the next change.
   const vm_description* Find(const vm_id& id) const;
-  /// Returns whether there is a record of the VM, readable or not.
+  /// Returns whether the VM has a record, readable or not.
   bool IsListed(const vm_id& id) const;
-  /// Returns all VMs of which there is a record.
+  /// Returns all VMs that have a record, readable or not.
   std::set<vm_id> Listed() const;
-  /// Returns the VMs that drain. Whether one whose record can't be read does
-  /// isn't known; it takes no new task anyway.
+  /// Returns the VMs that are draining. VMs with unreadable records are not
+  /// included, since it is unknown whether they are draining; they get no new
+  /// tasks anyway.
   const std::set<vm_id>& Draining() const { return draining_; }
 
  private:
--- a/include/plantainhead/core/jobs/vm_reports.h
+++ b/include/plantainhead/core/jobs/vm_reports.h
@@ -9,10 +9,10 @@
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
-/// What a VM says of itself and of the tasks on it.
+/// Defines what a VM reports about itself and about its tasks.
 namespace plantainhead::core::jobs {
 
-/// A VM as the platform's registry lists it.
+/// Describes a VM as the platform's registry lists it.
 struct vm_description {
   vm_id id;
   vm_incarnation incarnation;
@@ -21,9 +21,9 @@
   std::string availability_zone;
   resources capacity;
   std::vector<std::string> labels;
-  /// It leaves soon and takes no new tasks.
+  /// The VM will be removed soon and accepts no new tasks.
   bool draining = false;
-  /// While it drains: the least time that it stays.
+  /// The minimum time until a draining VM is removed.
   duration remaining = duration::zero();
 
   bool operator==(const vm_description&) const = default;
@@ -33,11 +33,11 @@
   kDone,
   kFailed,
   kStopped,
-  /// The VM's lease ran out.
+  /// The lease of the VM expired.
   kLeaseExpired,
   /// Another member of the gang ended.
   kGangBroken,
-  /// The other members of the gang did not come.
+  /// The other members of the gang did not start.
   kGangIncomplete,
 };
 
@@ -57,15 +57,17 @@
   task_name task;
   std::uint32_t run = 0;
   std::string checkpoint;
-  /// Of its work; a lasting task is at work at 100.
+  /// The progress of the task. A long-running task is ready at 100.
   std::uint32_t percent = 0;
-  /// Of a task with a latency target: its tail latency in ms, over about half a
-  /// second. Of others: the processor that it uses, in thousandths of a core.
+  /// For a task with a latency target: its tail latency in milliseconds over
+  /// about half a second. For others: the processor time that it uses, in
+  /// thousandths of a core.
   std::int64_t reading = 0;
 };
 
 struct ended_task {
-  /// Counts the ends of one life of the VM, from 1.
+  /// The sequence number of the end within one incarnation of the VM, starting
+  /// at 1.
   std::uint64_t number = 0;
   task_name task;
   std::uint32_t run = 0;
@@ -73,39 +75,40 @@
   std::string checkpoint;
 };
 
-/// A VM's answer to a hold.
+/// The answer of a VM to a hold: its running and ended tasks.
 struct run_listing {
   vm_incarnation incarnation;
-  /// The VM's own clock when it answered.
+  /// The VM's own clock when it sent the answer.
   duration vm_clock = duration::zero();
   std::vector<running_task> running;
-  /// Ends that haven't been acknowledged, in rising order.
+  /// Ends that have not been acknowledged, in ascending order.
   std::vector<ended_task> ended;
-  /// There may be more ends than are listed.
+  /// The VM may have more ends than are listed.
   bool is_partial = false;
 };
 
-/// How an order to start a task went.
+/// The result of an order to start a task.
 enum class start_result {
-  /// It runs, or ran already.
+  /// The task was started, or was running already.
   kStarted,
-  /// The VM did nothing: another owner holds it.
+  /// The VM rejected the order because another owner has fenced this one.
   kFenced,
-  /// The VM did nothing: it knows this run or a later one as stopped or ended.
+  /// The VM rejected the order because this run or a later one has already been
+  /// stopped or has ended there.
   kStaleRun,
-  /// The VM did nothing: the lease in the order was over.
+  /// The VM rejected the order because the lease in it had expired.
   kOrderExpired,
-  /// The VM did nothing: it has no room.
+  /// The VM rejected the order because it lacks capacity.
   kNoCapacity,
-  /// The VM did nothing: it is unwell.
+  /// The VM rejected the order because it is unhealthy.
   kUnhealthy,
-  /// The VM did nothing: it can't use the order.
+  /// The VM rejected the order as invalid.
   kInvalid,
-  /// No connection could be made, so the order was not sent.
+  /// The connection failed, so that the order was not sent.
   kNotSent,
-  /// No answer came; the order may still be carried out.
+  /// The call timed out; the VM may still carry out the order.
   kUnknown,
-  /// Another life of the VM answered.
+  /// Another incarnation of the VM answered.
   kReplaced,
 };
 
--- a/src/core/jobs/congestion_window.cc
+++ b/src/core/jobs/congestion_window.cc
@@ -5,7 +5,7 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// The share of a new sample in the smoothed time.
+// The inverse of the weight of a new sample in the moving average.
 constexpr int kSmoothing = 8;
 
 }  // namespace
--- a/src/core/jobs/congestion_window.h
+++ b/src/core/jobs/congestion_window.h
@@ -8,47 +8,49 @@
 
 namespace plantainhead::core::jobs {
 
-/// Limits of a `congestion_window`. The defaults are those of starts. VMs
-/// answer in some ms, and an owner that orders hundreds of starts is busy for
-/// some tenths of a second, so that `slow` is far above both.
+/// The limits of a `congestion_window`. The defaults are those of starts. VMs
+/// answer within some milliseconds, and an owner that orders hundreds of starts
+/// is busy for some tenths of a second, so that `slow` is far above both.
 struct congestion_window_settings {
   std::size_t min_size = 8;
-  /// How many calls may be under way before any was answered.
+  /// The number of calls that may be in flight before any was answered.
   std::size_t initial_size = 512;
   std::size_t max_size = 512;
-  /// Answers that take longer have waited for the link.
+  /// Answers that take longer than this have been queued on the link.
   duration slow = std::chrono::milliseconds(600);
-  /// The answers of what was sent before the last halving say nothing new.
+  /// The minimum time between two halvings. The answers to calls that were sent
+  /// before the last halving contain no new information.
   duration min_halving_interval = std::chrono::milliseconds(700);
-  /// A full link makes most results late. Where fewer are, single peers are
-  /// silent, and all others would be held back for them.
+  /// The minimum share of slow results that halves the window. A saturated link
+  /// makes most results slow. If fewer are slow, single peers do not answer,
+  /// and calls to all others must not be held back because of them.
   double min_slow_share = 0.1;
 };
 
-/// Bounds the calls that are under way by what the link carries, as a sender's
-/// congestion window does: it grows with each result that comes soon, and is
-/// halved when many results are late. Without it a process with a backlog sends
-/// more calls than its link carries within their timeout, gives them up, and
-/// sends them again. Not thread-safe.
+/// Limits the number of calls in flight to what the link carries, as the
+/// congestion window of TCP does: it grows with each result that comes in time
+/// and is halved when many results are slow. Without it, a process with a
+/// backlog sends more calls than its link carries within their timeout, gives
+/// them up and sends them again. Not thread-safe.
 class congestion_window {
  public:
-  /// Precondition: 0 < least <= first <= most.
+  /// Precondition: 0 < min_size <= initial_size <= max_size.
   explicit congestion_window(const congestion_window_settings& settings = {});
-  /// Notes that a call was answered, or was given up, after `took`.
+  /// Records that a call was answered, or timed out, after `took`.
   void NoteResult(duration took, time_point now);
-  /// Returns how many may be under way.
+  /// Returns the number of calls that may be in flight.
   std::size_t size() const { return static_cast<std::size_t>(size_); }
-  /// Returns how long answers take at present while they are late; zero while
-  /// they are not.
+  /// Returns the smoothed response time while it exceeds `slow`, otherwise
+  /// zero.
   duration delay() const;
 
  private:
   congestion_window_settings settings_;
   double size_;
-  /// Up to here the window doubles with each round of answers.
+  /// Below this size the window doubles with each round of answers.
   double slow_start_threshold_;
   duration smoothed_delay_ = duration::zero();
-  /// The results since the window was last halved, or might have been.
+  /// The results since the window was last halved or checked for it.
   time_point counted_from_;
   std::size_t counted_ = 0;
   std::size_t slow_ = 0;
--- a/src/core/jobs/crash_suspicion.cc
+++ b/src/core/jobs/crash_suspicion.cc
@@ -6,13 +6,13 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// Crashes right at a start are rarely chance twice in a row.
+// Two crashes in a row right after a start are rarely coincidental.
 constexpr std::size_t kCertainAtStart = 2;
-// Later crashes may be another task's doing.
+// Another task may be the cause of later crashes.
 constexpr std::size_t kCertainCrashes = 4;
-// A VM may have been gone, or cut off, before the start got there. That this is
-// chance so often isn't likely, and one start more could be the third after
-// three crashes.
+// The VM may have been gone or disconnected before the start arrived. Five such
+// losses are unlikely to be coincidental, and one more start could be the third
+// one after three crashes.
 constexpr std::size_t kCertainLosses = 5;
 constexpr std::size_t kSuspectedAtStart = 1;
 constexpr std::size_t kSuspectedOtherwise = 2;
--- a/src/core/jobs/crash_suspicion.h
+++ b/src/core/jobs/crash_suspicion.h
@@ -7,20 +7,20 @@
 
 namespace plantainhead::core::jobs {
 
-/// How likely a task crashes the VMs that start it.
+/// Rates how likely a task is to crash the VMs that start it.
 enum class suspicion {
   kNone,
-  /// It starts apart from others, so that the next crash tells.
+  /// The task starts in isolation, so that the next crash can be attributed.
   kSuspected,
-  /// It must not start again.
+  /// The task must not start again.
   kCertain,
 };
 
-/// Returns whether such a loss says anything about the task. A VM that falls
-/// silent long after a start was most likely cut off.
+/// Returns whether a loss of this kind counts as evidence against the task. A
+/// VM that stops answering long after a start was most likely disconnected.
 bool IsEvidence(loss_kind kind);
 
-/// Judges a task by the runs that it lost with their VMs, in any order. Thread
+/// Rates a task by the runs that it lost with their VMs, in any order. Thread
 /// safety: safe from any thread.
 suspicion SuspicionOf(const std::vector<run_loss>& losses);
 
--- a/src/core/jobs/job_state.cc
+++ b/src/core/jobs/job_state.cc
@@ -255,10 +255,11 @@
   return true;
 }
 
-// After a takeover VMs list ends that the earlier owner has recorded but not
-// acknowledged: these bring nothing new. They also list ends that it couldn't
-// record, and a later run's may be read before an earlier one's. A failure that
-// isn't counted would let the task start once more than its queue allows.
+// After a takeover, VMs list ends that the earlier owner has recorded but not
+// acknowledged; these are duplicates. They also list ends that it could not
+// record, and the end of a later run may be read before that of an earlier one.
+// If a failure were not counted, the task could start once more than its queue
+// permits.
 bool job_state::ApplyLate(const task_name& name,
                           job_task_state* task,
                           std::uint32_t run,
@@ -276,7 +277,7 @@
   return is_done;
 }
 
-// One end as done stands for all members of a gang.
+// One member that is done completes all members of a gang.
 void job_state::CompleteTask(const task_name& name, job_task_state* task) {
   step_state& step = occurrences_[name.occurrence].steps[name.step];
   if (StepOf(name).gang) {
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -17,16 +17,16 @@
 namespace plantainhead::core::jobs {
 
 enum class task_phase {
-  /// To be started as soon as its step may.
+  /// The task starts as soon as its step is ready.
   kWaiting,
-  /// A run of it is, or may be, on a VM.
+  /// A run of the task is, or may be, on a VM.
   kPlaced,
   kDone,
 };
 
 struct job_task_state {
   task_phase phase = task_phase::kWaiting;
-  /// Highest run that was ever ordered or listed.
+  /// The highest run that was ever ordered or listed.
   std::uint32_t last_run = 0;
   /// See `task_record`.
   std::uint32_t ended_run = 0;
@@ -35,9 +35,10 @@
   std::string checkpoint;
   /// See `task_record`.
   std::vector<run_loss> losses;
-  /// It may start only after this batch is stored; see `LapseSilentVms`.
+  /// The task may start only after this batch is stored; see
+  /// `EndAllRunsAsLost`.
   std::uint64_t starts_after_batch = 0;
-  /// Where its last run failed; the next one goes elsewhere before
+  /// The VM on which the last run failed. The next run avoids it until
   /// `failed_until`.
   vm_id failed_on;
   time_point failed_until;
@@ -56,16 +57,16 @@
 
 struct occurrence_state {
   std::vector<step_state> steps;
-  /// What `RemainingChain` has found since a task was done.
+  /// The cached result of `RemainingChain`; reset when a step is done.
   std::optional<duration> remaining_chain;
 };
 
-/// One accepted job and how far it is. Not thread-safe.
+/// Tracks one accepted job and the progress of its tasks. Not thread-safe.
 class job_state {
  public:
   /// Preconditions: `spec` is set and has a step; `arrived_at` is when this
-  /// process learned of the job, and `submitted_at`, which isn't later, when
-  /// its caller handed it in.
+  /// process learned of the job; `submitted_at`, which is not later, is when
+  /// its caller submitted it.
   job_state(std::shared_ptr<const job_spec> spec,
             const queue_policy& policy,
             time_point arrived_at,
@@ -76,104 +77,109 @@
   const queue_policy& policy() const { return policy_; }
   void SetPolicy(const queue_policy& policy);
   job_phase phase() const { return phase_; }
-  /// When the job should have ended, by its caller's estimates.
+  /// The time by which the job should have ended, according to the estimates of
+  /// its caller.
   time_point deadline() const { return deadline_; }
-  /// Tells only whether an earlier owner may have started the job. What its
-  /// caller sees counts from `submitted_at`.
+  /// Used only to determine whether an earlier owner may have started the job.
+  /// Durations that the caller observes are measured from `submitted_at`.
   time_point arrived_at() const { return arrived_at_; }
   time_point submitted_at() const { return submitted_at_; }
-  /// Notes that an earlier owner had accepted the job.
+  /// Records that an earlier owner had accepted the job.
   void MarkInherited() { is_inherited_ = true; }
-  /// Notes that a task was ordered to start.
+  /// Records that a start of a task was ordered.
   void MarkStarted(time_point now) {
     if (!started_at_) {
       started_at_ = now;
     }
   }
-  /// Notes what its tasks wait for from now on.
+  /// Records what the tasks of the job wait for from now on.
   void NoteWait(std::optional<wait_cause> cause, time_point now) {
     waits_.Note(cause, now);
   }
-  /// Returns whether a task waits whose step is open.
+  /// Returns whether a task of a ready step is waiting.
   bool HasWaiting() const;
   job_result Result() const;
 
-  /// Takes over what an earlier owner recorded.
+  /// Restores the state that an earlier owner recorded.
   void Restore(const job_progress& progress);
-  /// Returns what must outlast this process.
+  /// Returns the state that must survive this process.
   job_progress Progress() const;
 
   /// Opens the occurrences that are due by `wall_now`. Returns whether there
-  /// are any.
+  /// were any.
   bool OpenDue(time_point wall_now);
-  /// Returns when the next occurrence opens, on the wall clock, or nothing.
+  /// Returns the wall-clock time at which the next occurrence opens, if there
+  /// is one.
   std::optional<time_point> NextDue() const;
 
   std::map<std::uint32_t, occurrence_state>& occurrences() {
     return occurrences_;
   }
-  /// Returns the task, or null when the job has none of this name (any more).
+  /// Returns the task, or null if the job has no task of this name (any more).
   job_task_state* Find(const task_name& name);
   const step_spec& StepOf(const task_name& name) const {
     return spec_->steps[name.step];
   }
   /// Returns whether all steps that `step` depends on are done.
   bool IsOpen(const occurrence_state& occurrence, std::uint32_t step) const;
-  /// Returns an estimate of the work left on the longest chain.
+  /// Returns the estimated duration of the remaining critical path.
   duration RemainingChain(occurrence_state* occurrence) const;
   bool HasOccurrence() const { return !occurrences_.empty(); }
 
-  /// Leaves out `count` run numbers that an earlier owner may have given, once
-  /// in this object's life. Returns true when it is news.
+  /// Skips `count` run numbers that an earlier owner may have used. Has an
+  /// effect only once for each object. Returns whether the state changed.
   bool SkipUnreportedRuns(std::uint32_t count);
-  /// Lets no task start before the batch is stored.
+  /// Prevents tasks of the job from starting before the batch is stored.
   void HoldUntilStored(std::uint64_t batch) { starts_after_batch_ = batch; }
   std::uint64_t starts_after_batch() const { return starts_after_batch_; }
-  /// Notes that a VM has told of the run, of which nothing else is known.
+  /// Records the number of a run that a VM has reported and of which nothing
+  /// else is known.
   void NoteReportedRun(const task_name& name, std::uint32_t run);
-  /// Returns the number that the next run of the task gets.
+  /// Returns the number of the next run of the task.
   std::uint32_t NextRun(const job_task_state& task) const {
     return std::max(task.last_run, unreported_runs_) + 1;
   }
   void MarkPlaced(const task_name& name, std::uint32_t run);
-  /// Notes that a VM has taken a task. An order alone doesn't make a job run:
-  /// it may be lost or refused, and callers would be told that the job runs,
-  /// and operators that it doesn't wait. Returns true when it is news.
+  /// Records that a VM has accepted a task. An order does not suffice: it may
+  /// be lost or rejected, and the job would be reported as running to callers
+  /// and as not waiting to operators. Returns whether the phase changed.
   bool MarkRunning();
-  /// The run is over without effect; the task waits again.
+  /// Returns the task to the waiting phase after a run that had no effect.
   void MarkWaiting(const task_name& name);
-  /// Takes the end of a run that a VM has listed. Returns false when it was
-  /// recorded before, and nothing changed.
+  /// Applies the end of a run that a VM has listed. Returns false, and changes
+  /// nothing, if the end is recorded already.
   bool ApplyEnd(const task_name& name,
                 std::uint32_t run,
                 end_kind how,
                 const std::string& checkpoint,
                 const vm_id& vm);
-  /// Takes a run for ended that no VM can be running. Returns false when its
-  /// end was recorded before.
+  /// Presumes the end of a run that no VM can be running any more. Returns
+  /// false if its end is recorded already.
   bool PresumeEnd(const task_name& name, std::uint32_t run);
-  /// Counts a run against the task that was, or may have been, lost with its
-  /// VM. What was counted for the run before is replaced. The job fails when
-  /// the task is certain to crash its VMs. Returns false when it is no news.
+  /// Counts a run that was, or may have been, lost with its VM against the
+  /// task. Replaces what was counted for the same run before. The job fails
+  /// when the task is certain to crash its VMs. Returns whether anything
+  /// changed.
   bool CountLoss(const task_name& name, const run_loss& loss);
-  /// Takes back what was counted for runs on a VM of which this life turns out
-  /// to live. Returns false when nothing was.
+  /// Withdraws the losses that were counted for runs on an incarnation of a VM
+  /// that proves to be running. Returns false if there were none.
   bool WithdrawLosses(const vm_id& vm, const vm_incarnation& incarnation);
-  /// Forgets what counts against a lasting task that is at work. Returns false
-  /// when nothing did.
+  /// Clears the losses of a long-running task that is ready. Returns false if
+  /// there were none.
   bool ForgetLosses(const task_name& name);
-  /// Returns whether something may count against a task.
+  /// Returns whether any task may have losses.
   bool HasLosses() const { return has_losses_; }
   void Cancel() { Finish(job_phase::kCancelled); }
 
  private:
-  /// Takes an end of a run for which a later end, or a presumed one, is known.
+  /// Applies the end of a run for which a later end, or a presumed one, is
+  /// known.
   bool ApplyLate(const task_name& name,
                  job_task_state* task,
                  std::uint32_t run,
                  end_kind how);
   void CompleteTask(const task_name& name, job_task_state* task);
-  /// Returns false when the failure was counted before, or the task is done.
+  /// Returns false if the failure was counted before or the task is done.
   bool CountFailure(const task_name& name,
                     job_task_state* task,
                     std::uint32_t run);
@@ -195,7 +201,7 @@
   std::uint32_t repeated_runs_ = 0;
   bool is_inherited_ = false;
   bool is_given_up_ = false;
-  /// Some task may have losses.
+  /// Whether any task may have losses.
   bool has_losses_ = false;
   std::map<std::uint32_t, occurrence_state> occurrences_;
   std::uint32_t opened_ = 0;
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -14,47 +14,52 @@
 
 namespace plantainhead::core::jobs {
 
-/// The jobs of one pool, and which of them must be recorded. Not thread-safe.
+/// Stores the jobs of one pool and tracks which of them must be recorded. Not
+/// thread-safe.
 class job_table {
  public:
-  /// Returns the new job, which was handed in `age` before `now`, or null when
-  /// it is known.
+  /// Adds a job that was submitted `age` before `now`. Returns the new job, or
+  /// null if the job is known already.
   job_state* Add(std::shared_ptr<const job_spec> spec,
                  const queue_policy& policy,
                  time_point now,
                  duration age);
-  /// Returns the job, or null when it is unknown or only known as ended.
+  /// Returns the job, or null if it is unknown or only known as ended.
   job_state* Find(const job_id& id);
-  /// Notes a job that ended under an earlier owner.
+  /// Records a job that ended under an earlier owner.
   void AddEnded(const job_id& id) { ended_.insert(id); }
   /// Returns whether the job ended under an earlier owner.
   bool IsEnded(const job_id& id) const { return ended_.count(id) != 0; }
   void SetPolicy(const queue_id& queue, const queue_policy& policy);
 
-  /// Marks the job as changed, and forgets it as open when it has ended.
+  /// Marks the job as changed, and removes it from the open jobs if it has
+  /// ended.
   void NoteChange(job_state* job);
-  /// Notes that tasks of the job may wait, or that it has ended.
+  /// Adds the job to the waiting jobs, or removes it from the open jobs if it
+  /// has ended.
   void NoteTasks(job_state* job);
   const std::map<job_id, job_state*>& open() const { return open_; }
-  /// Open jobs with a task that waits, and some that had one at the last plan.
+  /// Returns the open jobs with a waiting task, including some that had one at
+  /// the last plan.
   const std::map<job_id, job_state*>& waiting() const { return waiting_; }
-  /// Notes that no task of the job waits. Precondition: it is known.
+  /// Removes the job from the waiting jobs. Precondition: it is known.
   void NoteNoneWaits(const job_id& id) { waiting_.erase(id); }
-  /// Open jobs with a schedule, and those with a step that lasts.
+  /// Return the open jobs with a schedule, and those with a long-running step.
   const std::map<job_id, job_state*>& scheduled() const { return scheduled_; }
   const std::map<job_id, job_state*>& long_running() const {
     return long_running_;
   }
 
-  /// Notes that something may count against the job's tasks.
+  /// Records that tasks of the job may have losses.
   void NoteLosses(job_state* job);
-  /// Returns the jobs that were noted since the last call and are open.
+  /// Returns the open jobs that were passed to `NoteLosses` since the last
+  /// call.
   std::vector<job_state*> TakeWithLosses();
 
-  /// The number that the next batch will have.
+  /// Returns the number of the next batch.
   std::uint64_t next_batch() const { return next_batch_; }
-  /// Returns the changed jobs as a batch; nothing when there are none and the
-  /// batch carries nothing else either.
+  /// Returns the changed jobs as a batch. Returns nothing if there are none and
+  /// the batch carries nothing else, as `has_more` states.
   std::optional<progress_batch> TakeBatch(bool has_more);
 
  private:
--- a/src/core/jobs/job_vms.h
+++ b/src/core/jobs/job_vms.h
@@ -10,15 +10,15 @@
 
 class vm_state;
 
-/// On which VMs each job has runs. Not thread-safe.
+/// Maps each job to the VMs that have runs of it. Not thread-safe.
 class job_vms {
  public:
-  /// Notes the first run of the job on the VM.
+  /// Records the first run of the job on the VM.
   void Add(const job_id& job, vm_state* vm);
-  /// Notes that the last run of the job on the VM is gone. Precondition: the VM
-  /// was added for the job.
+  /// Records that the last run of the job on the VM was removed. Precondition:
+  /// the VM was added for the job.
   void Remove(const job_id& job, vm_state* vm);
-  /// Returns the VMs, in the order in which they became known to the owner.
+  /// Returns the VMs in the order in which they became known to the owner.
   std::vector<vm_state*> Of(const job_id& job) const;
 
  private:
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -15,7 +15,7 @@
 
 using vm_set = std::set<vm_state*, by_number>;
 
-/// A VM in a list; the lowest rank goes first.
+/// An entry of a list of VMs that is sorted by rank, the lowest first.
 struct ranked_vm {
   std::int64_t rank = 0;
   vm_state* vm = nullptr;
@@ -26,7 +26,7 @@
   }
 };
 
-/// Orders a list, in which one may look for a rank as well.
+/// Compares entries of a ranked list with each other or with a rank.
 struct by_rank {
   using is_transparent = void;
   bool operator()(const ranked_vm& a, const ranked_vm& b) const {
@@ -41,9 +41,10 @@
 };
 using ranked_vms = std::set<ranked_vm, by_rank>;
 
-/// VMs that take tasks, ranked by the processor time that they have left, in
-/// thousandths of a core. Some tasks avoid VMs with tasks that serve, or seek
-/// those with tasks that last, so that each kind has a list of its own.
+/// Lists the VMs that are available for new tasks, ranked by their free
+/// processor time in thousandths of a core. Some tasks avoid VMs with
+/// latency-sensitive tasks or prefer VMs with long-running tasks, so that there
+/// is one list for each combination.
 class available_vm_list {
  public:
   static constexpr std::size_t kKinds = 4;
@@ -57,7 +58,7 @@
 
   const ranked_vms& OfKind(std::size_t kind) const { return lists_[kind]; }
   std::size_t size() const { return size_; }
-  /// Precondition: `taker` isn't in the list.
+  /// Precondition: `taker` is not in the list.
   void Insert(std::size_t kind, const ranked_vm& taker);
   /// Precondition: `taker` is in the list.
   void Erase(std::size_t kind, const ranked_vm& taker);
@@ -67,49 +68,51 @@
   std::size_t size_ = 0;
 };
 
-/// What is kept of all VMs of one pool.
+/// The index of the VMs of one pool: their totals, and lists of them.
 struct pool_vm_index {
   vm_set vms;
   std::uint32_t usable_vms = 0;
-  /// Of the usable VMs.
+  /// The totals of the usable VMs.
   resources capacity;
   resources used;
   vm_stages stages;
-  /// Usable VMs without a lasting task, the most free first.
+  /// Usable VMs without a long-running task, the most free processor time
+  /// first.
   ranked_vms idle;
-  /// Under the empty label all of them, and those with a label that was asked
-  /// for; see `AvailableWith`.
+  /// The available VMs by label. The empty label contains all of them; other
+  /// labels are added when they are first requested; see `AvailableWith`.
   std::map<std::string, available_vm_list> available;
   std::map<std::string, std::size_t> available_by_rack;
 };
 
-/// Figures and lists of an owner's VMs, kept up to date VM by VM.
-/// Not thread-safe.
+/// Indexes the VMs of an owner by pool, label and state, so that a plan does
+/// not scan all of them. Updated one VM at a time. Not thread-safe.
 class vm_index {
  public:
-  /// Takes in the VM as it is now.
+  /// Updates the index to the current state of the VM.
   void Update(vm_state* vm, time_point now);
-  /// Takes in only whether the VM has told of a job that isn't known.
+  /// Updates only whether the VM has listed a task of an unknown job.
   void UpdateUnknown(vm_state* vm);
-  /// Forgets the VM.
+  /// Removes the VM.
   void Remove(vm_state* vm);
 
-  /// Returns what is kept of the pool, or null when it never had a VM.
+  /// Returns the index of the pool, or null if it never had a VM.
   const pool_vm_index* Find(const pool_id& pool) const;
-  /// Returns the takers of the pool with the label; the empty one stands for
-  /// all. The first call for a label looks at all of them. Null: the pool never
-  /// had a VM.
+  /// Returns the available VMs of the pool with the label; the empty label
+  /// returns all of them. The first call for a label scans all VMs of the pool.
+  /// Returns null if the pool never had a VM.
   const available_vm_list* AvailableWith(const pool_id& pool,
                                          const std::string& label);
-  /// Returns how many starts are on their way to VMs.
+  /// Returns the number of starts in flight.
   std::size_t starts_under_way() const { return starts_under_way_; }
-  /// VMs that haven't told all, and whose leases aren't over.
+  /// Returns the VMs that have not listed all their tasks and whose leases have
+  /// not expired.
   const vm_set& unreconciled() const { return unreconciled_; }
-  /// VMs that told of an end that isn't taken in.
+  /// Returns the VMs that listed an end that has not been processed.
   const vm_set& with_unprocessed_ends() const { return with_unprocessed_ends_; }
-  /// VMs that told of a job that isn't known here.
+  /// Returns the VMs that listed a task of an unknown job.
   const vm_set& with_unknown_jobs() const { return with_unknown_jobs_; }
-  /// Reachable VMs of which a record is due.
+  /// Returns the reachable VMs of which a record is due.
   const vm_set& record_due() const { return record_due_; }
 
  private:
@@ -119,7 +122,7 @@
   void Add(vm_state* vm, const vm_index_entry& figures);
   void Subtract(vm_state* vm);
 
-  /// Its elements are pointed to.
+  /// Pointers to the elements are kept in `vm_state::index_slots`.
   std::map<pool_id, pool_vm_index> pools_;
   std::size_t starts_under_way_ = 0;
   vm_set unreconciled_;
--- a/src/core/jobs/vm_state.cc
+++ b/src/core/jobs/vm_state.cc
@@ -6,9 +6,9 @@
 namespace {
 
 // A VM's clock may run 2% slow, so that it takes 1/0.98 of the time to reach a
-// date on it; 1/0.975 leaves a quarter of the deviation as a reserve.
+// given time on it; 1/0.975 leaves a quarter of the deviation as a reserve.
 constexpr double kSlowestClock = 0.975;
-// Ending what runs takes a VM a moment after its lease is over.
+// The time that a VM takes to end its tasks after its lease has expired.
 constexpr duration kExpiryReserve = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -80,8 +80,8 @@
   clock_sample_ = vm_clock;
 }
 
-// Its leases may have been granted on a clock that is of no use any more; the
-// last of them is over by `lease_expires_at` all the same.
+// Leases may have been granted on a clock that is no longer valid. The last of
+// them has nevertheless expired by `lease_expires_at_`.
 void vm_state::BeginIncarnation(const vm_incarnation& mark, time_point now) {
   incarnation = mark;
   incarnation_known_at_ = now;
--- a/src/core/jobs/vm_state.h
+++ b/src/core/jobs/vm_state.h
@@ -18,27 +18,27 @@
 
 namespace plantainhead::core::jobs {
 
-/// A run that is, or may be, on a VM. It takes its room until the VM has listed
-/// its end or can't be running it any more.
+/// Tracks a run that is, or may be, on a VM. It uses its share of the capacity
+/// until the VM has listed its end or cannot be running it any more.
 struct run_state {
   std::uint32_t run = 0;
   resources demand;
   time_point ordered_at;
-  /// Since when the VM is known to have taken the run.
+  /// When the VM was first known to have accepted the run.
   std::optional<time_point> confirmed_at;
   bool is_start_in_flight = false;
-  /// The life of the VM that it is on has listed it.
+  /// The current incarnation of the VM has listed the run.
   bool is_reported = false;
-  /// The life of the VM in which it was ordered, if another one has begun
-  /// before it was listed: either may have taken it.
+  /// The incarnation of the VM in which the run was ordered, if another one has
+  /// started before the run was listed. Either of them may have accepted it.
   vm_incarnation former_incarnation;
-  /// It began a short while ago, as far as is known: if the VM crashes, it is
-  /// the likeliest cause.
+  /// The run started a short while ago, as far as is known. If the VM crashes,
+  /// it is the most likely cause.
   bool is_newly_started = true;
-  /// Its task may be one that crashes its VMs.
+  /// The task is suspected of crashing its VMs.
   bool is_suspected = false;
-  /// Since when the VM may or may not have taken the run: its start had no
-  /// answer, and no later listing has told.
+  /// Since when it is unknown whether the VM has accepted the run: the start
+  /// was not answered, and no later listing has resolved it.
   std::optional<time_point> start_unknown_since;
   bool is_stop_wanted = false;
   bool is_stop_in_flight = false;
@@ -46,13 +46,13 @@
   std::optional<time_point> stop_answered_at;
   time_point next_stop_at;
   std::uint32_t percent = 0;
-  /// When `percent` was last seen to change.
+  /// When `percent` was last observed to change.
   time_point progressed_at;
   std::int64_t reading = 0;
-  /// Share of its speed that it was last told to work at.
+  /// The percentage of its full speed to which the run was last limited.
   std::uint32_t pace = 100;
-  /// What it is a task of; null when its job isn't known here. Steps live as
-  /// long as the scheduler.
+  /// The step of the task; null if its job is unknown here. Steps live as long
+  /// as the scheduler.
   const step_spec* step = nullptr;
 
   bool IsOfUnknownJob() const { return step == nullptr; }
@@ -62,8 +62,8 @@
   }
 };
 
-/// A start that had no answer: it may be carried out late, also by another life
-/// of the VM.
+/// A start that was not answered. It may be carried out late, also by another
+/// incarnation of the VM.
 struct unanswered_start {
   std::uint32_t run = 0;
   time_point given_up_at;
@@ -72,9 +72,10 @@
 class available_vm_list;
 struct pool_vm_index;
 
-/// How far a VM is on its way to taking tasks; see `vm_stages`.
+/// The stages that a VM passes until it is available for tasks; see
+/// `vm_stages`.
 enum class vm_stage {
-  /// The registry doesn't list it.
+  /// The VM is not in the registry.
   kUnregistered,
   kClosed,
   kUnheard,
@@ -83,9 +84,9 @@
   kAvailable,
 };
 
-/// What a VM adds to the figures of its pool; see `vm_index`.
+/// The contribution of a VM to the totals of its pool; see `vm_index`.
 struct vm_index_entry {
-  /// Null: it isn't counted.
+  /// Null if the VM is not counted.
   pool_vm_index* pool = nullptr;
   vm_stage stage = vm_stage::kUnregistered;
   bool is_usable = false;
@@ -98,20 +99,22 @@
   bool operator==(const vm_index_entry&) const = default;
 };
 
-/// Where `vm_index` lists a VM, by its description.
+/// Points to the lists of `vm_index` that contain a VM, according to its
+/// description.
 struct vm_index_slots {
   pool_vm_index* pool = nullptr;
-  /// For the VM while it takes tasks.
+  /// The lists that contain the VM while it is available.
   std::vector<available_vm_list*> available;
-  /// Null: it is in no rack.
+  /// Null if the VM is in no rack.
   std::size_t* available_in_rack = nullptr;
 };
 
-/// The present life of a VM as its pool's owner sees it. Not thread-safe.
+/// Tracks the current incarnation of a VM as the owner of its pool sees it. Not
+/// thread-safe.
 class vm_state {
  public:
-  /// `number` tells the VMs of a table apart, in the order in which they became
-  /// known. Precondition: `job_vms` outlives it.
+  /// `number` identifies the VM within its table and increases in the order in
+  /// which VMs became known. Precondition: `job_vms` outlives this object.
   vm_state(vm_description description, std::uint32_t number, job_vms* job_vms)
       : number_(number),
         job_vms_(job_vms),
@@ -130,106 +133,111 @@
   std::map<task_name, run_state>& runs() { return runs_; }
   const std::map<task_name, run_state>& runs() const { return runs_; }
   run_state* Find(const task_name& task, std::uint32_t run);
-  /// Adds a run that takes `demand`.
+  /// Adds a run, which replaces another run of the same task.
   run_state& Add(const task_name& task, const run_state& run);
   void Erase(const task_name& task);
   void ClearRuns();
   resources Free() const { return description_.capacity - used_; }
-  /// Returns whether the VM, as it is and as the registry tells of it, may take
-  /// tasks.
+  /// Returns whether the VM may accept tasks, according to its own state and
+  /// the registry.
   bool IsUsable() const {
     return is_registered && IsDescribed() && is_reconciled && IsReachable() &&
            !is_closed && !description_.draining;
   }
-  /// Returns whether what it told of its capacity still holds.
+  /// Returns whether its report of its capacity is still valid.
   bool IsTrusted(time_point now) const {
     return !trusted_until || now <= *trusted_until;
   }
-  /// Returns whether it has told all, and holds neither a run nor the end of
-  /// one that isn't taken in.
+  /// Returns whether the VM has listed all its tasks, and has neither a run nor
+  /// an end that has not been processed.
   bool IsEmpty() const {
     return has_answered_ && is_reconciled && runs_.empty() &&
            unprocessed_ends.empty();
   }
-  /// Counted, since every placement asks.
+  /// Counted rather than computed, since each placement needs them.
   bool HasUnknownJobRuns() const { return unknown_job_runs_ > 0; }
   bool HasLongRunning() const { return long_running_ > 0; }
   bool HasLatencySensitive() const { return latency_sensitive_ > 0; }
   bool HasNewlyStarted() const { return newly_started_ > 0; }
   bool HasNewlyStartedSuspect() const { return newly_started_suspects_ > 0; }
-  /// Notes that the VM, which holds the run, lives on with it.
+  /// Records that the VM has survived the crash window of the run.
   void MarkSurvived(run_state* run);
 
-  /// Notes that the VM answered: its clock, and when the answer came.
+  /// Records an answer of the VM: its clock, and when the answer arrived.
   void RecordAnswer(duration vm_clock, time_point now);
   void NoteUnanswered() { ++unanswered_; }
   bool HasAnswered() const { return has_answered_; }
-  /// True when the last call had an answer.
+  /// Returns whether the last call was answered.
   bool IsReachable() const { return has_answered_ && unanswered_ == 0; }
   time_point last_answer_at() const { return last_answer_at_; }
-  /// Returns what the VM's clock was when it was last heard; zero before that.
+  /// Returns the VM's clock in its last answer, or zero before the first one.
   duration last_clock() const { return clock_sample_; }
 
-  /// Forgets what only holds for the life before; runs and leases are kept.
+  /// Resets the state that only applies to the previous incarnation. Runs and
+  /// leases are kept.
   void BeginIncarnation(const vm_incarnation& incarnation, time_point now);
-  /// When the VM's present life was first known; before that it is the first.
+  /// Returns when the current incarnation became known; the default value if it
+  /// is the first one.
   time_point incarnation_known_at() const { return incarnation_known_at_; }
-  /// Returns whether the registry's entry is of the present life, as far as is
-  /// told.
+  /// Returns whether the registry entry describes the current incarnation, as
+  /// far as is known.
   bool IsDescribed() const {
     return !AreDifferentIncarnations(incarnation, description_.incarnation);
   }
 
-  /// Returns a time on the VM's clock, `lease` from now, up to which an order
-  /// may let it run tasks, and remembers it. Nothing before it was heard.
+  /// Grants a lease. Returns its end, `lease` from now on the VM's clock, or
+  /// nothing if the VM has not answered yet.
   std::optional<duration> Grant(duration lease, time_point now);
-  /// Returns whether nothing can be running on the VM, since no lease that was
-  /// ever granted to it is still running on its clock.
+  /// Returns whether no task can be running on the VM because every lease that
+  /// was granted to it has expired on its clock.
   bool IsLeaseExpired(time_point now) const { return now >= lease_expires_at_; }
-  /// Returns when the last lease is over at the latest.
+  /// Returns the latest time at which the last lease expires.
   time_point lease_expires_at() const { return lease_expires_at_; }
-  /// Counts leases that somebody else granted until `until`.
+  /// Takes leases into account that another owner granted until `until`.
   void AssumeLease(time_point until);
-  /// Forgets that the VM was heard: all that ran on it is over.
+  /// Marks the VM as not heard from: all its runs have ended.
   void MarkLeaseExpired() { has_answered_ = false; }
 
   vm_incarnation incarnation;
-  /// Starts that had no answer, also those whose runs are over by now.
+  /// Starts that were not answered, including those whose runs have ended.
   std::map<task_name, unanswered_start> unanswered_starts;
-  /// Ends: the greatest number that was taken in, and what may be acknowledged.
+  /// The highest number of an end that was processed, and the highest one that
+  /// may be acknowledged.
   std::uint64_t processed_through = 0;
   std::uint64_t acknowledged_through = 0;
-  /// Ends that wait for their batch of records to be stored.
+  /// Ends that may be acknowledged once a batch is stored: pairs of the number
+  /// of the end and the number of the batch.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> unstored_ends;
-  /// Since when an end of an unknown job holds back the later ones.
+  /// Since when an end of an unknown job blocks the processing of later ends.
   std::optional<time_point> unknown_end_since;
 
-  /// Runs whose ends the last listing told and that aren't taken in.
+  /// Runs whose ends are in the last listing and have not been processed.
   std::map<task_name, std::uint32_t> unprocessed_ends;
 
-  /// Which listing was last looked through for tasks that hang or must be
-  /// paced.
+  /// When the last listing arrived that was checked for tasks that hang or must
+  /// be throttled.
   time_point checked_at;
-  /// No starts before this time.
+  /// No task starts on the VM before this time.
   time_point avoid_until;
   std::uint32_t failures_in_row = 0;
   std::set<job_id> failing_jobs;
   bool is_registered = true;
-  /// Until when what it told of its capacity is gone by; nothing: always.
+  /// When its report of its capacity expires; empty if it does not expire.
   std::optional<time_point> trusted_until;
-  /// A listing of it has been taken in completely.
+  /// Whether a listing of the VM has been processed completely.
   bool is_reconciled = false;
-  /// A record that it is used is stored, or is on its way.
+  /// Whether a record that the VM is in use is stored or being stored.
   bool is_recorded = false;
   bool is_record_due = true;
-  /// Being emptied for maintenance, and since when.
+  /// Whether the VM is being emptied for maintenance, and since when.
   bool is_closed = false;
   time_point closed_at;
 
-  /// As it was last taken into the index, and where.
+  /// The state with which the VM is in the index, and the lists that contain
+  /// it.
   vm_index_entry indexed;
   vm_index_slots index_slots;
-  /// The places are those of an earlier description.
+  /// The lists are those of an earlier description.
   bool has_new_description = true;
   /// See `vm_table`.
   bool is_changed = false;
@@ -258,7 +266,7 @@
   time_point incarnation_known_at_;
 };
 
-/// Orders VMs as they became known.
+/// Orders VMs by when they became known.
 struct by_number {
   bool operator()(const vm_state* a, const vm_state* b) const {
     return a->number() < b->number();
--- a/src/core/jobs/vm_table.h
+++ b/src/core/jobs/vm_table.h
@@ -14,56 +14,62 @@
 
 namespace plantainhead::core::jobs {
 
-/// The VMs of a pool, which of them may have changed, and when each is to be
-/// looked at again. A plan looks at these only: with a look at each VM, what an
-/// owner does for one event would grow with its pool. Not thread-safe.
+/// Stores the VMs of a pool, tracks which of them may have changed, and
+/// schedules the next check of each. A plan visits only these VMs: if it
+/// visited all of them, the work of an owner for one event would grow with its
+/// pool. Not thread-safe.
 class vm_table {
  public:
   vm_table() = default;
   vm_table(const vm_table&) = delete;
   vm_table& operator=(const vm_table&) = delete;
 
-  /// Returns the VM, or null when it is unknown.
+  /// Returns the VM, or null if it is unknown.
   const vm_state* Find(const vm_id& id) const;
-  /// The same for a change of it: it counts as changed.
+  /// Like `Find`, for a change of the VM; marks it as changed.
   vm_state* Change(const vm_id& id);
-  /// The same for a change that a plan needn't know of.
+  /// Like `Find`, for a change that does not affect a plan; the VM is not
+  /// marked as changed.
   vm_state* FindUntouched(const vm_id& id);
   /// Marks the VM as changed. Precondition: it is in the table.
   void Touch(vm_state* vm);
-  /// Returns the VM, marked as changed, and whether it is new.
+  /// Returns the VM, which is added if necessary and marked as changed, and
+  /// whether it is new.
   std::pair<vm_state*, bool> Add(const vm_description& description);
-  /// Precondition: it is in the table.
+  /// Precondition: the VM is in the table.
   void Erase(vm_state* vm);
 
-  /// Marks the VM as changed when a plan is made at `at` or later. The date
-  /// replaces the one before. Precondition: it is in the table.
+  /// Schedules a check: the VM is marked as changed when a plan is made at `at`
+  /// or later. Replaces the time that was set before. Precondition: the VM is
+  /// in the table.
   void WakeAt(vm_state* vm, time_point at);
-  /// Marks those as changed whose date has come.
+  /// Marks the VMs as changed whose check is due.
   void WakeDue(time_point now);
-  /// Returns the VMs that may have changed since the last call, in the order in
-  /// which they became known: for the index, and for the plan.
+  /// Return the VMs that may have changed since the last call, in the order in
+  /// which they became known: the first for the index, the second for the plan.
   std::vector<vm_state*> TakeChanged();
   std::vector<vm_state*> TakeDue();
 
-  /// Returns those with a run of the job.
+  /// Returns the VMs with a run of the job.
   std::vector<vm_state*> WithRunsOf(const job_id& job);
 
   std::size_t size() const { return by_id_.size(); }
-  /// All of them, by id. For what isn't done for each event.
+  /// Returns all VMs by id. Not to be used for single events, since it counts
+  /// as a visit of each VM.
   std::map<vm_id, vm_state>& All();
-  /// Counts a look at so many VMs.
+  /// Adds `count` visits of VMs to the counter.
   void NoteVisits(std::uint64_t count) const { visits_ += count; }
-  /// Returns how many VMs were looked at.
+  /// Returns the number of visits of VMs.
   std::uint64_t visits() const { return visits_; }
 
  private:
-  /// Empties a list of marked VMs, and takes the mark off each of them.
+  /// Clears a list of marked VMs and the mark of each of them. Returns the
+  /// list.
   std::vector<vm_state*> Take(std::vector<vm_state*>* marked,
                               bool vm_state::*mark);
 
   std::map<vm_id, vm_state> by_id_;
-  /// The keys are those of `by_id_`.
+  /// The keys refer to the keys of `by_id_`.
   std::unordered_map<std::string_view, vm_state*> lookup_;
   job_vms job_vms_;
   std::vector<vm_state*> changed_;
