--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -222,7 +222,7 @@
   /// plan. Jobs that are late are not included in the demand.
   pool_load Load(const pool_id& pool, time_point now) const;
   /// Returns up to `count` VMs of the pool that have no long-running task,
-  /// ordered by used processor time, the least used first.
+  /// those with the most free processor time first.
   std::vector<vm_id> LeastUsed(const pool_id& pool, std::size_t count) const;
   /// Returns whether the VM is known, has listed all its tasks, and has neither
   /// a run nor an end that has not been processed.
--- a/src/core/jobs/pool_answers.cc
+++ b/src/core/jobs/pool_answers.cc
@@ -56,7 +56,8 @@
       return;
     }
     case start_result::kReplaced:
-      // That life of the VM never got the order, so it didn't end under it.
+      // That incarnation of the VM never received the order, so that it did not
+      // end because of it.
       EndRun(vm, target.task);
       return;
     case start_result::kFenced:
@@ -64,10 +65,11 @@
   }
 }
 
-// The VM may still carry the order out, seconds from now. Until a stop is
-// confirmed there the task must not start elsewhere. A lasting task may be at
-// work already, and a stop would take it from its users; so the VM tells first
-// whether it runs. Other tasks are stopped at once: they would only wait.
+// The VM may still carry out the order seconds from now. Until it confirms a
+// stop, the task must not start elsewhere. A long-running task may already be
+// serving, and a stop would interrupt its users, so that the next listing has
+// to show first whether it runs. Other tasks are stopped at once, since they
+// would only wait.
 void pool_scheduler::impl::NoteStartUnknown(run_state* run, time_point now) {
   if (run->confirmed_at) {
     return;
@@ -88,8 +90,8 @@
     return;
   }
   run->is_stop_in_flight = false;
-  // It may be the former life that has stopped the run, and the present one may
-  // start it yet.
+  // The previous incarnation may have answered the stop, and the current one
+  // may still start the run.
   const bool may_be_former = run->stop_sent_at < vm->incarnation_known_at();
   if (may_be_former) {
     run->next_stop_at = now;
@@ -104,9 +106,10 @@
   hold_parameters hold;
   const bool has_unacked = vm->acknowledged_through < vm->processed_through;
   if (!vm->IsReachable()) {
-    // A VM that doesn't answer gets no longer lease: what may be running there
-    // can start elsewhere only after the last lease is over. Nor is any end
-    // acknowledged: it may begin again, and count its ends anew.
+    // The lease of a VM that does not answer is not extended: what may be
+    // running there can start elsewhere only after the last lease has expired.
+    // No end is acknowledged either, since the VM may restart and number its
+    // ends from 1 again.
     return hold;
   }
   hold.acknowledged_through = vm->acknowledged_through;
--- a/src/core/jobs/pool_incarnations.cc
+++ b/src/core/jobs/pool_incarnations.cc
@@ -5,7 +5,7 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// A call without an answer may be carried out this much later.
+// A call that was not answered may be carried out up to this much later.
 constexpr duration kLatestCall = std::chrono::seconds(15);
 
 }  // namespace
@@ -18,8 +18,9 @@
     vm->incarnation = incarnation ? incarnation : vm->incarnation;
     return true;
   }
-  // The clock by which a life is marked may have been set back; but a hold that
-  // was sent when the present life was known reaches no life before it.
+  // The VM's clock, whose time identifies the incarnation, may have been set
+  // back. However, a hold that was sent when the current incarnation was known
+  // cannot reach an earlier one.
   const bool is_next = *incarnation > *vm->incarnation ||
                        (asked_at && *asked_at >= vm->incarnation_known_at());
   if (is_next) {
@@ -28,15 +29,16 @@
   return is_next;
 }
 
-// The VM has begun again under its id, and knows nothing of before. What its
-// former life listed is over. Of other runs it isn't known which life took
-// them, or will: those that were answered show in what the new life lists, and
-// the others are stopped there first.
+// The VM has restarted under its id and has no state from before. Runs that the
+// previous incarnation listed have ended. For the others it is unknown which
+// incarnation accepted them or will accept them: those whose start was answered
+// are resolved by the listings of the new incarnation, and the others are
+// stopped there first.
 void pool_scheduler::impl::BeginIncarnation(vm_state* vm,
                                             const vm_incarnation& incarnation,
                                             time_point now) {
   ForgetUnprocessedEnds(vm);
-  // Past its lease the runs had ended before that life of the VM did.
+  // If the lease has expired, the runs ended before the incarnation did.
   const bool is_over = !vm->IsLeaseExpired(now);
   std::vector<lost_run> lost;
   for (auto& [task, run] : vm->runs()) {
@@ -76,7 +78,8 @@
   vm->unanswered_starts[target.task] = {target.run, now};
 }
 
-// The former life may have confirmed a stop of a start that is on its way yet.
+// The previous incarnation may have confirmed the stop of a start that has not
+// arrived yet.
 void pool_scheduler::impl::StopUnansweredStarts(vm_state* vm, time_point now) {
   ForgetOldStarts(vm, now);
   for (const auto& [task, start] : vm->unanswered_starts) {
@@ -94,7 +97,7 @@
   }
 }
 
-// A run that was doubted, and that the present life has: it goes on.
+// An uncertain run that the current incarnation lists continues.
 void pool_scheduler::impl::NoteListed(vm_state* vm,
                                       const task_name& task,
                                       run_state* run) {
--- a/src/core/jobs/pool_load.cc
+++ b/src/core/jobs/pool_load.cc
@@ -42,8 +42,9 @@
       if (waiting == 0) {
         continue;
       }
-      // A job that is late anyway draws no VMs: it gains little by ending
-      // somewhat earlier, and runs in what room there is.
+      // A job that is late does not add to the demand for VMs: it gains little
+      // from ending somewhat earlier, and it runs in the capacity that is
+      // available.
       const bool is_late =
           !step.long_running &&
           now + job->RemainingChain(&occurrence) > job->deadline();
--- a/src/core/jobs/pool_placement.cc
+++ b/src/core/jobs/pool_placement.cc
@@ -7,8 +7,8 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// Lasting tasks go before all priorities, and jobs that will be late after
-// them.
+// Long-running tasks are placed before all priorities, and jobs that will be
+// late after them.
 constexpr int kLongRunningRank = -1;
 constexpr int kLateRank = 1000;
 
@@ -17,7 +17,7 @@
          vm.labels.end();
 }
 
-// How little VMs of the kind suit a task of the step.
+// Returns how unsuitable VMs of the kind are for a task of the step.
 int PenaltyOf(std::size_t kind, const step_spec& step) {
   int penalty = 0;
   if (step.best_effort) {
@@ -39,16 +39,16 @@
   return demand;
 }
 
-// After a takeover a task may be running, or may have ended, on any VM that
-// hasn't told all. It must not start elsewhere before that, or before the VM's
-// lease is over.
+// After a takeover, a task may be running or may have ended on any VM that has
+// not listed all its tasks. It must not start elsewhere before that, or before
+// the lease of the VM has expired.
 bool pool_scheduler::impl::IsRecovered(time_point now) {
   if (is_recovered_) {
     return true;
   }
-  // A VM that has lapsed without telling counts when the store has taken the
-  // record of it: a newer owner, which may have heard it, would have claimed
-  // the partition before.
+  // A VM whose lease has expired without a listing counts only once the record
+  // of that is stored: a newer owner, which may have received a listing, would
+  // have claimed the partition before.
   IndexChanged(now);
   is_recovered_ =
       expiry_batch_ <= stored_through_ && index_.unreconciled().empty();
@@ -70,8 +70,9 @@
   return wait;
 }
 
-// A VM may have told of a task's end before the job was read. Its next listing
-// tells it again; a start before that would run a task that is done.
+// A VM may have listed the end of a task before the job was read. Its next
+// listing contains the end again; a start before that would repeat a task that
+// is done.
 std::set<job_id> pool_scheduler::impl::JobsWithUnprocessedEnds() const {
   std::set<job_id> jobs;
   vms_.NoteVisits(index_.with_unprocessed_ends().size());
@@ -172,15 +173,15 @@
       continue;
     }
     if (vm == nullptr) {
-      // The other tasks of the step are as large.
+      // The other tasks of the step need as many resources.
       return;
     }
     Start(job, name, job->NextRun(task), vm, now, orders);
   }
 }
 
-// Returns the racks to try for a gang, one after the other; the empty one
-// stands for any.
+// Returns the racks to try for a gang, in this order. The empty string stands
+// for any rack.
 std::vector<std::string> pool_scheduler::impl::RacksFor(
     const job_state& job,
     std::uint32_t step) const {
@@ -197,15 +198,16 @@
   return racks;
 }
 
-// Members of a gang that start while others find no room only hold capacity and
-// end as alone. So all are placed, or none.
+// If only some members of a gang could start, they would use capacity until
+// they end as incomplete. So either all members are placed, or none.
 void pool_scheduler::impl::PlaceGang(job_state* job,
                                      std::uint32_t occurrence,
                                      std::uint32_t step,
                                      time_point now,
                                      std::vector<vm_order>* orders) {
   step_state& state = job->occurrences()[occurrence].steps[step];
-  // A gang that is larger than the window starts when nothing else does.
+  // A gang that is larger than the window starts when no other start is in
+  // flight.
   const bool is_held_back =
       state.tasks.size() > starts_left_ && starts_under_way_ > 0;
   if (state.placed > 0 || is_held_back) {
@@ -244,7 +246,8 @@
       index_.Update(vm, now);
     }
     if (!fits) {
-      // What found no room beside the trial may find some without it.
+      // Demands that found no capacity beside the attempted gang may find some
+      // without it.
       unplaced_.resize(unplaced_before);
       continue;
     }
@@ -271,9 +274,10 @@
   return count;
 }
 
-// Room only shrinks while a plan is made, so that what found none before finds
-// none now. In an overload a plan would otherwise look for room on every VM for
-// every job that waits, and take longer the more jobs wait.
+// Free capacity only decreases while a plan is made, so that a demand that
+// found none before finds none now. Otherwise a plan in an overload would
+// search all VMs for every waiting job, and would take longer the more jobs
+// wait.
 bool pool_scheduler::impl::IsKnownUnplaceable(const pool_id& pool,
                                               const step_spec& step) const {
   const resources demand = DemandOf(step);
@@ -284,7 +288,7 @@
                      });
 }
 
-// A gang needs all its VMs at once, so that its members can't be kept apart.
+// A gang needs all its VMs at once, so that its members cannot be isolated.
 bool pool_scheduler::impl::MustRunIsolated(job_state& job,
                                            const task_name& task) {
   return !job.StepOf(task).gang &&
@@ -295,7 +299,7 @@
                                    const task_name& task,
                                    const step_spec& step,
                                    bool is_isolated) const {
-  // If the VM crashes it must be plain which task did it.
+  // If the VM crashes, it must be possible to attribute the crash to a task.
   if (vm.HasNewlyStartedSuspect() || (is_isolated && vm.HasNewlyStarted())) {
     return false;
   }
@@ -304,16 +308,17 @@
   return !is_full && vm.runs().count(task) == 0;
 }
 
-/// A search for a VM that takes a task.
+/// The parameters and results of a search for a VM that can run a task.
 struct pool_scheduler::impl::vm_search {
   const task_name& task;
   const step_spec& step;
   resources demand;
   bool is_isolated = false;
-  /// Where the last run of the task failed, if it must go elsewhere.
+  /// The VM on which the last run of the task failed, if the task must avoid
+  /// it.
   const vm_id* avoided = nullptr;
   time_point now;
-  /// What was found on the way.
+  /// Intermediate results.
   bool has_room = false;
   vm_state* last_resort = nullptr;
 };
@@ -335,10 +340,11 @@
   return true;
 }
 
-// Takes the VM that is left with the least processor time, so that VMs with
-// much room stay free for large tasks. Lasting tasks go where others are
-// already, as far as their steps allow: the VMs without any can be given away
-// when the demand falls. Those that only fill keep away from those that serve.
+// Chooses the VM with the least remaining processor time, so that VMs with much
+// free capacity stay available for large tasks. Long-running tasks are placed
+// on VMs that already have some, as far as their steps permit, so that VMs
+// without any can be released when the demand falls. Best-effort tasks avoid
+// VMs with latency-sensitive tasks.
 vm_state* pool_scheduler::impl::FindBest(const available_vm_list& available,
                                          vm_search* search) const {
   vm_state* best = nullptr;
@@ -362,7 +368,8 @@
   return best;
 }
 
-// With a VM that crashes as little as can be is to be lost.
+// Chooses the VM with the fewest runs, so that as little as possible is lost if
+// it crashes.
 vm_state* pool_scheduler::impl::FindLeastBusy(
     const available_vm_list& available,
     vm_search* search) const {
--- a/src/core/jobs/pool_plan.cc
+++ b/src/core/jobs/pool_plan.cc
@@ -5,7 +5,7 @@
 
 #include "core/jobs/pool_scheduler_impl.h"
 
-// One plan: which VMs and jobs it looks at, and in which order.
+// The steps of a plan: which VMs and jobs it visits, and in which order.
 
 namespace plantainhead::core::jobs {
 
@@ -18,7 +18,7 @@
     vms_.Touch(vm);
   }
   SkipUnreportedRuns(now);
-  // With those that a lapse of others has changed.
+  // This includes the VMs that changed when leases of others expired.
   const std::vector<vm_state*> due = vms_.TakeDue();
   for (vm_state* vm : due) {
     PlanVm(vm, now, &orders);
@@ -58,7 +58,7 @@
 void pool_scheduler::impl::PlanVm(vm_state* vm,
                                   time_point now,
                                   std::vector<vm_order>* orders) {
-  // A listing is acted on once.
+  // Each listing is evaluated only once.
   const bool is_news =
       vm->IsReachable() && vm->last_answer_at() > vm->checked_at;
   if (is_news) {
@@ -82,7 +82,8 @@
   }
 }
 
-// What else may change the plan for a VM is a call about it.
+// All other changes that affect the plan for a VM are calls about it, which
+// mark it as changed.
 void pool_scheduler::impl::ScheduleNextCheck(vm_state* vm, time_point now) {
   const bool is_emptied = vm->is_closed || vm->description().draining;
   const bool is_at_work =
--- a/src/core/jobs/pool_records.cc
+++ b/src/core/jobs/pool_records.cc
@@ -22,8 +22,8 @@
     batch->dropped_vms = std::move(dropped_vms_);
     dropped_vms_.clear();
   } else {
-    // Ends that changed no record need no batch of their own. What they tell
-    // may be in the one that is under way.
+    // Ends that changed no record need no batch of their own. Their effect may
+    // be in the batch that is being stored.
     for (const vm_id& id : unacknowledged_) {
       if (vm_state* vm = vms_.FindUntouched(id)) {
         for (auto& [number, needed] : vm->unstored_ends) {
--- a/src/core/jobs/pool_reports.cc
+++ b/src/core/jobs/pool_reports.cc
@@ -50,8 +50,8 @@
     NoteVmChange(*vm);
   }
   vm->is_registered = true;
-  // An owner that was paused may have been the first to see this VM, and may
-  // have started a task on it that would start twice here.
+  // An owner that was paused may have been the first to see this VM and may
+  // have started a task on it, which this owner would start a second time.
   const bool may_be_used =
       is_new && (!has_list_ || now < takeover_.exclusive_from);
   if (may_be_used && vacant_.count(description.id) != 0) {
@@ -68,7 +68,7 @@
   }
 }
 
-// Most reports only put off when the VM is looked at again, so that they don't
+// Most reports only postpone the next check of the VM, so that they do not
 // count as a change.
 void pool_scheduler::impl::NoteReport(const vm_id& id,
                                       time_point trusted_until) {
@@ -95,7 +95,7 @@
                                           time_point now) {
   if (!UpdateIncarnation(vm, sent_at, listing.incarnation, now) ||
       listing.vm_clock < vm->last_clock()) {
-    // The answer of an earlier hold, on another connection.
+    // The listing is the answer to an earlier hold on another connection.
     return;
   }
   if (!vm->IsReachable()) {
@@ -155,7 +155,7 @@
   }
 }
 
-// The VM was only cut off: what ran on it didn't crash it.
+// The VM was only disconnected, so that its tasks did not crash it.
 void pool_scheduler::impl::WithdrawLosses(const vm_state& vm) {
   for (job_state* job : jobs_.TakeWithLosses()) {
     if (job->WithdrawLosses(vm.description().id, vm.incarnation)) {
@@ -165,7 +165,8 @@
   }
 }
 
-// What lasts outlives many VMs, so that only crashes in a row count.
+// A long-running task survives many VMs, so that only consecutive crashes count
+// against it.
 void pool_scheduler::impl::NoteReady(const task_name& task) {
   job_state* job = jobs_.Find(task.job);
   if (job != nullptr && job->ForgetLosses(task)) {
@@ -173,8 +174,8 @@
   }
 }
 
-// A run that this owner didn't order: an earlier owner did, or an order of this
-// owner was carried out after it had given the run up.
+// Adopts a run that this owner did not order, or that it presumed ended: an
+// earlier owner ordered it, or the order was carried out late.
 void pool_scheduler::impl::Adopt(vm_state* vm,
                                  const running_task& row,
                                  time_point now) {
@@ -188,8 +189,8 @@
   run.reading = row.reading;
   job_state* job = jobs_.Find(row.task.job);
   if (job == nullptr) {
-    // How much room it takes isn't known, so that the VM gets no other task
-    // until it is gone.
+    // Its resources are unknown, so that the VM gets no other task until the
+    // run has ended.
     run.is_stop_wanted = jobs_.IsEnded(row.task.job);
     vm->Add(row.task, run);
     return;
@@ -229,10 +230,11 @@
                         vm.IsReachable()};
 }
 
-// An earlier owner may have read the job sooner and started it, and the VM may
-// have told of that before this owner read it. If the task waited for the VM's
-// next listing to be taken over, the plan before that would start it a second
-// time. Runs of which no VM has told yet are another matter: see `IsRecovered`.
+// An earlier owner may have read and started the job sooner, and the VM may
+// have listed its runs before this owner read the job. If they were adopted
+// only with the next listing of the VM, a plan before that would start the
+// tasks a second time. Runs that no VM has listed yet are handled by
+// `IsRecovered`.
 void pool_scheduler::impl::AdoptRunsOf(const job_id& id, time_point now) {
   for (vm_state* vm : vms_.WithRunsOf(id)) {
     std::vector<running_task> told;
@@ -257,22 +259,22 @@
   forgotten_runs_.erase(forgotten);
 }
 
-// `job` may be null: one that isn't known.
+// `job` is null if the job is unknown.
 void pool_scheduler::impl::NoteRunning(job_state* job) {
   if (job != nullptr && job->MarkRunning()) {
     jobs_.NoteChange(job);
   }
 }
 
-// Returns false when the end, and all later ones, can't be taken in yet.
+// Returns false if this end and all later ones cannot be processed yet.
 bool pool_scheduler::impl::ProcessEnd(vm_state* vm,
                                       const ended_task& end,
                                       time_point now) {
   job_state* job = jobs_.Find(end.task.job);
   if (job == nullptr && !jobs_.IsEnded(end.task.job)) {
-    // Its job's record may not have been read yet, for as long as a read of it
-    // hangs. Acknowledged now, the end would be lost and the task would run a
-    // second time.
+    // The record of the job may not have been read yet, for as long as a read
+    // hangs. If the end were acknowledged now, it would be lost, and the task
+    // would run a second time.
     if (!vm->unknown_end_since) {
       vm->unknown_end_since = now;
     }
@@ -320,9 +322,9 @@
   return true;
 }
 
-// Wants a stop of the task's later runs that may yet start. An end as done
-// waits for that: a task must not start after its job is shown as completed.
-// Returns whether there are any.
+// Requests a stop of later runs of the task that may not have started yet. An
+// end as done is processed only after that, since a task must not start after
+// its job was reported as completed. Returns whether there are such runs.
 bool pool_scheduler::impl::StopLaterStarts(const ended_task& end) {
   job_state* job = jobs_.Find(end.task.job);
   const job_task_state* ended = job->Find(end.task);
@@ -343,10 +345,10 @@
   return is_any;
 }
 
-// A VM that fails all it is given looks idle, so that it would draw, and fail,
-// every next task until jobs run out of attempts. Failures in a row of several
-// jobs tell it from a job that can't be done; at most a third of the pool is
-// set aside, so that many bad jobs can't empty the pool.
+// A VM that fails all its tasks appears idle. It would attract and fail every
+// next task until jobs run out of attempts. Consecutive failures of several
+// jobs distinguish such a VM from a job that cannot succeed. At most a third of
+// the pool is quarantined, so that many faulty jobs cannot remove all VMs.
 void pool_scheduler::impl::NoteHealth(vm_state* vm,
                                       const ended_task& end,
                                       time_point now) {
@@ -373,9 +375,9 @@
   }
 }
 
-// Ends runs that the VM doesn't have. A hold that was sent before the VM had
-// confirmed the run, or the stop of it, proves nothing: its answer may have
-// been made earlier.
+// Ends runs that the VM does not have. The answer to a hold that was sent
+// before the VM confirmed the run, or its stop, is no evidence: it may have
+// been created before that.
 void pool_scheduler::impl::CheckAbsent(vm_state* vm,
                                        time_point sent_at,
                                        const run_listing& listing,
--- a/src/core/jobs/pool_runs.cc
+++ b/src/core/jobs/pool_runs.cc
@@ -7,17 +7,18 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// A serving task's tail is acted on from this share of its target on, before it
-// is over, and leaves room to come back below this one.
+// Best-effort tasks are throttled when the tail latency of a latency-sensitive
+// task reaches the first share of its target, before it exceeds the target, and
+// are sped up again when it is below the second share.
 constexpr double kSlowFrom = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
 constexpr std::uint32_t kFullPace = 100;
 constexpr std::uint32_t kPaceStep = 20;
 // More runs of one task than an earlier owner can have started without any of
-// them being recorded: each failed run is recorded within some 50 ms.
+// them being recorded: each failed run is recorded within about 50 ms.
 constexpr std::uint32_t kMaxUnreportedRuns = 100;
 
-// A stop whose answer is awaited for this long will have none.
+// A stop that was not answered within this time will not be answered.
 constexpr duration kStopGivenUp = std::chrono::seconds(3);
 
 loss_kind LossKindOf(const run_state& run, bool is_over) {
@@ -53,8 +54,8 @@
   return job;
 }
 
-// No VM tells how a run ended that was lost with its VM. If only ends that are
-// told counted, a task that crashes its VMs would start without limit.
+// No VM reports how a run ended that was lost with its VM. If only reported
+// ends counted, a task that crashes its VMs would start without limit.
 void pool_scheduler::impl::CountLoss(job_state* job,
                                      const task_name& task,
                                      const run_loss& loss) {
@@ -68,9 +69,9 @@
   }
 }
 
-// The VM may come back and tell the end of the run again, after its job has
-// been read. If a new run had got the same number, the end would pass for its
-// own.
+// The VM may return and list the end of the run again after its job has been
+// read. If a new run had the same number, the end would be mistaken for that of
+// the new run.
 void pool_scheduler::impl::NoteForgotten(const task_name& task,
                                          std::uint32_t run) {
   const bool is_unknown =
@@ -81,22 +82,23 @@
   }
 }
 
-// A VM that leaves, or is emptied, ends without any task's doing.
+// A VM that is draining or closed does not end because of a task.
 bool pool_scheduler::impl::IsEndPlanned(const vm_state& vm) {
   return vm.description().draining || vm.is_closed;
 }
 
-// A suspected task starts apart so that it is plain which task crashes the VM.
-// Where several such tasks crash one VM after the other, those that run beside
-// them would be given up with them.
+// A suspected task starts in isolation so that a crash can be attributed. If
+// several such tasks crash a VM one after the other, the tasks that run beside
+// them would otherwise be given up as well.
 bool pool_scheduler::impl::IsClearedBySuspect(const vm_state& vm,
                                               const run_state& run) {
   return vm.HasNewlyStartedSuspect() &&
          !(run.is_newly_started && run.is_suspected);
 }
 
-// Whether the VM crashed shows seconds later. If this owner is replaced by then
-// the next one has no other way to learn what was started there.
+// It takes seconds to find out whether the VM crashed. If this owner is
+// replaced in the meantime, the next one has no other way to learn what was
+// started there.
 void pool_scheduler::impl::SuspectNewlyStartedRuns(vm_state* vm) {
   if (IsEndPlanned(*vm)) {
     return;
@@ -111,10 +113,11 @@
   }
 }
 
-// A newer owner may have heard from the VM what this one hasn't, and may have
-// acknowledged the end of a task that would start again here. Such an owner has
-// claimed the partition before, so that the store refuses the record of these
-// ends; they start again only after it is stored.
+// A newer owner may have received listings from the VM that this one has not,
+// and may have acknowledged the end of a task that this owner would start
+// again. Such an owner has claimed the partition before, so that the store
+// rejects the record of these ends. The tasks start again only after the record
+// is stored.
 void pool_scheduler::impl::EndAllRunsAsLost(vm_state* vm, bool is_over) {
   ForgetUnprocessedEnds(vm);
   std::vector<lost_run> lost;
@@ -167,7 +170,7 @@
 void pool_scheduler::impl::Replace(const vm_id& id, time_point now) {
   vm_state* vm = FindVm(id);
   if (vm != nullptr) {
-    // Past its lease the runs had ended before that life of the VM did.
+    // If the lease has expired, the runs ended before the incarnation did.
     EndAllRunsAsLost(vm, !vm->IsLeaseExpired(now));
     dropped_vms_.push_back(id);
     NoteVmChange(*vm);
@@ -201,7 +204,7 @@
 }
 
 void pool_scheduler::impl::ExpireIfSilent(vm_state* vm, time_point now) {
-  // What a VM has told since the last lease ended is no older than that.
+  // A listing that arrived after the end of the last lease is up to date.
   const bool has_told_since =
       vm->HasAnswered() && vm->last_answer_at() >= vm->lease_expires_at();
   if (!vm->IsLeaseExpired(now) || has_told_since) {
@@ -212,9 +215,9 @@
   counts_.lease_expired_runs += vm->runs().size();
   EndAllRunsAsLost(vm, false);
   vm->MarkLeaseExpired();
-  // It is used again only after it has told all, and after a new record: the
-  // next owner needn't ask a VM that has none. Of one that was vacant before
-  // nothing is left to tell.
+  // The VM is used again only after it has listed all its tasks and after a new
+  // record is stored, since the next owner does not query a VM without a
+  // record. A VM that was vacant before has no tasks to list.
   const vm_id& id = vm->description().id;
   const bool was_vacant = vacant_.count(id) != 0;
   vm->is_reconciled = was_vacant;
@@ -226,12 +229,12 @@
   }
 }
 
-// A VM that never told what an earlier owner had started there may tell it
-// later. If the same number had been given to a newer run of the task, the end
-// of the old one would pass for the end of the new one, and the task would be
-// started again while it runs. The numbers that are left out are recorded in
-// the batch that drops the VM's record: an owner that follows finds both, or
-// asks the VM itself.
+// A VM that never listed what an earlier owner had started there may do so
+// later. If a newer run of the task had the same number, the end of the old run
+// would be mistaken for the end of the new one, and the task would be started
+// again while it runs. The skipped numbers are recorded in the batch that
+// deletes the record of the VM, so that a later owner finds both or queries the
+// VM itself.
 void pool_scheduler::impl::SkipUnreportedRuns(time_point now) {
   if (!has_unreported_vm_) {
     return;
@@ -239,13 +242,13 @@
   for (const auto& [id, job] : jobs_.open()) {
     const bool may_have_run = job->arrived_at() < takeover_.exclusive_from;
     if (may_have_run && job->SkipUnreportedRuns(kMaxUnreportedRuns)) {
-      // A run that is given before that would get the same number from the next
-      // owner, who leaves out as many.
+      // The next owner, which skips as many numbers, would assign the same
+      // number to a run that is started before the batch is stored.
       job->HoldUntilStored(jobs_.next_batch());
       jobs_.NoteChange(job);
     }
   }
-  // From then on no job is added that an earlier owner may have started.
+  // After that time no job is added that an earlier owner may have started.
   has_unreported_vm_ = now < takeover_.exclusive_from;
 }
 
@@ -281,8 +284,9 @@
   }
 }
 
-// A lasting step must never miss more tasks at once for planned reasons than it
-// may. Every task that isn't at work counts as missing, whatever the reason.
+// The number of tasks of a long-running step that are down for planned reasons
+// must never exceed `max_unavailable`. Every task that is not ready counts as
+// unavailable, whatever the reason.
 bool pool_scheduler::impl::MayInterrupt(const task_name& name) {
   job_state* job = jobs_.Find(name.job);
   if (job == nullptr || job->Find(name) == nullptr) {
@@ -303,7 +307,8 @@
   return missing < std::max(step.max_unavailable, 1U);
 }
 
-// Moves off a VM that leaves, or is to be serviced, what won't end in time.
+// Requests stops of tasks that will not end in time on a VM that is draining or
+// closed.
 void pool_scheduler::impl::EmptyVm(vm_state* vm, time_point now) {
   const bool leaves = vm->description().draining;
   const bool is_overdue =
@@ -339,8 +344,8 @@
   }
 }
 
-// Slows the tasks that only use what is left over while a task that serves
-// users beside them is near its latency target, and lets them go on by steps.
+// Throttles best-effort tasks while a latency-sensitive task on the same VM is
+// near its latency target, and speeds them up again step by step.
 void pool_scheduler::impl::PlanPace(vm_state* vm,
                                     std::vector<vm_order>* orders) {
   double worst = -1.0;
--- a/src/core/jobs/pool_scheduler.cc
+++ b/src/core/jobs/pool_scheduler.cc
@@ -217,7 +217,7 @@
 
 void pool_scheduler::OnHoldUnanswered(const vm_id& vm) {
   if (vm_state* found = impl_->FindVm(vm)) {
-    // Once in each silence.
+    // Only for the first of several unanswered holds in a row.
     if (found->IsReachable()) {
       impl_->SuspectNewlyStartedRuns(found);
     }
--- a/src/core/jobs/pool_scheduler_impl.h
+++ b/src/core/jobs/pool_scheduler_impl.h
@@ -19,20 +19,20 @@
 
 namespace plantainhead::core::jobs {
 
-/// A lasting task at this percentage serves.
+/// The progress at which a long-running task is ready to serve.
 inline constexpr std::uint32_t kReadyPercent = 100;
 
-/// Returns what a task of the step takes of a VM's capacity.
+/// Returns the resources that a task of the step takes of a VM's capacity.
 resources DemandOf(const step_spec& step);
 
-/// The state of a `pool_scheduler`. It looks at VMs that have changed, and not
-/// at all of them: who changes a VM takes it from `FindVm` or calls
-/// `vm_table::Touch`. Eight files share it: what a plan looks at
-/// (`pool_plan.cc`), what VMs list (`pool_reports.cc`), that they begin again
-/// (`pool_incarnations.cc`), how they answer orders (`pool_answers.cc`), what is
-/// stored
-/// (`pool_records.cc`), which runs end (`pool_runs.cc`), where tasks start
-/// (`pool_placement.cc`) and what they take (`pool_load.cc`).
+/// The implementation of `pool_scheduler`. It visits only VMs that have changed
+/// rather than all of them: code that changes a VM obtains it from `FindVm` or
+/// calls `vm_table::Touch`. The implementation is split into eight files: the
+/// steps of a plan (`pool_plan.cc`), the listings of VMs (`pool_reports.cc`),
+/// restarts of VMs (`pool_incarnations.cc`), the answers to orders
+/// (`pool_answers.cc`), the stored records (`pool_records.cc`), the ends of
+/// runs (`pool_runs.cc`), the placement of tasks (`pool_placement.cc`) and the
+/// load of the pool (`pool_load.cc`).
 class pool_scheduler::impl {
  public:
   impl(const scheduler_settings& settings, const takeover_bounds& takeover)
@@ -40,10 +40,10 @@
 
   job_table& jobs() { return jobs_; }
   vm_table& vms() { return vms_; }
-  /// True once the registry's VMs are known: jobs that were added before that
-  /// are an earlier owner's.
+  /// Returns whether the registry's VMs are known. Jobs that were added before
+  /// that belong to an earlier owner.
   bool has_list() const { return has_list_; }
-  /// Returns the VM for a change of it, or null when it is unknown.
+  /// Returns the VM and marks it as changed, or returns null if it is unknown.
   vm_state* FindVm(const vm_id& id) { return vms_.Change(id); }
   const vm_state* PeekVm(const vm_id& id) const { return vms_.Find(id); }
   scheduler_counts Counts() const;
@@ -67,13 +67,14 @@
                          const run_ref& target,
                          bool is_answered,
                          time_point now);
-  /// Notes the result of a start for the window of starts. `vm` may be null.
+  /// Passes the result of a start to the congestion window of starts. `vm` may
+  /// be null.
   void NoteStartTime(vm_state* vm, const run_ref& target, time_point now);
   duration AnswerDelay() const { return window_.delay(); }
   bool IsStartWindowFull() const { return starts_left_ == 0; }
   void Replace(const vm_id& id, time_point now);
-  /// Counts what began on a VM just before it fell silent against its tasks,
-  /// until the VM is heard again.
+  /// Counts runs that started shortly before their VM stopped answering against
+  /// their tasks, until the VM answers again.
   void SuspectNewlyStartedRuns(vm_state* vm);
   hold_parameters NextHold(vm_state* vm, time_point now);
 
@@ -93,15 +94,15 @@
   bool MayStart(time_point now) const;
   std::optional<unknown_job_vm> FindUnknownJob();
   takeover_wait TakeoverWait(time_point now);
-  /// Takes over the runs of a job that VMs have told of before it was known.
+  /// Adopts the runs of a job that VMs have listed before it was known.
   void AdoptRunsOf(const job_id& id, time_point now);
-  /// Counts what a job, since it was handed in, has waited to be read.
+  /// Attributes the time since the job was submitted to reading its record.
   static void NoteReading(job_state* job) {
     NoteWait(job, wait_cause::kReading, job->submitted_at());
   }
-  /// Wants a stop of every run of the job.
+  /// Requests a stop of every run of the job.
   void StopRunsOf(const job_id& id);
-  /// Wants a stop of every run of the step's tasks that are done.
+  /// Requests a stop of every run of those tasks of the step that are done.
   void StopRunsOfDone(const task_name& task);
   bool StopLaterStarts(const ended_task& end);
   /// Calls `use` with each run on the VM of a task of the step.
@@ -119,12 +120,14 @@
  private:
   struct candidate {
     job_state* job = nullptr;
-    /// The lowest goes first, then the earliest.
+    /// Jobs with the lowest rank are placed first, then those with the earliest
+    /// `order`.
     int rank = 0;
     time_point order;
   };
 
-  /// What tasks of a step ask of a VM, but for what only some tasks ask.
+  /// The requirements of the tasks of a step that no VM could meet, except for
+  /// those that only some of the tasks have.
   struct unplaced_need {
     pool_id pool;
     std::string label;
@@ -133,9 +136,10 @@
 
   void AssumeLeaseOf(const vm_id& id, vm_state* vm);
 
-  // Lives.
-  /// Notes of which life of the VM a listing or a registry entry is. Returns
-  /// false when that life is over. `asked_at`: when a listing was asked for.
+  // Incarnations.
+  /// Updates the incarnation of the VM from a listing or a registry entry.
+  /// Returns false if that incarnation has ended already. `asked_at` is when
+  /// the listing was requested.
   bool UpdateIncarnation(vm_state* vm,
                          std::optional<time_point> asked_at,
                          const vm_incarnation& incarnation,
@@ -143,7 +147,8 @@
   void BeginIncarnation(vm_state* vm,
                         const vm_incarnation& incarnation,
                         time_point now);
-  /// Prepares a run to be settled with the next life of its VM.
+  /// Marks a run as uncertain until a listing of the next incarnation of its VM
+  /// resolves it.
   static void MarkUncertain(run_state* run,
                             const vm_incarnation& former_incarnation);
   static void ForgetOldStarts(vm_state* vm, time_point now);
@@ -151,12 +156,11 @@
                                   const run_ref& target,
                                   time_point now);
   void StopUnansweredStarts(vm_state* vm, time_point now);
-  /// Ends runs that nothing more can be heard of, and counts them against their
-  /// tasks.
+  /// Ends lost runs and counts them against their tasks.
   void EndLostRuns(vm_state* vm, const std::vector<lost_run>& lost);
   void ForgetUnprocessedEnds(vm_state* vm);
-  /// Returns a run that is lost with its VM. `is_over`: so is the life of the
-  /// VM that it was on.
+  /// Returns the report of a run that is lost with its VM. `is_over` states
+  /// whether its incarnation of the VM is known to have ended.
   static lost_run LostRunOf(const vm_state& vm,
                             const task_name& task,
                             const run_state& run,
@@ -180,18 +184,19 @@
   void AckStored();
 
   // Ends of runs.
-  /// The run left no effect that is known: its task may start elsewhere.
-  /// Returns its job when that is news of it, else null.
+  /// Ends a run that had no known effect, so that its task may start on another
+  /// VM. Returns its job if its state changed, otherwise null.
   job_state* EndRun(vm_state* vm, const task_name& task);
   void CountLoss(job_state* job, const task_name& task, const run_loss& loss);
-  /// Ends all runs on a VM of which nothing more can be heard. `is_over`: that
-  /// life of it is known to be over.
+  /// Ends all runs on a VM as lost. `is_over` states whether the incarnation of
+  /// the VM is known to have ended.
   void EndAllRunsAsLost(vm_state* vm, bool is_over);
   static bool IsEndPlanned(const vm_state& vm);
-  /// Whether a crash of the VM now is another task's doing than the run's.
+  /// Returns whether a crash of the VM now is attributed to another task than
+  /// that of the run.
   static bool IsClearedBySuspect(const vm_state& vm, const run_state& run);
   void ExpireIfSilent(vm_state* vm, time_point now);
-  /// Forgets a VM that the registry lists no more and that can run nothing.
+  /// Removes a VM that is no longer registered and that can run no task.
   void ForgetIfGone(vm_state* vm, time_point now);
   void StopHungRuns(vm_state* vm, time_point now);
   void EmptyVm(vm_state* vm, time_point now);
@@ -199,23 +204,24 @@
   void PlanStops(vm_state* vm, time_point now, std::vector<vm_order>* orders);
   void PlanPace(vm_state* vm, std::vector<vm_order>* orders);
 
-  // What has changed.
-  /// Takes the changed VMs into the index.
+  // Changes.
+  /// Updates the changed VMs in the index.
   void IndexChanged(time_point now);
   void OpenOccurrences(time_point wall_now);
   void PlanVm(vm_state* vm, time_point now, std::vector<vm_order>* orders);
-  /// Sees to it that the VM is planned for again when that may be due.
+  /// Schedules the next check of the VM for when its plan may change.
   void ScheduleNextCheck(vm_state* vm, time_point now);
-  /// Notes that the VM is new, described anew or about to be forgotten.
+  /// Records that the VM is new, has a new description or is about to be
+  /// removed.
   void NoteVmChange(const vm_state& vm);
 
-  // Size.
+  // Load.
   static void AddDemand(job_state* job, time_point now, pool_load* load);
   static void AddSpread(const job_state& job, pool_load* load);
 
   // Placement.
   void CountStarts();
-  /// Notes what the job's tasks wait for, if any does.
+  /// Records what the waiting tasks of the job wait for, if there are any.
   static void NoteWait(job_state* job, wait_cause cause, time_point now);
   bool IsRecovered(time_point now);
   void SkipUnreportedRuns(time_point now);
@@ -236,9 +242,11 @@
                  time_point now,
                  std::vector<vm_order>* orders);
   bool IsKnownUnplaceable(const pool_id& pool, const step_spec& step) const;
-  /// Whether the task starts only beside runs that aren't fresh.
+  /// Returns whether the task may start only on a VM without newly started
+  /// runs.
   static bool MustRunIsolated(job_state& job, const task_name& task);
-  /// Whether the VM could hold one more task of the step, apart from its room.
+  /// Returns whether the VM could hold one more task of the step, apart from
+  /// its free resources.
   bool MayHold(const vm_state& vm,
                const task_name& task,
                const step_spec& step,
@@ -248,10 +256,10 @@
                      const std::string& rack,
                      time_point now);
   struct vm_search;
-  /// Returns whether the VM takes the task, and notes in the search whether it
-  /// has room.
+  /// Returns whether the VM can run the task. Records in the search whether the
+  /// VM has enough free resources.
   bool Suits(vm_state* vm, vm_search* search) const;
-  /// Return the VM of the list that suits the task best, or null.
+  /// Return the most suitable VM of the list, or null.
   vm_state* FindBest(const available_vm_list& available,
                      vm_search* search) const;
   vm_state* FindLeastBusy(const available_vm_list& available,
@@ -269,40 +277,45 @@
   job_table jobs_;
   vm_table vms_;
   vm_index index_;
-  /// Up to when the index takes into account that times have passed.
+  /// The latest time to which the index was updated.
   time_point indexed_at_;
-  /// What an earlier owner recorded as vacant.
+  /// VMs that an earlier owner recorded as vacant.
   std::set<vm_id> vacant_;
-  /// Lives that are known to be over; the registry may still list them.
+  /// Ids of VMs whose incarnation is known to have ended; the registry may
+  /// still list them.
   std::set<vm_id> replaced_;
-  /// Forgotten VMs whose records are to be dropped.
+  /// Removed VMs whose records are to be deleted.
   std::vector<vm_id> dropped_vms_;
-  /// VMs that are new, gone or described in another way since they were taken.
+  /// VMs that were added, removed or changed since `TakeVmChanges` was last
+  /// called.
   std::vector<vm_id> vm_changes_;
-  /// Closed VMs that have become empty since they were taken.
+  /// Closed VMs that have become empty since `TakeEmptied` was last called.
   std::vector<vm_id> emptied_;
-  /// VMs with ends that wait for their batch of records to be stored.
+  /// VMs with ends that may be acknowledged only once a batch is stored.
   std::vector<vm_id> unacknowledged_;
   bool has_list_ = false;
   std::uint64_t stored_through_ = 0;
   scheduler_counts counts_;
-  /// Runs that were lost and haven't been reported.
+  /// Lost runs that have not been reported.
   std::vector<lost_run> losses_;
   congestion_window window_;
-  /// Starts that may still be ordered in this plan, and what is under way.
+  /// The number of starts that this plan may still order, and of those in
+  /// flight.
   std::size_t starts_left_ = 0;
   std::size_t starts_under_way_ = 0;
-  /// What found no VM in this plan.
+  /// Requirements that no VM could meet in this plan.
   std::vector<unplaced_need> unplaced_;
-  /// A VM's lease ran out before it had told what was started there.
+  /// Whether the lease of a VM expired before the VM had listed what was
+  /// started there.
   bool has_unreported_vm_ = false;
   time_point jobs_read_through_;
-  /// Nothing: it isn't told.
+  /// Empty: unknown.
   std::optional<time_point> cancellations_read_through_;
-  /// The highest runs of unknown jobs that VMs had told of before they lapsed.
+  /// The highest runs of unknown jobs that VMs had listed before their leases
+  /// expired or they restarted.
   std::map<job_id, std::map<task_name, std::uint32_t>> forgotten_runs_;
   bool is_recovered_ = false;
-  /// The batch that records the last lapse of a VM.
+  /// The number of the batch that records the last expired lease of a VM.
   std::uint64_t expiry_batch_ = 0;
 };
 
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -60,7 +60,7 @@
   std::size_t size() const { return size_; }
   /// Precondition: `taker` is not in the list.
   void Insert(std::size_t kind, const ranked_vm& taker);
-  /// Precondition: `taker` is in the list.
+  /// Precondition: `taker` is in the list with this rank.
   void Erase(std::size_t kind, const ranked_vm& taker);
 
  private:
