--- a/tests/core/jobs/congestion_window_test.cc
+++ b/tests/core/jobs/congestion_window_test.cc
@@ -23,9 +23,9 @@
   int timed_out = 0;
 };
 
-// An owner with more to start than it may, over a link that passes an order
-// each `spacing`, in turn. Orders that wait past the timeout are given up, and
-// take their time on the link all the same.
+// Simulates an owner with a backlog of starts and a link that transmits one
+// order in each `spacing`, in order. Orders that are not answered within the
+// timeout are given up but still take their time on the link.
 link_figures Play(duration spacing, bool has_window) {
   congestion_window window;
   std::deque<time_point> waiting;
@@ -58,8 +58,9 @@
   return figures;
 }
 
-// Guards against an owner whose link is full, and which sends more starts than
-// are answered in time: it must stop what it can't know, and starts it again.
+// Guards against an owner with a saturated link that sends more starts than can
+// be answered in time: it has to stop the runs whose state is unknown and
+// starts them again.
 TEST_CASE("The starts under way follow what a link carries") {
   SECTION("few time out on a link that carries 200 a second") {
     const link_figures figures = Play(milliseconds(5), true);
@@ -85,7 +86,8 @@
     CHECK(window.delay() == duration::zero());
   }
 
-  // Guards against a pool whose starts wait for those on one silent VM.
+  // Guards against a pool whose starts wait for those on one VM that does not
+  // answer.
   SECTION("nor is one by a peer that doesn't answer") {
     congestion_window window;
     time_point now(seconds(1));
@@ -105,7 +107,7 @@
   }
 }
 
-// Guards against a backlog that is ordered at once.
+// Guards against a backlog that is ordered all at once.
 TEST_CASE("An owner orders no more starts than may be under way") {
   scheduler_driver driver;
   std::vector<vm_description> vms;
--- a/tests/core/jobs/crash_suspicion_test.cc
+++ b/tests/core/jobs/crash_suspicion_test.cc
@@ -17,7 +17,7 @@
 }
 
 // Guards against tasks that crash VMs without limit, and against jobs that are
-// given up since their VMs were cut off.
+// given up because their VMs were disconnected.
 TEST_CASE("What lost VMs say of a task") {
   using enum loss_kind;
 
--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -15,17 +15,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Once three VMs have crashed under a task it may start twice more.
+// After three VMs have crashed under a task, it may start twice more.
 constexpr std::size_t kMostStarts = 5;
 constexpr int kRounds = 10;
 constexpr const char* kCrashes = "crashes";
 
-/// One VM that each start of a task crashes, and that comes back every time.
+/// Drives a scheduler with one VM that crashes at each start of a task and
+/// returns each time.
 class crashing_vm {
  public:
   crashing_vm() { Begin({}, {}); }
 
-  /// Orders what is due. The VM answers, or is gone before it does.
+  /// Sends the due orders. The VM answers, or crashes before it does.
   std::vector<start_order> Start(bool is_answered) {
     std::vector<start_order> starts = driver_->Starts();
     for (const start_order& start : starts) {
@@ -36,7 +37,7 @@
     return starts;
   }
 
-  /// The VM's next life answers 3 s later.
+  /// Crashes the VM; its next incarnation answers 3 s later.
   void CrashAndReturn() {
     driver_->scheduler.OnHoldUnanswered(Id());
     driver_->Pass(seconds(3));
@@ -45,8 +46,9 @@
     BringNextLife();
   }
 
-  /// The owner is replaced after the VM has crashed and before its next life
-  /// answers, and the next one meets only that life.
+  /// Replaces the owner after the VM has crashed and before its next
+  /// incarnation answers; the new owner communicates only with that
+  /// incarnation.
   void CrashAndReplaceOwner() {
     driver_->scheduler.OnHoldUnanswered(Id());
     Store();
@@ -56,8 +58,8 @@
     Bring();
   }
 
-  /// The VM falls silent, and its next life comes from somewhere else after
-  /// the lease is over.
+  /// The VM stops answering, and its next incarnation has a different id and
+  /// appears after the lease has expired.
   void CrashForGood() {
     driver_->scheduler.OnHoldUnanswered(Id());
     driver_->Pass(seconds(5));
@@ -65,7 +67,7 @@
     BringNextLife();
   }
 
-  /// Another owner goes on with what is recorded.
+  /// Continues with another owner from the recorded state.
   void ReplaceOwner() {
     Store();
     const time_point now = driver_->now + seconds(1);
@@ -118,16 +120,12 @@
   int life_ = 1;
 };
 
-// Seen by callers of a site under load: of their jobs many were late or not
-// served at all for 80 s, while two tasks were started again every 3.4 s and
-// took the VM that started them, and all that ran beside them, with them.
-// How: a VM is gone 10 ms after the start; its next life answers 3 s later, the
-// owner takes the run for ended and gives the task its next start.
-// Cause: only ends that a VM lists counted against a task, and nobody lists how
-// a run ended that was lost with its VM.
-// Proved by the owner's log, where each start has the next run number and comes
-// at once after `vm lost`, "another life of it answered", and by these cases,
-// which failed with a start in each round.
+// Guards against tasks that crash every VM that starts them and are started
+// without limit. The VM crashes 10 ms after the start, its next incarnation
+// answers 3 s later, and the owner starts the task again at once, so that two
+// such tasks made many jobs of a pool late for 80 s. No VM reports how a run
+// ended that was lost with its VM, so that only ends that VMs list were counted
+// against the task.
 TEST_CASE("A task that crashes each VM that starts it is given up") {
   crashing_vm vm;
   std::size_t starts = 0;
@@ -185,9 +183,9 @@
 }
 
 // Guards against tasks that are started without limit, or given up, because of
-// what another task does to the VM. Returns what went wrong in a pool in which
-// every fifth job has a task that crashes its VMs. Jobs that were given up are
-// right only if VMs crashed under them; the others complete.
+// the effects of another task on the VM. Runs a pool in which every fifth job
+// has a task that crashes its VMs, and returns the violations. Only jobs under
+// which VMs crashed may be given up; the others must complete.
 std::vector<std::string> PlayCrashes(std::uint32_t seed, model_faults faults) {
   faults.crashing_payload = kCrashes;
   pool_model model(seed, faults, 6);
--- a/tests/core/jobs/late_end_test.cc
+++ b/tests/core/jobs/late_end_test.cc
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Guards against ends that are acknowledged and don't count, so that the task
-// runs again: its VM tells of the end after the run was taken for ended and the
-// next one was placed.
+// Guards against ends that are acknowledged but not counted, so that the task
+// runs again. The VM lists the end after the run was presumed ended and the
+// next run was placed.
 TEST_CASE("An end as done counts whenever a VM tells of it") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -48,7 +48,7 @@
     CHECK(driver.stops[0].target == second);
   }
 
-  // Guards against tasks that start after their job was shown as completed.
+  // Guards against tasks that start after their job was reported as completed.
   SECTION("and not while the next run may yet start") {
     scheduler_driver unsettled;
     unsettled.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -106,8 +106,8 @@
   }
 }
 
-// Guards against an answer on one connection that overtakes an earlier one on
-// another: what the earlier one shows is over.
+// Guards against an answer that is delayed on one connection and arrives after
+// a later one on another connection, so that its contents are outdated.
 TEST_CASE("A listing from before the last one that was taken changes nothing") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
--- a/tests/core/jobs/lost_run_report_test.cc
+++ b/tests/core/jobs/lost_run_report_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Guards against logs that name no task of a VM that was lost.
+// Guards against logs that do not name the tasks of a lost VM.
 TEST_CASE("The runs of a lost VM are reported") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
--- a/tests/core/jobs/overload_test.cc
+++ b/tests/core/jobs/overload_test.cc
@@ -18,7 +18,7 @@
   return text;
 }
 
-/// A queue's turn: more jobs at once than the pool has room for.
+/// Submits more jobs to a queue at once than the pool has capacity for.
 void BringBacklog(scheduler_driver* driver, int jobs, step_spec step) {
   std::vector<vm_description> vms;
   for (int i = 0; i < kVms; ++i) {
@@ -30,10 +30,11 @@
   }
 }
 
-// A queue asks for five times its mean for some seconds (overload with a
-// backlog). What found no room is remembered within a plan, so that the jobs
-// that wait aren't tried on every VM each. That must neither leave room unused
-// nor hold back smaller tasks, or those that need another kind of VM.
+// Guards against plans that waste capacity in an overload. A queue submits five
+// times its mean rate for some seconds. Within a plan, demands that found no
+// capacity are cached, so that waiting jobs are not tried on every VM. This
+// must neither leave capacity unused nor hold back smaller tasks or tasks that
+// need another kind of VM.
 TEST_CASE("A backlog of one size") {
   scheduler_driver driver;
   BringBacklog(&driver, 100, Step(8, 4400));
@@ -62,7 +63,8 @@
   }
 }
 
-// A gang that doesn't fit gives the room back that was tried for it.
+// Guards against a gang that does not fit and keeps the capacity that was
+// reserved for the attempt.
 TEST_CASE("A gang without room takes none from the tasks that follow") {
   scheduler_driver driver;
   step_spec gang = Step(3 * kVms + 1, 4400);
--- a/tests/core/jobs/owner_work_test.cc
+++ b/tests/core/jobs/owner_work_test.cc
@@ -12,14 +12,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// From a small pool to the largest one that is designed for.
+// From a small pool to the largest supported one.
 const std::vector<std::size_t> kPoolSizes = {50, 350, 1100};
 
 vm_id NameOf(std::size_t number) {
   return "vm-" + std::to_string(number);
 }
 
-/// A pool whose VMs have told all; the first few of them run a task each.
+/// A pool whose VMs have listed all their tasks. The first few of them run one
+/// task each.
 class settled_pool {
  public:
   explicit settled_pool(std::size_t vm_count) {
@@ -36,8 +37,8 @@
     REQUIRE(driver.scheduler.Counts().visited_vms >= vm_count);
   }
 
-  /// Returns how many VMs are visited by what `event` does, the plan and the
-  /// record that follow it, and a look at the pool's load.
+  /// Returns the number of visits of VMs caused by `event`, the following plan
+  /// and record, and a query of the pool's load.
   std::uint64_t VisitsOf(const std::function<void(scheduler_driver*)>& event) {
     const std::uint64_t before = driver.scheduler.Counts().visited_vms;
     event(&driver);
@@ -51,7 +52,7 @@
   scheduler_driver driver;
 };
 
-/// Returns the visits of an event in pools of each size.
+/// Returns the visits for an event in pools of each size.
 std::vector<std::uint64_t> VisitsBySize(
     const std::function<void(scheduler_driver*)>& event) {
   std::vector<std::uint64_t> visits;
@@ -67,8 +68,9 @@
   CHECK(visits.back() <= visits.front());
 }
 
-// An owner whose work for an event grows with its pool has no processor time
-// left in the busiest seconds, and its jobs are late beside VMs with room.
+// Guards against an owner whose work for an event grows with its pool: it has
+// no processor time left under peak load, and its jobs are late although VMs
+// have free capacity.
 TEST_CASE("What an owner does for an event doesn't grow with its VMs") {
   SECTION("for a VM that lists the same as before") {
     CheckFlat(VisitsBySize([](scheduler_driver* driver) {
--- a/tests/core/jobs/ownership_model_test.cc
+++ b/tests/core/jobs/ownership_model_test.cc
@@ -11,20 +11,21 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// The protocol by which owners of one pool follow one another, reduced to two
-// processes, two VMs and one task, and searched in all orders of events:
-// - a claim fences the earlier owner's appends (an epoch in the store);
-// - a hold fences its orders (the epoch at the VM) and lists what runs;
-// - a VM is recorded before its first task;
-// - a new owner gives no order before each recorded VM has listed, or its lease
-//   is surely over and the earlier owner has stopped;
-// - an end is acknowledged to its VM only after it is stored;
-// - a task of a VM whose lease is over starts elsewhere only after the store
-// has
-//   taken the record of that from this owner.
-// Orders arrive at any later time, VMs and owners can't reach each other at any
-// time, leases run out, owners die, and the group deals the pool away for no
-// reason while its owner is well.
+// A model of the protocol by which the owners of one pool replace each other,
+// reduced to two processes, two VMs and one task. All orders of events are
+// searched. The rules of the protocol:
+// - A claim fences the appends of the earlier owner (an epoch in the store).
+// - A hold fences the orders of the earlier owner (the epoch at the VM) and
+//   returns a listing of the running tasks.
+// - A VM is recorded before its first task.
+// - A new owner sends no order until each recorded VM has sent a listing, or
+//   its lease has certainly expired and the earlier owner has stopped.
+// - An end is acknowledged to its VM only after it is stored.
+// - A task of a VM whose lease has expired starts elsewhere only after the
+//   store has accepted the record of that from this owner.
+// Orders arrive at any later time, VMs and owners may be disconnected at any
+// time, leases expire, owners crash, and the pool may be assigned to another
+// owner while its owner is healthy.
 
 constexpr int kVms = 2;
 constexpr int kOwners = 2;
@@ -38,10 +39,12 @@
 struct owner_model {
   owner_phase phase = owner_phase::kIdle;
   std::int8_t epoch = 0;
-  /// Its membership may not have passed on.
+  /// The earlier owner may still be active, since its membership may not have
+  /// expired.
   std::int8_t is_sure = 0;
   std::array<std::int8_t, kVms> settled{};
-  /// VMs that were recorded as of its claim, or that it has recorded itself.
+  /// VMs that were recorded when it claimed the pool, or that it has recorded
+  /// since.
   std::array<std::int8_t, kVms> known{};
   std::int8_t placed = kNowhere;
   std::int8_t has_unstored_end = 0;
@@ -52,14 +55,14 @@
   std::int8_t fence = 0;
   std::int8_t has_lease = 0;
   std::int8_t is_running = 0;
-  /// An end that isn't acknowledged.
+  /// An end that has not been acknowledged.
   std::int8_t has_end = 0;
-  /// The lease ran out after it: its task may have been started elsewhere
-  /// since, and it counts only if it hasn't.
+  /// The lease expired after the end. The task may have been started elsewhere
+  /// since, and the end counts only if it has not.
   std::int8_t is_end_stale = 0;
 };
 
-/// An order to start that is on its way.
+/// An order to start that is in transit.
 struct order_model {
   std::int8_t vm = kNowhere;
   std::int8_t epoch = 0;
@@ -103,7 +106,7 @@
   return {reinterpret_cast<const char*>(&world), sizeof(world)};
 }
 
-// Worlds that differ only by the names of VMs and owners are one.
+// States that differ only by the names of VMs and owners are equivalent.
 std::string KeyOf(const world_model& world) {
   world_model other = world;
   std::swap(other.owners[0], other.owners[1]);
@@ -111,7 +114,7 @@
                    BytesOf(SwapVms(other))});
 }
 
-/// A safeguard that is left out.
+/// A safeguard that is disabled.
 enum class flaw {
   kNone,
   kNoFenceAtVms,
@@ -126,7 +129,7 @@
  public:
   explicit search(flaw left_out) : flaw_(left_out) {}
 
-  /// Returns what went wrong first; empty when nothing can.
+  /// Returns the first violation, or an empty string if there can be none.
   std::string Run() {
     Visit(world_model());
     while (!waiting_.empty() && wrong_.empty()) {
@@ -219,7 +222,7 @@
     return false;
   }
 
-  // What was ordered under a lease that is over is refused as late.
+  // The VM rejects orders whose lease has expired.
   static void DropOrders(world_model* world, int v) {
     for (order_model& order : world->orders) {
       if (order.vm == v) {
@@ -341,7 +344,7 @@
     }
   }
 
-  // The owner itself counts how long the lease that it granted runs.
+  // The owner itself measures how long the lease that it granted lasts.
   void NoteLapse(world_model world, int i, int v) {
     owner_model& owner = world.owners[i];
     const bool is_lapsed = owner.phase == owner_phase::kActive &&
@@ -357,7 +360,7 @@
     }
     DropOrders(&world, v);
     owner.placed = kNowhere;
-    // The VM is used again only after it has told all.
+    // The VM is used again only after it has listed all its tasks.
     owner.settled[v] = 0;
     Visit(world);
   }
@@ -387,7 +390,7 @@
         owner.settled[v] == 0 || vm.has_end == 0 || owner.epoch < vm.fence) {
       return;
     }
-    // It goes with a hold.
+    // The acknowledgement is sent with a hold.
     if (flaw_ != flaw::kNoFenceAtVms) {
       vm.fence = owner.epoch;
     }
--- a/tests/core/jobs/pool_model.h
+++ b/tests/core/jobs/pool_model.h
@@ -19,46 +19,50 @@
 
 namespace plantainhead::core::jobs {
 
-/// Which faults a `pool_model` brings about, while they last.
+/// The faults that a `pool_model` injects.
 struct model_faults {
-  /// Share of orders that get no answer and are carried out 2 to 12 s later.
+  /// Share of orders that are not answered and are carried out 2 to 12 s later.
   double late_orders = 0.0;
-  /// Share of orders that get no answer and are never carried out.
+  /// Share of orders that are not answered and are never carried out.
   double lost_orders = 0.0;
-  /// Share of orders to start that the VM refuses for want of room.
+  /// Share of orders to start that the VM rejects for lack of capacity.
   double refused_orders = 0.0;
   /// Share of calls whose answer is lost.
   double lost_answers = 0.0;
   /// Share of runs that fail.
   double failing_runs = 0.0;
-  /// Mean time between two VMs that fall silent for up to 8 s; zero: none.
+  /// Mean time between two VMs that stop answering for up to 8 s; zero: none.
   duration silence_every = duration::zero();
-  /// The same for VMs that crash and come back in another life.
+  /// Mean time between two VMs that crash and return in another incarnation.
   duration crash_every = duration::zero();
-  /// Share of the VMs that crash and come back under the same id.
+  /// Share of the crashed VMs that return under the same id.
   double same_id_share = 0.0;
-  /// Orders that are carried out late may meet the VM's next life.
+  /// Whether orders that are carried out late may reach the next incarnation of
+  /// the VM.
   bool late_orders_outlive_vms = false;
-  /// The same for VMs whose entry in the registry can't be read for up to 8 s.
+  /// Mean time between two VMs whose registry entry cannot be read for up to 8
+  /// s.
   duration unreadable_every = duration::zero();
-  /// The same for VMs that have 0.3 to 0.8 of their capacity for up to 8 s.
+  /// Mean time between two VMs whose capacity is reduced to 0.3 to 0.8 of the
+  /// original for up to 8 s.
   duration shrink_every = duration::zero();
-  /// Tasks of jobs whose payload is this end the life of each VM that starts
-  /// them, within 10 ms. Empty: none.
+  /// Tasks of jobs with this payload crash each VM that starts them, within 10
+  /// ms. Empty: none.
   std::string crashing_payload;
-  /// After that the VM is back in another life, which answers in place of it.
+  /// The time after which the next incarnation of a crashed VM answers in its
+  /// place.
   duration back_after = std::chrono::seconds(3);
   /// Mean time between two changes of the owner; zero: none.
   duration takeover_every = duration::zero();
-  /// Owners read a job up to this much after it was stored, each for itself.
+  /// Each owner reads a job up to this long after it was stored, independently.
   duration read_delay = duration::zero();
-  /// An owner speaks to VMs up to this long after it has claimed the pool.
+  /// An owner starts to call VMs up to this long after it has claimed the pool.
   duration takeover_time = duration::zero();
 };
 
-/// One pool in virtual time: VMs that run tasks under leases, a network that
-/// delays, loses and holds back, a store that keeps records, and owners that
-/// replace one another. Collects what must never happen.
+/// Simulates one pool in virtual time: VMs that run tasks under leases, a
+/// network that delays and loses messages, a store of records, and owners that
+/// replace each other. Collects violations of the invariants.
 class pool_model {
  public:
   pool_model(std::uint32_t seed,
@@ -115,7 +119,7 @@
   std::map<job_id, time_point> submitted_at;
   std::map<job_id, time_point> ended_at;
   std::uint64_t starts = 0;
-  /// Lives of VMs that ended while the task ran on them.
+  /// The number of incarnations of VMs that ended while the task ran on them.
   std::map<task_name, int> crashes_under;
 
  private:
@@ -134,7 +138,7 @@
     bool fails = false;
     bool is_stopping = false;
     time_point sent_at;
-    /// The VM's capacity when the order to start it was sent.
+    /// The capacity of the VM when the order to start the run was sent.
     resources told;
   };
 
@@ -144,18 +148,18 @@
     std::map<task_name, std::uint32_t> highest;
     std::vector<ended_task> ended;
     std::uint64_t last_end = 0;
-    /// Ends up to this one are from before the lease last ran out.
+    /// Ends up to this one happened before the lease last expired.
     std::uint64_t lapsed_end = 0;
     std::uint64_t fence = 0;
-    /// A task ends this life then.
+    /// When a task crashes this incarnation.
     time_point crashes_at = time_point::max();
     time_point lease_until;
     time_point silent_until;
-    /// Under its id, in which it knows nothing of before.
+    /// When the VM restarts under its id, without any state.
     time_point begins_again_at = time_point::max();
     time_point unreadable_until;
     time_point shrunk_until;
-    /// The clock runs up to 2% slow, from its own zero.
+    /// The clock runs up to 2% slow and has its own epoch.
     double speed = 1.0;
     duration zero = duration::zero();
   };
@@ -171,8 +175,8 @@
   using owner_ptr = std::shared_ptr<owner>;
 
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  // Draws nothing for a fault that is left out, so that a seed brings about the
-  // same without it.
+  // Does not use the random generator for a disabled fault, so that a seed
+  // produces the same other events without it.
   bool Happens(double share) { return share > 0.0 && Chance() < share; }
   duration Between(duration least, duration most) {
     return duration(std::uniform_int_distribution<std::int64_t>(
@@ -213,7 +217,7 @@
     return list;
   }
 
-  // Before an owner begins it reads all that is stored by then; see
+  // Before an owner starts, it reads everything that is stored by then; see
   // `BeginOwner`.
   void LetRead(const owner_ptr& reader,
                const std::shared_ptr<const job_spec>& job,
@@ -272,8 +276,8 @@
     }
   }
 
-  // The registry tells at once. Orders that are under way go by what it told
-  // before; see `CheckStart`.
+  // The registry is updated at once. Orders in transit are based on the
+  // previous capacity; see `CheckStart`.
   void ShrinkVms() {
     bool is_changed = false;
     for (auto& [id, machine] : vms_) {
@@ -314,7 +318,7 @@
     }
   }
 
-  // Its clock may be ahead of that of the former life or behind it.
+  // The clock may be ahead of that of the previous incarnation or behind it.
   void BeginAgain(vm* machine) {
     machine->runs.clear();
     machine->highest.clear();
@@ -349,7 +353,7 @@
     machine->silent_until = machine->begins_again_at;
   }
 
-  // The registry lists the VM until its next life is there.
+  // The registry lists the VM until its next incarnation appears.
   void CrashVms() {
     for (auto it = vms_.begin(); it != vms_.end();) {
       if (now < it->second.crashes_at) {
@@ -399,7 +403,8 @@
     BringUnreadableEntries();
     ShrinkVms();
     if (Comes(faults_.takeover_every)) {
-      // The earlier owner goes on for a while, as one that was suspended does.
+      // The earlier owner continues for a while, like a process that was
+      // suspended.
       zombie_ = owner_;
       zombie_until_ = now + Between(duration::zero(), kActing);
       takeover_bounds bounds;
@@ -434,9 +439,9 @@
     return Between(std::chrono::milliseconds(1), std::chrono::milliseconds(30));
   }
 
-  // Carries a call to the VM and its answer back. `at_vm` runs there, and what
-  // it returns at the owner if an answer comes; `unanswered` runs after the
-  // timeout if not.
+  // Transmits a call to the VM and its answer back. `at_vm` runs at the VM, and
+  // the function that it returns runs at the owner if the answer arrives;
+  // otherwise `unanswered` runs after the timeout.
   void Call(const owner_ptr& worker,
             const vm_id& id,
             bool is_order,
@@ -490,7 +495,7 @@
       std::visit([&](const auto& kind) { Send(worker, kind); }, order);
     }
     if (worker->storing && now >= worker->stored_at) {
-      // The store refuses what an earlier owner appends.
+      // The store rejects the appends of an earlier owner.
       if (worker == owner_) {
         Record(*worker->storing);
         scheduler.OnBatchStored(*worker->storing);
@@ -584,8 +589,8 @@
         });
   }
 
-  // An end that was done counts from its acknowledgement on, unless the lease
-  // ran out between the two: then nobody could know of it in time.
+  // A task counts as done from the acknowledgement of its end on, unless the
+  // lease expired between the two: then no owner could know of it in time.
   void Acknowledge(vm* machine, std::uint64_t through) {
     for (const ended_task& end : machine->ended) {
       if (end.number <= through && end.how == end_kind::kDone &&
@@ -634,7 +639,7 @@
         });
   }
 
-  // `told` is the VM's capacity when the order was sent, at `sent_at`.
+  // `told` is the capacity of the VM when the order was sent, at `sent_at`.
   start_result Start(vm* machine,
                      const owner_ptr& worker,
                      const start_order& order,
@@ -678,7 +683,7 @@
     return start_result::kStarted;
   }
 
-  // After three VMs have crashed under a task that crashes them it may start
+  // After three VMs have crashed under a task that crashes them, it may start
   // twice more.
   void CheckBudget(const task_name& task) {
     if (crashes_under[task] >= kMostCrashes &&
@@ -691,8 +696,8 @@
   void CheckStart(const vm& machine, const task_name& task, const vm_run& run) {
     const std::string name = task.job + "." + std::to_string(task.step) + "." +
                              std::to_string(task.index);
-    // The order that was sent last counts with all the others. The capacity may
-    // have changed since.
+    // The most recent order counts together with all others. The capacity may
+    // have changed since it was sent.
     const vm_run* last = &run;
     resources used = run.room;
     for (const auto& [other, held] : machine.runs) {
@@ -772,7 +777,8 @@
   std::map<vm_id, vm> vms_;
   int last_vm_ = 0;
   std::int64_t last_incarnation_ = 0;
-  /// Lives that are over, until the next one is there, and after that.
+  /// Crashed VMs until their next incarnation appears, and their ids after
+  /// that.
   std::map<vm_id, vm_description> crashed_;
   std::set<vm_id> replaced_;
   std::map<task_name, int> starts_after_crashes_;
@@ -786,7 +792,7 @@
   std::map<job_id, job_progress> records_;
   std::map<vm_id, std::string> used_;
   std::set<task_name> acked_done_;
-  /// Jobs of which some VM took a task.
+  /// Jobs of which a VM has accepted a task.
   std::set<job_id> taken_;
 };
 
--- a/tests/core/jobs/pool_model_test.cc
+++ b/tests/core/jobs/pool_model_test.cc
@@ -11,9 +11,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A read that watches is given up after 2 s, and a new one is sent then.
+// A long-polling read times out after 2 s and is then repeated.
 constexpr milliseconds kLatestRead(2100);
-// The reads after a claim take this long when one of them hangs.
+// The duration of the reads after a claim if one of them hangs.
 constexpr milliseconds kLongestTakeover(2000);
 
 std::shared_ptr<const job_spec> RandomJob(int number, std::mt19937* random) {
@@ -33,7 +33,7 @@
   return Job("job-" + std::to_string(number), std::move(steps));
 }
 
-// Runs a pool under faults, then without, and returns what went wrong.
+// Runs a pool with faults and then without, and returns the violations.
 std::vector<std::string> Play(std::uint32_t seed, const model_faults& faults) {
   std::mt19937 random(seed);
   pool_model model(seed, faults, 5);
@@ -55,7 +55,7 @@
   return violations;
 }
 
-// Plays with seeds that the test's own seed gives.
+// Runs the model with seeds that are derived from the seed of the test.
 bool KeepsPromises(const model_faults& faults) {
   return rc::check([&] {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -82,9 +82,10 @@
     CHECK(KeepsPromises(faults));
   }
 
-  // A caller asked how many jobs wait and was told 0: the first tasks of all
-  // of them had been ordered, and no VM had taken one. Each record that says
-  // that a job runs is checked against what VMs took.
+  // Guards against jobs that are recorded as running, and not counted as
+  // waiting, although their first tasks were only ordered and no VM had
+  // accepted one. Each record of a running job is compared with the tasks that
+  // VMs accepted.
   SECTION("orders that are lost or refused") {
     model_faults faults;
     faults.lost_orders = 0.2;
@@ -105,8 +106,8 @@
     CHECK(KeepsPromises(faults));
   }
 
-  // A task ran twice: the owner before had read its job sooner than the new
-  // owner did, and had started it.
+  // Guards against a task that runs twice because the earlier owner had read
+  // and started its job before the new owner read it.
   SECTION("owners that read new jobs sooner or later than one another") {
     model_faults faults;
     faults.takeover_every = seconds(2);
@@ -115,15 +116,16 @@
     CHECK(KeepsPromises(faults));
   }
 
-  // Their tasks run on, and none starts there or, on that ground, elsewhere.
+  // The tasks of these VMs continue; none starts there, and none starts
+  // elsewhere for that reason.
   SECTION("VMs whose entries can't be read, with all else") {
     model_faults faults = AllFaults();
     faults.unreadable_every = seconds(2);
     CHECK(KeepsPromises(faults));
   }
 
-  // Guards against starts, and against tasks that are lost or run twice, by a
-  // capacity that a VM had before.
+  // Guards against starts that use an outdated capacity, and against tasks that
+  // are lost or run twice because of it.
   SECTION("VMs whose capacity shrinks and grows") {
     model_faults faults;
     faults.shrink_every = milliseconds(700);
@@ -171,21 +173,22 @@
   CHECK(KeepsPromises(faults));
 }
 
-// Seeds that failed once.
+// Seeds of earlier failures.
 TEST_CASE("A pool keeps its promises in the cases that it once broke them") {
   const std::uint32_t seed = GENERATE(130U);
   CAPTURE(seed);
   CHECK(Play(seed, AllFaults()) == std::vector<std::string>());
 }
 
-// A queue in its turn asks for twice what its pool holds, for four seconds;
-// then there is calm. Every job still ends, and those that come in the calm end
-// in time: jobs that are late anyway don't hold them up.
+// Guards against late jobs that delay others. A queue submits twice the
+// capacity of its pool for 4 s, followed by normal load. All jobs must end, and
+// those that are submitted under normal load must end in time.
 TEST_CASE(
     "After a rise past its capacity a pool serves the next jobs in time") {
   pool_model model(7, {}, 4);
   model.Run(milliseconds(500));
-  // 32 cores; a job takes 8 core-seconds, so that 4 a second are what it holds.
+  // The pool has 32 cores and a job takes 8 core-seconds, so that the capacity
+  // is 4 jobs per second.
   step_spec step = Step(8, 1000);
   step.estimate = seconds(1);
   for (int i = 0; i < 32; ++i) {
@@ -205,7 +208,7 @@
   for (int i = 0; i < 4; ++i) {
     const job_id id = "calm-" + std::to_string(i);
     REQUIRE(model.ended_at.count(id) == 1);
-    // Twice its chain of 1 s.
+    // Twice its critical path of 1 s.
     CHECK(model.ended_at[id] - model.submitted_at[id] <= seconds(2));
   }
 }
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -58,7 +58,7 @@
     }
   }
 
-  // Guards against starts by the capacity that a VM had before it shrank.
+  // Guards against starts that use the capacity that a VM had before it shrank.
   SECTION("it keeps to what a VM says of its capacity while that changes") {
     driver.Add(Job("first", {Step(4, 1000)}));
     REQUIRE(driver.StartAll().size() == 4);
@@ -124,9 +124,9 @@
   }
 }
 
-// A caller is told that its job runs, and an operator that nothing waits, while
-// no VM has taken any task of it: the orders were lost, or refused. A job whose
-// first task was only ordered still waits.
+// Guards against jobs that are reported as running, and not counted as waiting,
+// while no VM has accepted any of their tasks because the orders were lost or
+// rejected. A job whose first task was only ordered is still waiting.
 TEST_CASE("A job runs once a VM has taken one of its tasks") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
@@ -195,9 +195,10 @@
   }
 }
 
-// A lasting step has one task on each VM. One fails, and all other VMs hold a
-// task of the step already. If it never went back to its VM it would stay down
-// for good, with room for it.
+// Guards against a task that stays down although there is capacity for it. A
+// long-running step has one task on each VM. One task fails, and all other VMs
+// already hold a task of the step, so that it can only start again on the same
+// VM.
 TEST_CASE("A failed task goes back to its VM when no other may take it") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -246,10 +247,10 @@
         1);
 }
 
-// The order to start a task has no answer. The VM may carry it out seconds
-// later, after the task has been started elsewhere: the task would run twice.
-// So nothing starts elsewhere until the VM has confirmed a stop of that run and
-// then shown that it doesn't have it.
+// Guards against a task that runs twice. The order to start it is not answered,
+// and the VM may carry it out seconds later, after the task was started
+// elsewhere. Therefore nothing starts elsewhere until the VM has confirmed a
+// stop of that run and then sent a listing without it.
 TEST_CASE("A start without an answer is settled before the task starts again") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -302,8 +303,8 @@
   }
 }
 
-// A VM falls silent. Its task may run on until the lease is over, so that it
-// starts elsewhere only then; the VM's clock may be slow.
+// A VM stops answering. Its task may continue until the lease has expired, so
+// that it starts elsewhere only after that; the clock of the VM may be slow.
 TEST_CASE("The tasks of a silent VM start elsewhere when its lease is over") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -321,8 +322,9 @@
   CHECK(driver.Starts().empty());
   driver.Pass(milliseconds(400));
   driver.List(other, {}, {});
-  // A newer owner may have heard the VM, and may have acknowledged the end of
-  // the task there. The store refuses this owner's record then.
+  // A newer owner may have received a listing of the VM and acknowledged the
+  // end of the task there. In that case the store rejects the record of this
+  // owner.
   CHECK(driver.Starts().empty());
   driver.Store();
   const auto again = driver.StartAll();
@@ -350,8 +352,9 @@
   }
 }
 
-// Every task that a VM is given fails, while its health looks good. It is idle
-// soon and draws the next tasks, until jobs run out of attempts.
+// Guards against a VM that fails every task although its health checks pass. It
+// soon becomes idle and attracts the next tasks, until jobs run out of
+// attempts.
 TEST_CASE("A VM that fails every task is set aside, a job that fails isn't") {
   scheduler_driver driver;
   std::vector<vm_description> vms;
@@ -485,9 +488,10 @@
   CHECK(driver.paces[0].percent == 20);
 }
 
-// The store answers an owner's renewals, and none of its readings. The owner
-// doesn't learn of cancellations, and would go on to start tasks of jobs whose
-// callers were told seconds ago that they are cancelled.
+// Guards against starts of cancelled jobs. The store answers the renewals of an
+// owner but none of its reads. The owner does not learn of cancellations, and
+// would start tasks of jobs whose callers were told seconds ago that they are
+// cancelled.
 TEST_CASE("Nothing starts while it isn't known what was cancelled") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
--- a/tests/core/jobs/scheduler_driver.h
+++ b/tests/core/jobs/scheduler_driver.h
@@ -47,7 +47,8 @@
   return policy;
 }
 
-/// Drives a `pool_scheduler` by hand, with VMs that answer what a test says.
+/// Drives a `pool_scheduler` step by step, with VMs whose answers the test
+/// determines.
 class scheduler_driver {
  public:
   explicit scheduler_driver(const takeover_bounds& takeover = {})
@@ -58,8 +59,8 @@
     scheduler.AddJob(job, policy, now);
   }
 
-  /// Lists the VMs, stores the record of them and lets each tell that it is
-  /// idle.
+  /// Registers the VMs, stores their records and lets each of them list no
+  /// tasks.
   void Bring(const std::vector<vm_description>& vms) {
     scheduler.UpdateVms(vms, now);
     for (const vm_description& vm : vms) {
@@ -73,7 +74,7 @@
 
   void Pass(duration time) { now += time; }
 
-  /// A hold that was sent and answered now.
+  /// Passes the answer to a hold that was sent and answered now.
   void List(const vm_id& vm,
             std::vector<running_task> running,
             std::vector<ended_task> ended) {
@@ -91,8 +92,8 @@
     scheduler.OnListing(vm, sent_at, listing, now);
   }
 
-  /// Returns the starts that are ordered now; other orders are kept in `stops`
-  /// and `paces`.
+  /// Returns the starts that are ordered now. Other orders are stored in
+  /// `stops` and `paces`.
   std::vector<start_order> Starts() {
     std::vector<start_order> starts;
     stops.clear();
@@ -109,7 +110,7 @@
     return starts;
   }
 
-  /// Orders what is due and lets every start succeed; returns the starts.
+  /// Sends the due orders and lets every start succeed. Returns the starts.
   std::vector<start_order> StartAll() {
     std::vector<start_order> starts = Starts();
     for (const start_order& start : starts) {
@@ -118,7 +119,7 @@
     return starts;
   }
 
-  /// Stores all that is to be stored, and returns it.
+  /// Stores all pending batches and returns them.
   std::vector<progress_batch> Store() {
     std::vector<progress_batch> batches;
     while (auto batch = scheduler.TakeBatch()) {
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -38,8 +38,8 @@
   return step;
 }
 
-// Guards against starts on a VM that has less room than its tasks take, and
-// against ending those tasks for it.
+// Guards against starts on a VM whose tasks use more than its capacity, and
+// against stopping those tasks because of it.
 TEST_CASE("A VM that shrinks below what runs on it") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
@@ -114,8 +114,8 @@
   }
 }
 
-// Guards against starts that count a refused start, or one under way, as if it
-// took no room.
+// Guards against starts that do not count the resources of a rejected start or
+// of one in flight.
 TEST_CASE("A VM that shrinks while a start is on its way") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1", 4000), Vm("vm-2", 4000)});
@@ -149,8 +149,8 @@
   }
 }
 
-// Guards against users that lose a lasting task since its VM shrank, and
-// against moves of several at once when that VM is emptied.
+// Guards against interrupting a long-running task because its VM has shrunk,
+// and against moving several tasks at once when that VM is emptied.
 TEST_CASE("Lasting tasks on a VM that shrinks stay at work") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
@@ -193,8 +193,8 @@
   }
 }
 
-// Guards against a new owner that goes by the capacity of before, or by none,
-// when it begins on a VM that has shrunk.
+// Guards against a new owner that uses the previous capacity, or none, of a VM
+// that has shrunk.
 TEST_CASE("An owner that begins after a VM has shrunk") {
   takeover_bounds bounds;
   bounds.exclusive_from = kClaimed + seconds(2);
@@ -239,8 +239,8 @@
   CHECK(starts[0].target.task.job == "next");
 }
 
-// Guards against starts by a capacity that a VM had before the store was away:
-// it can't report a smaller one meanwhile.
+// Guards against starts that use the capacity that a VM had before the store
+// became unavailable: the VM cannot report a smaller one in the meantime.
 TEST_CASE("A VM whose report of its capacity is old") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
@@ -266,7 +266,8 @@
   }
 }
 
-// Guards against a gang of which a part starts, as one of its VMs has shrunk.
+// Guards against a gang that starts only partly because one of its VMs has
+// shrunk.
 TEST_CASE("A gang that a shrunk VM has no room for waits as a whole") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -279,7 +280,8 @@
   CHECK(driver.Starts().size() == 2);
 }
 
-// Guards against a pool that draws no VMs as it counts room that is gone.
+// Guards against a pool that requests no VMs because it counts capacity that no
+// longer exists.
 TEST_CASE("A pool whose VMs have shrunk wants more of them") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
--- a/tests/core/jobs/suspected_task_test.cc
+++ b/tests/core/jobs/suspected_task_test.cc
@@ -15,8 +15,8 @@
 
 constexpr milliseconds kShortWhile(200);
 
-/// A job of one task under which one VM has crashed, in a pool of `vm-1` (the
-/// next life, idle) and `vm-2`.
+/// A job with one task under which one VM has crashed, in a pool of `vm-1` (the
+/// next incarnation, idle) and `vm-2`.
 class suspected_task {
  public:
   explicit suspected_task(const step_spec& step) {
@@ -39,7 +39,7 @@
     return phase_;
   }
 
-  /// Loses the VM on which the task was started last.
+  /// Crashes the VM on which the task was started last.
   void Crash(const vm_id& vm) {
     driver.scheduler.OnReplaced(vm, driver.now);
     Phase();
@@ -51,8 +51,8 @@
   job_phase phase_ = job_phase::kQueued;
 };
 
-// Guards against tasks that are lost, and blamed, since they start beside one
-// that crashes their VM.
+// Guards against tasks that are lost and counted as suspected because they
+// start next to a task that crashes their VM.
 TEST_CASE("A task under which a VM crashed starts apart from others") {
   suspected_task play(Step(1));
   scheduler_driver& driver = play.driver;
@@ -73,7 +73,7 @@
 
     SECTION("until the VM has outlived the start") {
       const vm_id vm = apart->target.vm;
-      // What "vm-2" has room for is full.
+      // The capacity of "vm-2" is used up.
       driver.Add(Job("large", {Step(1, 7000)}));
       CHECK(driver.Starts().empty());
       driver.Pass(kShortWhile);
@@ -104,8 +104,9 @@
   }
 }
 
-// Guards against jobs that are given up since their VMs were cut off: the VM
-// comes back as it was, and with it what counted against the task goes.
+// Guards against jobs that are given up because their VMs were disconnected.
+// The VM returns in the same incarnation, and the losses of the task are
+// withdrawn.
 TEST_CASE("A VM that is heard again hasn't crashed") {
   suspected_task play(Step(1));
   scheduler_driver& driver = play.driver;
@@ -156,10 +157,8 @@
   }
 }
 
-// Seen by callers: jobs of theirs were shown as failed, whose tasks only ran
-// beside others that crashed their VMs.
-// Guards against jobs that are given up for what a suspected task beside them
-// does to the VM.
+// Guards against jobs that fail because of the effects of a suspected task on
+// the same VM.
 TEST_CASE("A task beside a suspected one that crashes its VM isn't blamed") {
   constexpr int kRounds = 6;
   scheduler_driver driver;
@@ -203,8 +202,8 @@
   CHECK(told["bystander"].tasks.at(0).losses.empty());
 }
 
-// Guards against lasting jobs that are given up after they have outlived a few
-// VMs: what counts are crashes at starts in a row.
+// Guards against long-running jobs that are given up after they have survived a
+// few VMs: only consecutive crashes at starts count.
 TEST_CASE("A lasting task that was at work has nothing against it") {
   step_spec step = Step(1);
   step.long_running = true;
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -18,8 +18,9 @@
   return bounds;
 }
 
-// Guards against a pool that stands still for the length of a lease after each
-// change of its owner, for VMs that were emptied and moved away before.
+// Guards against a pool that starts nothing for the length of a lease after
+// each change of its owner, because of VMs that were emptied and removed
+// before.
 TEST_CASE("A new owner doesn't wait for VMs that were recorded as vacant") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
@@ -60,8 +61,8 @@
   }
 }
 
-// Guards against the same for VMs whose records of use were dropped, and that
-// the registry lists for some seconds more.
+// Guards against the same delay because of VMs whose records were deleted and
+// that the registry lists for some more seconds.
 TEST_CASE("A new owner doesn't wait for vacant VMs that are only listed yet") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
@@ -73,8 +74,8 @@
   CHECK(driver.Starts().size() == 2);
 }
 
-// Guards against a takeover that waits for records of leases that have ended,
-// one after the other, on VMs that were vacant.
+// Guards against a takeover that waits, one after the other, for records of
+// expired leases of vacant VMs.
 TEST_CASE("The end of a vacant VM's lease holds up no takeover") {
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-2"] = kClaimed;
@@ -89,8 +90,8 @@
   CHECK(driver.Starts().size() == 2);
 }
 
-// Guards against a VM that is recorded as vacant before all that it tells is
-// known: the next owner doesn't ask it, and would start its task again.
+// Guards against a VM that is recorded as vacant before its whole listing is
+// processed: the next owner does not query it and would start its task again.
 TEST_CASE("A VM that tells an end of an unknown job isn't empty") {
   scheduler_driver driver(Bounds());
   driver.Bring({Vm("vm-1")});
@@ -99,9 +100,9 @@
   CHECK_FALSE(driver.scheduler.IsEmpty("vm-1"));
 }
 
-// An owner is replaced. What it started runs on, and VMs that the new owner
-// hasn't heard may hold any task of the jobs that were accepted before. A task
-// that started at once would run twice.
+// Guards against tasks that run twice after a change of the owner. The runs of
+// the earlier owner continue, and VMs that the new owner has not heard from may
+// hold any task of the jobs that were accepted before.
 TEST_CASE("A new owner asks all VMs before it starts what may be running") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -138,7 +139,7 @@
   SECTION("a VM is heard only when its listing was taken in whole") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.List("vm-2", {}, {});
-    // The end of a job that isn't known here holds back the second one.
+    // The end of a job that is unknown here blocks the second end.
     driver.List("vm-1", {},
                 {Ended(1, {"unknown", 0, 0, 0}, 1, end_kind::kDone),
                  Ended(2, first, 1, end_kind::kDone)});
@@ -186,11 +187,11 @@
   }
 }
 
-// Two runs of a task were seen at once. The owner before had read a job that
-// was accepted during the takeover, and started it before the VM heard of the
-// new owner. A read of the new one was slow, so that the VM listed the run
-// first, of a job that wasn't known, and the job was read later. It was started
-// elsewhere before the VM's next listing.
+// Guards against two concurrent runs of a task. The earlier owner reads and
+// starts a job that is accepted during the takeover before the VM is fenced by
+// the new owner. A read of the new owner is slow, so that the VM lists the run
+// before its job is known. The task was started elsewhere before the next
+// listing of the VM.
 TEST_CASE("A job that is read after a VM has told of it isn't started again") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
@@ -230,8 +231,9 @@
   }
 }
 
-// The run of a job that ended under the earlier owner is still on a VM. How
-// much room it takes isn't known here; a start beside it could exceed the VM.
+// Guards against exceeding the capacity of a VM. The run of a job that ended
+// under the earlier owner is still on the VM, and its resources are unknown
+// here.
 TEST_CASE("A run of an ended job closes its VM until it is gone") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -248,12 +250,13 @@
   CHECK(driver.Starts().size() == 1);
 }
 
-// An owner started run 1 of a task on vm-1 and recorded nothing of it. By the
-// time it is replaced, the VM's lease is over and the VM is silent. Its heir
-// drops the record of the VM; if the heir is replaced before it gives another
-// run, the next owner knows of neither VM nor run and gives number 1 again.
-// When vm-1 tells the end of the old run, that passes for the end of the new
-// one, and the task is started a second time while it runs.
+// Guards against reused run numbers. An owner starts run 1 of a task on vm-1
+// and records nothing of it. When it is replaced, the lease of vm-1 has expired
+// and vm-1 does not answer. The second owner deletes the record of vm-1. If it
+// is replaced before it starts another run, the third owner knows neither the
+// VM nor the run and uses number 1 again. When vm-1 lists the end of the old
+// run, it is mistaken for the end of the new one, and the task is started a
+// second time while it runs.
 TEST_CASE(
     "The end of a run that nobody has heard doesn't pass for a newer one") {
   const task_name task{"job", 0, 0, 0};
@@ -261,7 +264,7 @@
   bounds.lease_ends["vm-1"] = kClaimed;
   const known_vm silent{"vm-1", "10.0.0.1:80"};
 
-  // Brings the silent VM back while the task's new run is on vm-2.
+  // Lets the unresponsive VM answer while the new run of the task is on vm-2.
   const auto bring_back = [&](scheduler_driver* driver, std::uint32_t run) {
     driver->Pass(milliseconds(500));
     driver->scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver->now);
@@ -309,11 +312,12 @@
   }
 }
 
-// An heir leaves out 100 run numbers because of a VM that never told. It gives
-// the next number to a run before a record of that is stored, and is replaced.
-// The next owner knows nothing of it, leaves out the same 100 because the VM of
-// that run is silent, and gives the same number. The end of the first of the
-// two runs then passes for the end of the second one, which still runs.
+// Guards against reused run numbers. An owner skips 100 run numbers because of
+// a VM without a listing, uses the next number for a run before the record of
+// that is stored, and is replaced. The next owner knows nothing of it, skips
+// the same 100 because the VM of that run does not answer, and uses the same
+// number. The end of the first run is then mistaken for the end of the second
+// one, which still runs.
 TEST_CASE("A number that was given before a record of it is not given again") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
@@ -346,7 +350,8 @@
     given = other.StartAll();
   }
 
-  // Nothing is to be started before the record; if so, no number can recur.
+  // Nothing may be started before the record is stored; then no number can be
+  // reused.
   if (given.empty()) {
     return;
   }
@@ -373,10 +378,10 @@
   CHECK(next.Starts().empty());
 }
 
-// An earlier owner started a job that the new one hasn't read, and the task is
-// done. The VM tells that end. The read that would bring the job hangs, or the
-// store is away, for longer than ends of unknown jobs are kept: then the end is
-// acknowledged and forgotten, and the job, once read, starts again.
+// Guards against a job that starts again although its task is done. An earlier
+// owner started it, the new one has not read it, and the VM lists the end. The
+// read of the job hangs, or the store is unavailable, for longer than ends of
+// unknown jobs were kept: then the end was acknowledged and dropped.
 TEST_CASE("A job that is read late isn't started again after its end") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
@@ -394,11 +399,12 @@
   CHECK(driver.Starts().empty());
 }
 
-// The new owner has heard that a run of a job that it hasn't read is on a VM.
-// The store falls silent, all leases end, and the run is forgotten with its VM.
-// When the store answers again the job is read before the VM is heard, counts
-// as new and gets the same number. The end of the old run passes for the new
-// one's, and the task is started beside itself.
+// Guards against reused run numbers. The new owner knows from a VM of a run of
+// a job that it has not read. The store becomes unavailable, all leases expire,
+// and the run is removed with its VM. When the store is available again, the
+// job is read before the VM answers, counts as new and gets the same run
+// number. The end of the old run is mistaken for that of the new one, and the
+// task runs twice at the same time.
 TEST_CASE("A run that was told before its job was read keeps its number") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
@@ -477,9 +483,10 @@
   }
 }
 
-// A task failed twice under an owner that couldn't reach the store, so that
-// nothing of it is recorded. The new owner hears the VM of the second run
-// first. A failure that is passed over would allow a third run.
+// Guards against failures that are not counted. A task failed twice under an
+// owner that could not reach the store, so that nothing is recorded. The new
+// owner hears from the VM of the second run first. If a failure were ignored, a
+// third run would be permitted.
 TEST_CASE("Failures are counted in whatever order VMs tell of them") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
--- a/tests/core/jobs/unanswered_start_test.cc
+++ b/tests/core/jobs/unanswered_start_test.cc
@@ -8,11 +8,12 @@
 
 using std::chrono::milliseconds;
 
-// An owner orders two lasting tasks to start, and the answers are lost. Both
-// are carried out. A stop of each, sent to settle the start, ends tasks that
-// are at work by then: their users lose more of the step than it may miss. So
-// the VM is asked first what it runs, and only a start that it doesn't show is
-// settled by a stop.
+// Guards against stops that interrupt long-running tasks. An owner orders two
+// long-running tasks to start, both orders are carried out, and the answers are
+// lost. If each start were resolved by a stop, it would end tasks that are
+// already ready, and more of the step would be unavailable than permitted.
+// Therefore the next listing of the VM is awaited, and only a start that it
+// does not show is resolved by a stop.
 TEST_CASE("A lasting task whose start had no answer") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1"), Vm("vm-2")});
@@ -56,8 +57,8 @@
   }
 }
 
-// The VM shows the run before the owner gives up on the answer to its start.
-// The order was sent once, so that nothing of it can come any more.
+// The VM lists the run before the call to start it times out. The order was
+// sent only once, so that it cannot arrive again.
 TEST_CASE("A run that a VM has shown needs no answer to its start") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
--- a/tests/core/jobs/vm_index_test.cc
+++ b/tests/core/jobs/vm_index_test.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t kVms = 6;
 const std::vector<std::string> kLabels = {"", "kind", "rack-1", "rack-2"};
 
-/// A table and an index of it, and what they must come to.
+/// A table of VMs, an index of it, and a check of the index against the table.
 class indexed_vms {
  public:
   indexed_vms() {
@@ -31,7 +31,7 @@
     }
   }
 
-  /// Changes one VM in one way, and takes it into the index.
+  /// Changes one VM in one way and updates the index.
   void Change(std::size_t number, int kind) {
     vm_state* vm = vms_[number];
     const task_name task{"job", 0, 0, 0};
@@ -66,7 +66,7 @@
     index_.Update(vm, now_);
   }
 
-  /// Looks at each VM, and compares.
+  /// Compares the index with values computed from all VMs.
   void Check() {
     std::uint32_t usable = 0;
     std::size_t idle = 0;
@@ -128,8 +128,8 @@
   std::vector<vm_state*> vms_;
 };
 
-// Guards against counts and lists that drift from the VMs: tasks would wait
-// beside room, or go to VMs that take none.
+// Guards against counts and lists that deviate from the VMs: tasks would wait
+// despite free capacity, or be placed on unavailable VMs.
 TEST_CASE("An index of VMs stays as if each was counted anew") {
   rc::prop("any order of changes", [] {
     indexed_vms vms;
@@ -139,7 +139,7 @@
     const auto first_look = *rc::gen::inRange<std::size_t>(0, 20);
     for (std::size_t i = 0; i < changes.size(); ++i) {
       vms.Change(static_cast<std::size_t>(changes[i].first), changes[i].second);
-      // Lists by label are made at the first look.
+      // Lists by label are created when they are first requested.
       if (i >= first_look) {
         vms.Check();
       }
--- a/tests/core/jobs/vm_restart_test.cc
+++ b/tests/core/jobs/vm_restart_test.cc
@@ -13,7 +13,7 @@
 constexpr std::int64_t kFirstLife = 1'790'000'000'000;
 constexpr std::int64_t kNextLife = kFirstLife + 7000;
 
-/// A pool of two VMs, one of which begins again under its id.
+/// A pool of two VMs, one of which restarts under its id.
 class restarted_vm {
  public:
   restarted_vm() { driver.Bring({Described(kFirstLife), Vm("vm-2", 1000)}); }
@@ -24,7 +24,7 @@
     return vm;
   }
 
-  /// Lists the VM's entry as its next life writes it.
+  /// Registers the VM with the entry that its next incarnation writes.
   void Register() {
     driver.scheduler.UpdateVms({Described(kNextLife), Vm("vm-2", 1000)},
                                driver.now);
@@ -53,7 +53,7 @@
 
   duration FirstClock() const { return driver.now.time_since_epoch(); }
 
-  /// Lets a job with this many tasks end as done on the first life.
+  /// Lets a job with `count` tasks end as done on the first incarnation.
   void EndTasksOfFirstLife(std::uint32_t count) {
     driver.Add(Job("before", {Step(count, 1500)}));
     driver.StartAll();
@@ -69,8 +69,9 @@
   const task_name task{"job", 0, 0, 0};
 };
 
-// Guards against tasks that run twice: the first ends of a VM that begins again
-// under its id passed for ends of its former life that were taken before.
+// Guards against tasks that run twice. The first ends of a VM that restarts
+// under its id were mistaken for ends of its previous incarnation that were
+// processed before.
 TEST_CASE("Ends of a VM's next life are taken from the first one on") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
@@ -98,8 +99,8 @@
   CHECK(driver.StartAll().empty());
 }
 
-// Guards against runs that a VM lost with its former life and that go on as if
-// they were on the next one.
+// Guards against runs that were lost with the previous incarnation of a VM and
+// are treated as if they were on the next one.
 TEST_CASE("What ran in a VM's former life is over when the next one is heard") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
@@ -146,8 +147,9 @@
   }
 }
 
-// Guards against tasks that crash their VMs and start without limit: the next
-// life of a VM under its id passed for one that had only been cut off.
+// Guards against tasks that crash their VMs and start without limit. The next
+// incarnation of a VM under its id was mistaken for a VM that had only been
+// disconnected.
 TEST_CASE("A run that a VM's former life lost counts against its task") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
@@ -169,7 +171,7 @@
   CHECK(progress.tasks[0].losses.size() == 1);
 }
 
-// Guards against the same where another owner has recorded the loss.
+// Guards against the same error if another owner has recorded the loss.
 TEST_CASE("A loss in a VM's former life isn't withdrawn by its next one") {
   const auto incarnation = GENERATE(kFirstLife, kNextLife);
   scheduler_driver driver;
@@ -195,8 +197,8 @@
   CHECK(progress.tasks[0].losses.empty() == (incarnation == kFirstLife));
 }
 
-// Guards against a start of the former life that the next one carries out late,
-// beside a newer run.
+// Guards against a start of the previous incarnation that the next one carries
+// out late, concurrently with a newer run.
 TEST_CASE("A start without an answer is settled with a VM's next life, too") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
@@ -213,7 +215,7 @@
     driver.Pass(seconds(2));
     vm.List(kNextLife, seconds(1));
     vm.Register();
-    // Whichever life confirmed this stop, it may have been the former one.
+    // The previous incarnation may have confirmed this stop.
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
     vm.List(kNextLife, seconds(1));
     driver.Store();
--- a/tests/core/jobs/vm_table_test.cc
+++ b/tests/core/jobs/vm_table_test.cc
@@ -16,8 +16,8 @@
   return run;
 }
 
-// Guards against a VM that a plan never looks at again, though it has changed
-// or its lease is over.
+// Guards against a VM that no plan visits again although it has changed or its
+// lease has expired.
 TEST_CASE("A table tells which VMs have changed, and which are due") {
   vm_table table;
   const time_point now{std::chrono::hours(1)};
@@ -68,8 +68,8 @@
   }
 }
 
-// Guards against a run that isn't stopped because its VM isn't found by its
-// job, and against a VM that is found after its last run is gone.
+// Guards against a run that is not stopped because its VM is not found by its
+// job, and against a VM that is found after its last run was removed.
 TEST_CASE("VMs are found by the jobs that have runs on them") {
   vm_table table;
   vm_state* first = table.Add(Vm("vm-1")).first;
