--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 // After three VMs have crashed under a task, it may start twice more.
-constexpr std::size_t kMostStarts = 5;
+constexpr std::size_t kMaxStarts = 5;
 constexpr int kRounds = 10;
 constexpr const char* kCrashes = "crashes";
 
@@ -43,7 +43,7 @@
     driver_->Pass(seconds(3));
     driver_->Starts();
     driver_->scheduler.OnReplaced(Id(), driver_->now);
-    BringNextLife();
+    AddNextIncarnation();
   }
 
   /// Replaces the owner after the VM has crashed and before its next
@@ -52,10 +52,10 @@
   void CrashAndReplaceOwner() {
     driver_->scheduler.OnHoldUnanswered(Id());
     Store();
-    ++life_;
+    ++incarnation_;
     ReplaceOwner();
     driver_->Pass(seconds(6));
-    Bring();
+    Register();
   }
 
   /// The VM stops answering, and its next incarnation has a different id and
@@ -64,7 +64,7 @@
     driver_->scheduler.OnHoldUnanswered(Id());
     driver_->Pass(seconds(5));
     driver_->Starts();
-    BringNextLife();
+    AddNextIncarnation();
   }
 
   /// Continues with another owner from the recorded state.
@@ -83,14 +83,14 @@
   }
 
  private:
-  vm_id Id() const { return "vm-" + std::to_string(life_); }
+  vm_id Id() const { return "vm-" + std::to_string(incarnation_); }
 
-  void BringNextLife() {
-    ++life_;
-    Bring();
+  void AddNextIncarnation() {
+    ++incarnation_;
+    Register();
   }
 
-  void Bring() {
+  void Register() {
     driver_->scheduler.UpdateVms({Vm(Id())}, driver_->now);
     driver_->List(Id(), {}, {});
     Store();
@@ -112,12 +112,12 @@
     }
     driver_->Add(Job("job", {Step(1)}));
     driver_->scheduler.RestoreJob("job", progress_);
-    Bring();
+    Register();
   }
 
   std::unique_ptr<scheduler_driver> driver_;
   job_progress progress_;
-  int life_ = 1;
+  int incarnation_ = 1;
 };
 
 // Guards against tasks that crash every VM that starts them and are started
@@ -166,7 +166,7 @@
     }
   }
 
-  CHECK(starts <= kMostStarts);
+  CHECK(starts <= kMaxStarts);
   CHECK(vm.Phase() == job_phase::kFailed);
 }
 
@@ -186,7 +186,8 @@
 // the effects of another task on the VM. Runs a pool in which every fifth job
 // has a task that crashes its VMs, and returns the violations. Only jobs under
 // which VMs crashed may be given up; the others must complete.
-std::vector<std::string> PlayCrashes(std::uint32_t seed, model_faults faults) {
+std::vector<std::string> RunCrashingTasks(std::uint32_t seed,
+                                          model_faults faults) {
   faults.crashing_payload = kCrashes;
   pool_model model(seed, faults, 6);
   model.Run(milliseconds(500));
@@ -196,9 +197,9 @@
     model.Submit(SmallJob(i, i % kEvery == 0), Policy(50));
     model.Run(milliseconds(300));
   }
-  model_faults calm;
-  calm.crashing_payload = kCrashes;
-  model.SetFaults(calm);
+  model_faults no_faults;
+  no_faults.crashing_payload = kCrashes;
+  model.SetFaults(no_faults);
   model.Run(seconds(60));
   std::vector<std::string> violations = model.violations;
   for (int i = 0; i < kJobs; ++i) {
@@ -215,7 +216,7 @@
   SECTION("by one owner") {
     CHECK(rc::check([] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, {}) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, {}) == std::vector<std::string>());
     }));
   }
 
@@ -225,7 +226,7 @@
     faults.silence_every = seconds(3);
     CHECK(rc::check([&] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, faults) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, faults) == std::vector<std::string>());
     }));
   }
 
@@ -234,7 +235,7 @@
     faults.takeover_every = seconds(4);
     CHECK(rc::check([&] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, faults) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, faults) == std::vector<std::string>());
     }));
   }
 }
--- a/tests/core/jobs/job_age_test.cc
+++ b/tests/core/jobs/job_age_test.cc
@@ -107,7 +107,7 @@
 // for, since the time before its owner read it doesn't count.
 TEST_CASE("A job's result counts from when it was handed in") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.scheduler.AddJob(Job("job", {Step(1)}), Policy(), driver.now,
                           milliseconds(1500));
   const time_point handed_in = driver.now - milliseconds(1500);
--- a/tests/core/jobs/pool_model_test.cc
+++ b/tests/core/jobs/pool_model_test.cc
@@ -34,7 +34,8 @@
 }
 
 // Runs a pool with faults and then without, and returns the violations.
-std::vector<std::string> Play(std::uint32_t seed, const model_faults& faults) {
+std::vector<std::string> RunModel(std::uint32_t seed,
+                                  const model_faults& faults) {
   std::mt19937 random(seed);
   pool_model model(seed, faults, 5);
   model.Run(milliseconds(500));
@@ -56,10 +57,10 @@
 }
 
 // Runs the model with seeds that are derived from the seed of the test.
-bool KeepsPromises(const model_faults& faults) {
+bool HoldsInvariants(const model_faults& faults) {
   return rc::check([&] {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-    RC_ASSERT(Play(seed, faults) == std::vector<std::string>());
+    RC_ASSERT(RunModel(seed, faults) == std::vector<std::string>());
   });
 }
 
@@ -79,7 +80,7 @@
     model_faults faults;
     faults.late_orders = 0.2;
     faults.lost_answers = 0.1;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // Guards against jobs that are recorded as running, and not counted as
@@ -90,20 +91,20 @@
     model_faults faults;
     faults.lost_orders = 0.2;
     faults.refused_orders = 0.3;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("VMs that fall silent or crash") {
     model_faults faults;
     faults.silence_every = seconds(2);
     faults.crash_every = seconds(3);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("owners that replace one another while the earlier one goes on") {
     model_faults faults;
     faults.takeover_every = seconds(2);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // Guards against a task that runs twice because the earlier owner had read
@@ -113,7 +114,7 @@
     faults.takeover_every = seconds(2);
     faults.read_delay = kLatestRead;
     faults.takeover_time = kLongestTakeover;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // The tasks of these VMs continue; none starts there, and none starts
@@ -121,7 +122,7 @@
   SECTION("VMs whose entries can't be read, with all else") {
     model_faults faults = AllFaults();
     faults.unreadable_every = seconds(2);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // Guards against starts that use an outdated capacity, and against tasks that
@@ -129,17 +130,17 @@
   SECTION("VMs whose capacity shrinks and grows") {
     model_faults faults;
     faults.shrink_every = milliseconds(700);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("VMs whose capacity shrinks and grows, with all else") {
     model_faults faults = AllFaults();
     faults.shrink_every = milliseconds(700);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("all of it together") {
-    CHECK(KeepsPromises(AllFaults()));
+    CHECK(HoldsInvariants(AllFaults()));
   }
 
   SECTION("all of it together, with lost or refused orders and late reads") {
@@ -148,7 +149,7 @@
     faults.refused_orders = 0.1;
     faults.read_delay = kLatestRead;
     faults.takeover_time = kLongestTakeover;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 }
 
@@ -170,14 +171,14 @@
     faults.takeover_every = seconds(3);
   }
 
-  CHECK(KeepsPromises(faults));
+  CHECK(HoldsInvariants(faults));
 }
 
 // Seeds of earlier failures.
 TEST_CASE("A pool keeps its promises in the cases that it once broke them") {
   const std::uint32_t seed = GENERATE(130U);
   CAPTURE(seed);
-  CHECK(Play(seed, AllFaults()) == std::vector<std::string>());
+  CHECK(RunModel(seed, AllFaults()) == std::vector<std::string>());
 }
 
 // Guards against late jobs that delay others. A queue submits twice the
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -12,7 +12,7 @@
 
 TEST_CASE("A pool's scheduler runs the steps of a job in order") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
 
   SECTION("when the second step depends on the first") {
     step_spec second = Step(1);
@@ -95,7 +95,7 @@
     gang.gang = true;
     driver.Add(Job("job", {gang}));
     CHECK(driver.Starts().empty());
-    driver.Bring({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
+    driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 3);
     CHECK(starts[0].target.run == starts[2].target.run);
@@ -129,7 +129,7 @@
 // rejected. A job whose first task was only ordered is still waiting.
 TEST_CASE("A job runs once a VM has taken one of its tasks") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -164,7 +164,7 @@
 
 TEST_CASE("Failed runs use up a task's attempts") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(2));
   const auto first = driver.StartAll();
   REQUIRE(first.size() == 1);
@@ -201,7 +201,7 @@
 // VM.
 TEST_CASE("A failed task goes back to its VM when no other may take it") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
   step.long_running = true;
   step.max_per_vm = 1;
@@ -223,7 +223,7 @@
 
 TEST_CASE("An end is acknowledged only after its record is stored") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   driver.Store();
@@ -253,7 +253,7 @@
 // stop of that run and then sent a listing without it.
 TEST_CASE("A start without an answer is settled before the task starts again") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -307,7 +307,7 @@
 // that it starts elsewhere only after that; the clock of the VM may be slow.
 TEST_CASE("The tasks of a silent VM start elsewhere when its lease is over") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(1));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
@@ -347,7 +347,7 @@
 
   SECTION("another life of it ends the wait at once") {
     driver.scheduler.OnReplaced(silent, driver.now);
-    driver.Bring({Vm(other)});
+    driver.Register({Vm(other)});
     CHECK(driver.scheduler.Vms().size() == 1);
   }
 }
@@ -361,7 +361,7 @@
   for (int i = 0; i < 4; ++i) {
     vms.push_back(Vm("vm-" + std::to_string(i), 1000));
   }
-  driver.Bring(vms);
+  driver.Register(vms);
   const auto fail = [&](const std::string& job, std::uint64_t number) {
     driver.List("vm-0", {},
                 {Ended(number, {job, 0, 0, 0}, 1, end_kind::kFailed)});
@@ -392,7 +392,7 @@
 
 TEST_CASE("A task without progress is stopped and goes to another VM") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   const run_ref target = starts[0].target;
@@ -417,7 +417,7 @@
 
 TEST_CASE("A VM that is emptied keeps what may not be disturbed") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
+  driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
   step_spec long_running = Step(2);
   long_running.long_running = true;
   long_running.max_per_vm = 1;
@@ -456,7 +456,7 @@
 
 TEST_CASE("Tasks that only fill are slowed before they hurt those that serve") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   step_spec serving = Step(1);
   serving.long_running = true;
   serving.latency_target = milliseconds(100);
@@ -494,7 +494,7 @@
 // cancelled.
 TEST_CASE("Nothing starts while it isn't known what was cancelled") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   const time_point read_at = driver.now;
   driver.scheduler.NoteCancellationsRead(read_at);
   driver.Add(Job("job", {Step(1)}));
@@ -521,7 +521,7 @@
 
 TEST_CASE("A cancelled job starts nothing and its tasks are stopped") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1", 1000)});
+  driver.Register({Vm("vm-1", 1000)});
   driver.Add(Job("job", {Step(3)}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.scheduler.CancelJob("job");
--- a/tests/core/jobs/scheduler_driver.h
+++ b/tests/core/jobs/scheduler_driver.h
@@ -61,7 +61,7 @@
 
   /// Registers the VMs, stores their records and lets each of them list no
   /// tasks.
-  void Bring(const std::vector<vm_description>& vms) {
+  void Register(const std::vector<vm_description>& vms) {
     scheduler.UpdateVms(vms, now);
     for (const vm_description& vm : vms) {
       List(vm.id, {}, {});
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -31,7 +31,7 @@
   return vm;
 }
 
-step_spec Lasting(std::uint32_t tasks) {
+step_spec LongRunningStep(std::uint32_t tasks) {
   step_spec step = Step(tasks, 2000);
   step.long_running = true;
   step.max_unavailable = 1;
@@ -42,7 +42,7 @@
 // against stopping those tasks because of it.
 TEST_CASE("A VM that shrinks below what runs on it") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(4, 2000)}));
   REQUIRE(driver.StartAll().size() == 4);
   driver.List("vm-1", AllRunning(4, 10), {});
@@ -118,7 +118,7 @@
 // of one in flight.
 TEST_CASE("A VM that shrinks while a start is on its way") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1", 4000), Vm("vm-2", 4000)});
+  driver.Register({Vm("vm-1", 4000), Vm("vm-2", 4000)});
   driver.Add(Job("job", {Step(1, 3000)}), Policy(1));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -153,8 +153,8 @@
 // and against moving several tasks at once when that VM is emptied.
 TEST_CASE("Lasting tasks on a VM that shrinks stay at work") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
-  driver.Add(Job("job", {Lasting(3)}));
+  driver.Register({Vm("vm-1")});
+  driver.Add(Job("job", {LongRunningStep(3)}));
   REQUIRE(driver.StartAll().size() == 3);
   driver.List("vm-1", AllRunning(3, 100), {});
   driver.scheduler.UpdateVms({Vm("vm-1", 3000), Vm("vm-2")}, driver.now);
@@ -243,7 +243,7 @@
 // became unavailable: the VM cannot report a smaller one in the meantime.
 TEST_CASE("A VM whose report of its capacity is old") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const duration left = milliseconds(3000);
   driver.scheduler.NoteReports({{"vm-1", driver.now + left}});
@@ -270,7 +270,7 @@
 // shrunk.
 TEST_CASE("A gang that a shrunk VM has no room for waits as a whole") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec gang = Step(2, 6000);
   gang.gang = true;
   driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2", 5000)}, driver.now);
@@ -284,7 +284,7 @@
 // longer exists.
 TEST_CASE("A pool whose VMs have shrunk wants more of them") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(8, 2000)}));
   REQUIRE(driver.StartAll().size() == 8);
   const pool_load before = driver.scheduler.Load("pool", driver.now);
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -94,7 +94,7 @@
 // processed: the next owner does not query it and would start its task again.
 TEST_CASE("A VM that tells an end of an unknown job isn't empty") {
   scheduler_driver driver(Bounds());
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   CHECK(driver.scheduler.IsEmpty("vm-1"));
   driver.List("vm-1", {}, {Ended(1, {"unknown", 0, 0, 0}, 1, end_kind::kDone)});
   CHECK_FALSE(driver.scheduler.IsEmpty("vm-1"));
@@ -195,7 +195,7 @@
 TEST_CASE("A job that is read after a VM has told of it isn't started again") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
 
   SECTION("when the VM has told that its task runs") {
@@ -273,24 +273,24 @@
     driver->Store();
   };
 
-  scheduler_driver heir(bounds);
-  heir.scheduler.AddKnownVm(silent);
-  heir.Add(Job("job", {Step(1)}));
+  scheduler_driver successor(bounds);
+  successor.scheduler.AddKnownVm(silent);
+  successor.Add(Job("job", {Step(1)}));
 
   SECTION("under the heir that dropped the VM's record") {
-    heir.Starts();
-    heir.Bring({Vm("vm-2")});
-    const auto starts = heir.StartAll();
+    successor.Starts();
+    successor.Register({Vm("vm-2")});
+    const auto starts = successor.StartAll();
     REQUIRE(starts.size() == 1);
-    bring_back(&heir, starts[0].target.run);
-    CHECK(heir.Starts().empty());
+    bring_back(&successor, starts[0].target.run);
+    CHECK(successor.Starts().empty());
   }
 
   SECTION("under an owner that replaces the heir before it has started any") {
-    heir.Starts();
+    successor.Starts();
     job_progress recorded;
     bool is_vm_recorded = true;
-    for (const progress_batch& batch : heir.Store()) {
+    for (const progress_batch& batch : successor.Store()) {
       for (const auto& [id, progress] : batch.jobs) {
         recorded = progress;
       }
@@ -304,7 +304,7 @@
       next.scheduler.AddKnownVm(silent);
     }
     next.Starts();
-    next.Bring({Vm("vm-2")});
+    next.Register({Vm("vm-2")});
     const auto starts = next.StartAll();
     REQUIRE(starts.size() == 1);
     bring_back(&next, starts[0].target.run);
@@ -322,18 +322,18 @@
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
-  scheduler_driver heir(bounds);
+  scheduler_driver successor(bounds);
   std::vector<start_order> given;
 
   SECTION("to a job that is read after the silent VM's record was dropped") {
-    heir.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
-    heir.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
-    heir.Starts();
-    heir.Bring({Vm("vm-2")});
-    heir.Pass(seconds(1));
-    heir.List("vm-2", {}, {});
-    heir.Add(Job("job", {Step(1)}));
-    given = heir.StartAll();
+    successor.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
+    successor.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
+    successor.Starts();
+    successor.Register({Vm("vm-2")});
+    successor.Pass(seconds(1));
+    successor.List("vm-2", {}, {});
+    successor.Add(Job("job", {Step(1)}));
+    given = successor.StartAll();
   }
 
   SECTION("because of a VM of which no record was kept") {
@@ -365,7 +365,7 @@
   next.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
   next.Starts();
   next.Store();
-  next.Bring({Vm("vm-3")});
+  next.Register({Vm("vm-3")});
   const auto starts = next.StartAll();
   REQUIRE(starts.size() == 1);
   CHECK(starts[0].target.run != given[0].target.run);
@@ -385,7 +385,7 @@
 TEST_CASE("A job that is read late isn't started again after its end") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
   const ended_task end = Ended(1, task, 1, end_kind::kDone);
   for (int i = 0; i < 35; ++i) {
@@ -408,7 +408,7 @@
 TEST_CASE("A run that was told before its job was read keeps its number") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
   const auto start_after_read = [&] {
     driver.Pass(seconds(8));
@@ -455,7 +455,7 @@
   progress.tasks.push_back({0, 0, 1, 2, {2}, false, "saved", false});
   driver.scheduler.RestoreJob("job", progress);
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
   CHECK(starts[0].target.task.index == 1);
--- a/tests/core/jobs/unanswered_start_test.cc
+++ b/tests/core/jobs/unanswered_start_test.cc
@@ -16,7 +16,7 @@
 // does not show is resolved by a stop.
 TEST_CASE("A lasting task whose start had no answer") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
   step.long_running = true;
   step.max_per_vm = 1;
@@ -61,7 +61,7 @@
 // sent only once, so that it cannot arrive again.
 TEST_CASE("A run that a VM has shown needs no answer to its start") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
