--- a/tests/core/jobs/congestion_window_test.cc
+++ b/tests/core/jobs/congestion_window_test.cc
@@ -61,23 +61,23 @@
 // Guards against an owner with a saturated link that sends more starts than can
 // be answered in time: it has to stop the runs whose state is unknown and
 // starts them again.
-TEST_CASE("The starts under way follow what a link carries") {
+TEST_CASE("The starts in flight follow the capacity of the link") {
   SECTION("few time out on a link that carries 200 a second") {
     const link_counts counts = Simulate(milliseconds(5), true);
     CHECK(counts.timed_out * 10 < counts.answered);
 
-    SECTION("which is used all the same") {
+    SECTION("and the link is still well used") {
       constexpr int kCarried = 200 * 60;
       CHECK(counts.answered * 10 > kCarried * 8);
     }
   }
 
-  SECTION("most do without a window") {
+  SECTION("most time out without a window") {
     const link_counts counts = Simulate(milliseconds(5), false);
     CHECK(counts.timed_out > counts.answered);
   }
 
-  SECTION("a link that carries all isn't held back") {
+  SECTION("a link with enough capacity is not limited") {
     congestion_window window;
     for (int i = 0; i < 1000; ++i) {
       window.NoteResult(milliseconds(6), time_point(milliseconds(i)));
@@ -88,7 +88,7 @@
 
   // Guards against a pool whose starts wait for those on one VM that does not
   // answer.
-  SECTION("nor is one by a peer that doesn't answer") {
+  SECTION("nor is a link with one peer that does not answer") {
     congestion_window window;
     time_point now(seconds(1));
     for (int i = 0; i < 10'000; ++i, now += kTick) {
@@ -97,7 +97,7 @@
     CHECK(window.size() == 512);
   }
 
-  SECTION("and the time that answers take is told while it is long") {
+  SECTION("and the response time is returned while it is high") {
     congestion_window window;
     for (int i = 0; i < 100; ++i) {
       window.NoteResult(milliseconds(650), time_point(seconds(i)));
@@ -108,7 +108,7 @@
 }
 
 // Guards against a backlog that is ordered all at once.
-TEST_CASE("An owner orders no more starts than may be under way") {
+TEST_CASE("An owner orders no more starts than may be in flight") {
   scheduler_driver driver;
   std::vector<vm_description> vms;
   constexpr int kVms = 100;
@@ -122,7 +122,7 @@
   CHECK(driver.scheduler.IsStartWindowFull());
   CHECK(driver.Starts().empty());
 
-  SECTION("and goes on when VMs have answered") {
+  SECTION("and continues when VMs have answered") {
     for (const start_order& start : starts) {
       driver.scheduler.OnStartAnswer(start.target, start_result::kStarted,
                                      driver.now);
@@ -131,7 +131,7 @@
     CHECK_FALSE(driver.scheduler.IsStartWindowFull());
   }
 
-  SECTION("and has half as many under way once answers are missing") {
+  SECTION("and has half as many in flight once answers are missing") {
     driver.Pass(milliseconds(700));
     for (const start_order& start : starts) {
       driver.scheduler.OnStartAnswer(start.target, start_result::kUnknown,
--- a/tests/core/jobs/crash_suspicion_test.cc
+++ b/tests/core/jobs/crash_suspicion_test.cc
@@ -18,20 +18,20 @@
 
 // Guards against tasks that crash VMs without limit, and against jobs that are
 // given up because their VMs were disconnected.
-TEST_CASE("What lost VMs say of a task") {
+TEST_CASE("Losses of VMs determine the suspicion of a task") {
   using enum loss_kind;
 
-  SECTION("nothing without a loss") {
+  SECTION("no suspicion without a loss") {
     CHECK(Judge({}) == suspicion::kNone);
   }
 
-  SECTION("a crash at its start makes it suspected, a second one certain") {
+  SECTION("one crash at its start is suspected, a second one is certain") {
     CHECK(Judge({kCrashAtStart}) == suspicion::kSuspected);
     CHECK(Judge({kCrashAtStart, kSilenceAtStart}) == suspicion::kSuspected);
     CHECK(Judge({kCrashAtStart, kCrashAtStart}) == suspicion::kCertain);
   }
 
-  SECTION("crashes while it works may be another task's doing") {
+  SECTION("later crashes may be caused by another task") {
     CHECK(Judge({kCrashLater}) == suspicion::kNone);
     CHECK(Judge({kCrashLater, kCrashLater}) == suspicion::kSuspected);
     CHECK(Judge({kCrashLater, kCrashLater, kCrashLater}) ==
@@ -40,7 +40,7 @@
           suspicion::kCertain);
   }
 
-  SECTION("VMs that may not have got the start count less") {
+  SECTION("VMs that may not have received the start count less") {
     CHECK(Judge({kCrashUnanswered}) == suspicion::kNone);
     CHECK(Judge({kCrashUnanswered, kSilenceAtStart}) == suspicion::kSuspected);
     CHECK(Judge({kCrashUnanswered, kCrashUnanswered, kCrashUnanswered,
@@ -49,7 +49,7 @@
                  kCrashUnanswered, kSilenceAtStart}) == suspicion::kCertain);
   }
 
-  SECTION("a VM that falls silent under a task at work says nothing") {
+  SECTION("a VM that stops answering later is no evidence") {
     CHECK_FALSE(IsEvidence(kSilenceLater));
     CHECK(IsEvidence(kSilenceAtStart));
   }
--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -130,7 +130,7 @@
   crashing_vm vm;
   std::size_t starts = 0;
 
-  SECTION("when its starts are answered before the VM is gone") {
+  SECTION("when its starts are answered before the VM crashes") {
     for (int i = 0; i < kRounds; ++i) {
       starts += vm.Start(true).size();
       vm.CrashAndReturn();
@@ -144,7 +144,7 @@
     }
   }
 
-  SECTION("when its VMs are never heard of again") {
+  SECTION("when its VMs never return") {
     for (int i = 0; i < kRounds; ++i) {
       starts += vm.Start(true).size();
       vm.CrashForGood();
@@ -159,7 +159,7 @@
     }
   }
 
-  SECTION("when no owner lives to learn that its VM crashed") {
+  SECTION("when each owner is replaced before it detects the crash") {
     for (int i = 0; i < kRounds; ++i) {
       starts += vm.Start(true).size();
       vm.CrashAndReplaceOwner();
@@ -220,7 +220,7 @@
     }));
   }
 
-  SECTION("where answers are lost and VMs fall silent") {
+  SECTION("where answers are lost and VMs stop answering") {
     model_faults faults;
     faults.lost_answers = 0.1;
     faults.silence_every = seconds(3);
@@ -230,7 +230,7 @@
     }));
   }
 
-  SECTION("by owners that replace one another") {
+  SECTION("by owners that replace each other") {
     model_faults faults;
     faults.takeover_every = seconds(4);
     CHECK(rc::check([&] {
--- a/tests/core/jobs/late_end_test.cc
+++ b/tests/core/jobs/late_end_test.cc
@@ -12,7 +12,7 @@
 // Guards against ends that are acknowledged but not counted, so that the task
 // runs again. The VM lists the end after the run was presumed ended and the
 // next run was placed.
-TEST_CASE("An end as done counts whenever a VM tells of it") {
+TEST_CASE("An end as done counts whenever a VM lists it") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
@@ -39,7 +39,7 @@
     return last;
   };
 
-  SECTION("while the next run is placed, which is stopped then") {
+  SECTION("while the next run is placed, which is then stopped") {
     driver.List(first.vm, {},
                 {Ended(1, first.task, first.run, end_kind::kDone)});
     CHECK(phase() == job_phase::kCompleted);
@@ -49,7 +49,7 @@
   }
 
   // Guards against tasks that start after their job was reported as completed.
-  SECTION("and not while the next run may yet start") {
+  SECTION("and not while the next run may still start") {
     scheduler_driver unresolved;
     unresolved.Register({Vm("vm-1"), Vm("vm-2")});
     unresolved.Add(Job("job", {Step(1)}));
@@ -75,7 +75,7 @@
     CHECK(unresolved.scheduler.NextHold(run.vm, unresolved.now)
               .acknowledged_through == 0);
 
-    SECTION("but when that is settled") {
+    SECTION("but once that is resolved") {
       unresolved.scheduler.OnStopAnswer(unsure, true, unresolved.now);
       unresolved.Pass(milliseconds(100));
       unresolved.List(next, {}, {});
@@ -86,7 +86,7 @@
     }
   }
 
-  SECTION("after the next run has ended otherwise") {
+  SECTION("after the next run has ended in another way") {
     driver.Pass(milliseconds(100));
     driver.List(second.vm, {},
                 {Ended(1, second.task, second.run, end_kind::kStopped)});
@@ -96,7 +96,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("and a failure of the next run doesn't count any more") {
+  SECTION("and a failure of the next run no longer counts") {
     driver.Add(Job("after", {Step(1)}));
     driver.List(first.vm, {},
                 {Ended(1, first.task, first.run, end_kind::kDone)});
@@ -108,7 +108,7 @@
 
 // Guards against an answer that is delayed on one connection and arrives after
 // a later one on another connection, so that its contents are outdated.
-TEST_CASE("A listing from before the last one that was taken changes nothing") {
+TEST_CASE("An outdated listing is ignored") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
--- a/tests/core/jobs/lost_run_report_test.cc
+++ b/tests/core/jobs/lost_run_report_test.cc
@@ -23,7 +23,7 @@
   driver.List("vm-1", {Running(reported.task, 1)}, {});
   CHECK(driver.scheduler.TakeLosses().empty());
 
-  SECTION("as crashes when another life of it answers, once") {
+  SECTION("once, as crashes, when another incarnation of it answers") {
     driver.scheduler.OnReplaced("vm-1", driver.now);
     const std::vector<lost_run> expected = {
         {reported, loss_kind::kCrashLater},
@@ -33,7 +33,7 @@
     CHECK(driver.scheduler.Counts().lost_runs == 2);
   }
 
-  SECTION("as silence when its lease is over") {
+  SECTION("as silence when its lease has expired") {
     driver.scheduler.OnHoldUnanswered("vm-1");
     driver.Pass(seconds(5));
     driver.Starts();
@@ -42,13 +42,13 @@
         {unreported, loss_kind::kSilenceAtStart}};
     CHECK(driver.scheduler.TakeLosses() == expected);
 
-    SECTION("and not again when another life answers later") {
+    SECTION("and not again when another incarnation answers later") {
       driver.scheduler.OnReplaced("vm-1", driver.now);
       CHECK(driver.scheduler.TakeLosses().empty());
     }
   }
 
-  SECTION("but for a run that the other life refused") {
+  SECTION("except for a run that the other incarnation rejected") {
     driver.scheduler.OnStartAnswer(unreported, start_result::kReplaced,
                                    driver.now);
     const std::vector<lost_run> expected = {{reported, loss_kind::kCrashLater}};
--- a/tests/core/jobs/overload_test.cc
+++ b/tests/core/jobs/overload_test.cc
@@ -35,7 +35,7 @@
 // capacity are cached, so that waiting jobs are not tried on every VM. This
 // must neither leave capacity unused nor hold back smaller tasks or tasks that
 // need another kind of VM.
-TEST_CASE("A backlog of one size") {
+TEST_CASE("A backlog of tasks of one size") {
   scheduler_driver driver;
   SubmitBacklog(&driver, 100, Step(8, 4400));
 
@@ -53,7 +53,7 @@
     CHECK(small == kVms);
   }
 
-  SECTION("and room that a task gives back to the next one") {
+  SECTION("and capacity that a task releases to the next one") {
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 3 * kVms);
     driver.Pass(std::chrono::milliseconds(100));
@@ -65,7 +65,7 @@
 
 // Guards against a gang that does not fit and keeps the capacity that was
 // reserved for the attempt.
-TEST_CASE("A gang without room takes none from the tasks that follow") {
+TEST_CASE("A gang that does not fit uses no capacity") {
   scheduler_driver driver;
   step_spec gang = Step(3 * kVms + 1, 4400);
   gang.gang = true;
--- a/tests/core/jobs/owner_work_test.cc
+++ b/tests/core/jobs/owner_work_test.cc
@@ -71,8 +71,8 @@
 // Guards against an owner whose work for an event grows with its pool: it has
 // no processor time left under peak load, and its jobs are late although VMs
 // have free capacity.
-TEST_CASE("What an owner does for an event doesn't grow with its VMs") {
-  SECTION("for a VM that lists the same as before") {
+TEST_CASE("The work of an owner for an event is independent of its VM count") {
+  SECTION("for a VM whose listing is unchanged") {
     CheckFlat(VisitsBySize([](scheduler_driver* driver) {
       driver->Pass(milliseconds(100));
       driver->List(NameOf(40), {}, {});
@@ -104,13 +104,13 @@
     }));
   }
 
-  SECTION("for a VM that falls silent") {
+  SECTION("for a VM that stops answering") {
     CheckFlat(VisitsBySize([](scheduler_driver* driver) {
       driver->scheduler.OnHoldUnanswered(NameOf(0));
     }));
   }
 
-  SECTION("for a task that finds no room") {
+  SECTION("for a task that does not fit") {
     CheckFlat(VisitsBySize([](scheduler_driver* driver) {
       driver->Add(Job("large", {Step(30, 9000)}));
     }));
--- a/tests/core/jobs/ownership_model_test.cc
+++ b/tests/core/jobs/ownership_model_test.cc
@@ -39,8 +39,8 @@
 struct owner_model {
   owner_phase phase = owner_phase::kIdle;
   std::int8_t epoch = 0;
-  /// The earlier owner may still be active, since its membership may not have
-  /// expired.
+  /// Whether the owner is certain that its membership has not expired. It sends
+  /// nothing otherwise.
   std::int8_t is_certain = 0;
   std::array<std::int8_t, kVms> reconciled{};
   /// VMs that were recorded when it claimed the pool, or that it has recorded
@@ -426,7 +426,7 @@
   std::string violation_;
 };
 
-TEST_CASE("No order of events starts a task twice under two owners") {
+TEST_CASE("No order of events runs a task twice under two owners") {
   state_search complete(disabled_safeguard::kNone);
   CHECK(complete.Run().empty());
   INFO("states: " << complete.states());
--- a/tests/core/jobs/pool_model.h
+++ b/tests/core/jobs/pool_model.h
@@ -529,12 +529,13 @@
   // are counted as waiting.
   void CheckRecord(const job_id& id, const job_progress& progress) {
     if (progress.phase == job_phase::kFailed && !MayBeGivenUp(id)) {
-      violations.push_back("given up after less than two crashes: " + id);
+      violations.push_back("given up after fewer than two crashes: " + id);
     }
     const bool is_recorded_as_begun = progress.phase == job_phase::kRunning ||
                                       progress.phase == job_phase::kCompleted;
     if (is_recorded_as_begun && accepted_.count(id) == 0) {
-      violations.push_back("said to have begun, and no VM took a task: " + id);
+      violations.push_back("recorded as running, but no VM accepted a task: " +
+                           id);
     }
   }
 
@@ -620,7 +621,8 @@
     const auto chosen = vms_.find(target.vm);
     if (worker == owner_ && chosen != vms_.end() &&
         chosen->second.unreadable_until > now) {
-      violations.push_back(target.vm + " was chosen by an unreadable entry");
+      violations.push_back(target.vm +
+                           " was chosen despite its unreadable registry entry");
     }
     const time_point sent_at = now;
     const resources known_capacity = chosen == vms_.end()
@@ -690,7 +692,7 @@
   void CheckBudget(const task_name& task) {
     if (crash_counts[task] >= kMaxCrashes &&
         ++starts_after_crashes_[task] == kMaxCrashes) {
-      violations.push_back("started three times more after three crashes: " +
+      violations.push_back("started three more times after three crashes: " +
                            task.job);
     }
   }
@@ -711,7 +713,7 @@
     }
     for (const auto& [id, other] : vms_) {
       if (other.runs.count(task) != 0) {
-        violations.push_back("two runs at once: " + name);
+        violations.push_back("two concurrent runs: " + name);
       }
     }
     if (acked_done_.count(task) != 0) {
--- a/tests/core/jobs/pool_model_test.cc
+++ b/tests/core/jobs/pool_model_test.cc
@@ -75,7 +75,7 @@
   return faults;
 }
 
-TEST_CASE("A pool keeps its promises under faults in any order") {
+TEST_CASE("The invariants of a pool hold under faults in any order") {
   SECTION("late orders and lost answers") {
     model_faults faults;
     faults.late_orders = 0.2;
@@ -87,21 +87,21 @@
   // waiting, although their first tasks were only ordered and no VM had
   // accepted one. Each record of a running job is compared with the tasks that
   // VMs accepted.
-  SECTION("orders that are lost or refused") {
+  SECTION("orders that are lost or rejected") {
     model_faults faults;
     faults.lost_orders = 0.2;
     faults.refused_orders = 0.3;
     CHECK(HoldsInvariants(faults));
   }
 
-  SECTION("VMs that fall silent or crash") {
+  SECTION("VMs that stop answering or crash") {
     model_faults faults;
     faults.silence_every = seconds(2);
     faults.crash_every = seconds(3);
     CHECK(HoldsInvariants(faults));
   }
 
-  SECTION("owners that replace one another while the earlier one goes on") {
+  SECTION("owners that replace each other while the earlier one continues") {
     model_faults faults;
     faults.takeover_every = seconds(2);
     CHECK(HoldsInvariants(faults));
@@ -109,7 +109,7 @@
 
   // Guards against a task that runs twice because the earlier owner had read
   // and started its job before the new owner read it.
-  SECTION("owners that read new jobs sooner or later than one another") {
+  SECTION("owners that read new jobs at different times") {
     model_faults faults;
     faults.takeover_every = seconds(2);
     faults.read_delay = kLatestRead;
@@ -119,7 +119,7 @@
 
   // The tasks of these VMs continue; none starts there, and none starts
   // elsewhere for that reason.
-  SECTION("VMs whose entries can't be read, with all else") {
+  SECTION("VMs whose entries cannot be read, with all other faults") {
     model_faults faults = AllFaults();
     faults.unreadable_every = seconds(2);
     CHECK(HoldsInvariants(faults));
@@ -127,23 +127,23 @@
 
   // Guards against starts that use an outdated capacity, and against tasks that
   // are lost or run twice because of it.
-  SECTION("VMs whose capacity shrinks and grows") {
+  SECTION("VMs whose capacity changes") {
     model_faults faults;
     faults.shrink_every = milliseconds(700);
     CHECK(HoldsInvariants(faults));
   }
 
-  SECTION("VMs whose capacity shrinks and grows, with all else") {
+  SECTION("VMs whose capacity changes, with all other faults") {
     model_faults faults = AllFaults();
     faults.shrink_every = milliseconds(700);
     CHECK(HoldsInvariants(faults));
   }
 
-  SECTION("all of it together") {
+  SECTION("all faults") {
     CHECK(HoldsInvariants(AllFaults()));
   }
 
-  SECTION("all of it together, with lost or refused orders and late reads") {
+  SECTION("all faults, with lost or rejected orders and late reads") {
     model_faults faults = AllFaults();
     faults.lost_orders = 0.05;
     faults.refused_orders = 0.1;
@@ -153,12 +153,12 @@
   }
 }
 
-TEST_CASE("A pool keeps its promises while VMs begin again under their ids") {
+TEST_CASE("The invariants of a pool hold while VMs restart under their ids") {
   model_faults faults;
   faults.same_id_share = 1.0;
   faults.crash_every = seconds(8);
 
-  SECTION("also if they fall silent") {
+  SECTION("also if they stop answering") {
     faults.silence_every = seconds(4);
   }
 
@@ -167,7 +167,7 @@
     faults.lost_answers = 0.05;
   }
 
-  SECTION("also if owners replace one another") {
+  SECTION("also if owners replace each other") {
     faults.takeover_every = seconds(3);
   }
 
@@ -175,7 +175,7 @@
 }
 
 // Seeds of earlier failures.
-TEST_CASE("A pool keeps its promises in the cases that it once broke them") {
+TEST_CASE("The invariants of a pool hold for seeds of earlier failures") {
   const std::uint32_t seed = GENERATE(130U);
   CAPTURE(seed);
   CHECK(RunModel(seed, AllFaults()) == std::vector<std::string>());
@@ -184,8 +184,7 @@
 // Guards against late jobs that delay others. A queue submits twice the
 // capacity of its pool for 4 s, followed by normal load. All jobs must end, and
 // those that are submitted under normal load must end in time.
-TEST_CASE(
-    "After a rise past its capacity a pool serves the next jobs in time") {
+TEST_CASE("After an overload a pool serves the next jobs in time") {
   pool_model model(7, {}, 4);
   model.Run(milliseconds(500));
   // The pool has 32 cores and a job takes 8 core-seconds, so that the capacity
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -21,7 +21,7 @@
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 2);
 
-    SECTION("it waits while a task of the first isn't done") {
+    SECTION("it waits while a task of the first is not done") {
       driver.Pass(milliseconds(100));
       driver.List(starts[0].target.vm, {Running({"job", 0, 0, 1}, 1)},
                   {Ended(1, {"job", 0, 0, 0}, 1, end_kind::kDone)});
@@ -38,13 +38,13 @@
     }
   }
 
-  SECTION("it packs tasks by what they need and never over a VM's capacity") {
+  SECTION("it packs tasks by demand and never exceeds a VM's capacity") {
     driver.Add(Job("job", {Step(5, 5000)}));
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 2);
     CHECK(starts[0].target.vm != starts[1].target.vm);
 
-    SECTION("a task that is being stopped still takes its room") {
+    SECTION("a task that is being stopped still uses its capacity") {
       driver.scheduler.CancelJob("job");
       driver.Add(Job("other", {Step(1, 5000)}));
       CHECK(driver.Starts().empty());
@@ -59,7 +59,7 @@
   }
 
   // Guards against starts that use the capacity that a VM had before it shrank.
-  SECTION("it keeps to what a VM says of its capacity while that changes") {
+  SECTION("it uses the latest capacity of a VM while that changes") {
     driver.Add(Job("first", {Step(4, 1000)}));
     REQUIRE(driver.StartAll().size() == 4);
     driver.scheduler.UpdateVms({Vm("vm-1", 3000), Vm("vm-2", 1000)},
@@ -76,7 +76,7 @@
     CHECK(more[1].target.vm == "vm-1");
   }
 
-  SECTION("a limit of tasks of a step on one VM holds") {
+  SECTION("it observes the limit of tasks of a step on one VM") {
     step_spec step = Step(3);
     step.max_per_vm = 1;
     driver.Add(Job("job", {step}));
@@ -90,7 +90,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("a gang starts whole or not at all, under one run number") {
+  SECTION("a gang starts completely or not at all, under one run number") {
     step_spec gang = Step(3, 6000);
     gang.gang = true;
     driver.Add(Job("job", {gang}));
@@ -100,7 +100,7 @@
     REQUIRE(starts.size() == 3);
     CHECK(starts[0].target.run == starts[2].target.run);
 
-    SECTION("and one end as done stands for all members") {
+    SECTION("and one end as done completes all members") {
       driver.Pass(milliseconds(100));
       driver.List(starts[0].target.vm, {},
                   {Ended(1, starts[0].target.task, 1, end_kind::kDone)});
@@ -127,7 +127,7 @@
 // Guards against jobs that are reported as running, and not counted as waiting,
 // while no VM has accepted any of their tasks because the orders were lost or
 // rejected. A job whose first task was only ordered is still waiting.
-TEST_CASE("A job runs once a VM has taken one of its tasks") {
+TEST_CASE("A job is running once a VM has accepted one of its tasks") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
@@ -155,7 +155,7 @@
     CHECK(phase() == job_phase::kRunning);
   }
 
-  SECTION("and not when it has no room") {
+  SECTION("and not when it lacks capacity") {
     driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoCapacity,
                                    driver.now);
     CHECK(phase() == job_phase::kQueued);
@@ -172,13 +172,13 @@
   driver.List(first[0].target.vm, {},
               {Ended(1, first[0].target.task, 1, end_kind::kFailed)});
 
-  SECTION("the second attempt goes to another VM, under a higher run") {
+  SECTION("the second attempt uses another VM and a higher run number") {
     const auto second = driver.StartAll();
     REQUIRE(second.size() == 1);
     CHECK(second[0].target.vm != first[0].target.vm);
     CHECK(second[0].target.run == 2);
 
-    SECTION("and when it fails too, so does the job") {
+    SECTION("and when it fails as well, so does the job") {
       driver.Pass(milliseconds(100));
       driver.List(second[0].target.vm, {},
                   {Ended(1, second[0].target.task, 2, end_kind::kFailed)});
@@ -199,7 +199,7 @@
 // long-running step has one task on each VM. One task fails, and all other VMs
 // already hold a task of the step, so that it can only start again on the same
 // VM.
-TEST_CASE("A failed task goes back to its VM when no other may take it") {
+TEST_CASE("A failed task returns to its VM when no other may run it") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
@@ -237,7 +237,7 @@
   CHECK(driver.scheduler.NextHold("vm-1", driver.now).acknowledged_through ==
         0);
 
-  SECTION("also when nothing else is to be stored meanwhile") {
+  SECTION("also when nothing else is to be stored in the meantime") {
     CHECK_FALSE(driver.scheduler.TakeBatch());
     CHECK(driver.scheduler.NextHold("vm-1", driver.now).acknowledged_through ==
           0);
@@ -251,7 +251,7 @@
 // and the VM may carry it out seconds later, after the task was started
 // elsewhere. Therefore nothing starts elsewhere until the VM has confirmed a
 // stop of that run and then sent a listing without it.
-TEST_CASE("A start without an answer is settled before the task starts again") {
+TEST_CASE("An unanswered start is resolved before the task starts again") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
@@ -263,7 +263,7 @@
   CHECK(driver.Starts().empty());
   REQUIRE(driver.stops.size() == 1);
 
-  SECTION("a stop without an answer is sent again") {
+  SECTION("a stop that is not answered is sent again") {
     driver.scheduler.OnStopAnswer(target, false, driver.now);
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
@@ -272,14 +272,14 @@
     CHECK(driver.stops.size() == 1);
   }
 
-  SECTION("a listing that was asked for before the stop proves nothing") {
+  SECTION("a listing that was requested before the stop is no evidence") {
     const time_point asked_at = driver.now;
     driver.Pass(milliseconds(10));
     driver.scheduler.OnStopAnswer(target, true, driver.now);
     driver.ListSentAt(target.vm, asked_at, {}, {});
     CHECK(driver.Starts().empty());
 
-    SECTION("one that was asked for after it does") {
+    SECTION("one that was requested after it is") {
       driver.Pass(milliseconds(10));
       driver.List("vm-1", {}, {});
       driver.List("vm-2", {}, {});
@@ -305,7 +305,7 @@
 
 // A VM stops answering. Its task may continue until the lease has expired, so
 // that it starts elsewhere only after that; the clock of the VM may be slow.
-TEST_CASE("The tasks of a silent VM start elsewhere when its lease is over") {
+TEST_CASE("The tasks of an unresponsive VM start elsewhere after its lease") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(1));
@@ -338,14 +338,14 @@
     CHECK(driver.Store().back().jobs[0].second.phase == job_phase::kFailed);
   }
 
-  SECTION("a run that it still has is stopped") {
+  SECTION("a run that the VM still has is stopped") {
     driver.List(silent, {Running(starts[0].target.task, 1)}, {});
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     CHECK(driver.stops[0].target.run == 1);
   }
 
-  SECTION("another life of it ends the wait at once") {
+  SECTION("another incarnation of it ends the wait at once") {
     driver.scheduler.OnReplaced(silent, driver.now);
     driver.Register({Vm(other)});
     CHECK(driver.scheduler.Vms().size() == 1);
@@ -355,7 +355,7 @@
 // Guards against a VM that fails every task although its health checks pass. It
 // soon becomes idle and attracts the next tasks, until jobs run out of
 // attempts.
-TEST_CASE("A VM that fails every task is set aside, a job that fails isn't") {
+TEST_CASE("A VM that fails every task is quarantined") {
   scheduler_driver driver;
   std::vector<vm_description> vms;
   for (int i = 0; i < 4; ++i) {
@@ -370,7 +370,7 @@
     driver.Add(Job(id, {Step(1)}), Policy(9));
   }
 
-  SECTION("failures of several jobs in a row set it aside") {
+  SECTION("consecutive failures of several jobs quarantine it") {
     fail("a", 1);
     fail("b", 2);
     fail("c", 3);
@@ -379,7 +379,7 @@
     }
   }
 
-  SECTION("failures of one job don't") {
+  SECTION("failures of one job do not") {
     fail("a", 1);
     driver.Add(Job("d", {Step(1)}), Policy(9));
     bool is_used = false;
@@ -390,7 +390,7 @@
   }
 }
 
-TEST_CASE("A task without progress is stopped and goes to another VM") {
+TEST_CASE("A task without progress is stopped and moved to another VM") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
@@ -415,7 +415,7 @@
   CHECK(again[0].target.vm != target.vm);
 }
 
-TEST_CASE("A VM that is emptied keeps what may not be disturbed") {
+TEST_CASE("A VM that is emptied keeps tasks that may not be interrupted") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
   step_spec long_running = Step(2);
@@ -429,7 +429,7 @@
   const run_ref other = starts[1].target;
   driver.scheduler.CloseVm(moved.vm, driver.now);
 
-  SECTION("a lasting task stays while the other one isn't at work") {
+  SECTION("a long-running task stays while the other one is not ready") {
     driver.List(moved.vm, {Running(moved.task, 1, 100)}, {});
     driver.List(other.vm, {Running(other.task, 1, 60)}, {});
     driver.Starts();
@@ -444,7 +444,7 @@
     }
   }
 
-  SECTION("a VM that leaves by itself is left at once") {
+  SECTION("a VM that is draining is emptied at once") {
     auto leaving = Vm(moved.vm);
     leaving.draining = true;
     driver.scheduler.UpdateVms({leaving, Vm(other.vm)}, driver.now);
@@ -454,7 +454,7 @@
   }
 }
 
-TEST_CASE("Tasks that only fill are slowed before they hurt those that serve") {
+TEST_CASE("Best-effort tasks are throttled for latency-sensitive ones") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   step_spec serving = Step(1);
@@ -492,7 +492,7 @@
 // owner but none of its reads. The owner does not learn of cancellations, and
 // would start tasks of jobs whose callers were told seconds ago that they are
 // cancelled.
-TEST_CASE("Nothing starts while it isn't known what was cancelled") {
+TEST_CASE("Nothing starts while the known cancellations are outdated") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   const time_point read_at = driver.now;
@@ -502,12 +502,12 @@
   driver.List("vm-1", {}, {});
   CHECK(driver.Starts().empty());
 
-  SECTION("and starts as soon as that is known again") {
+  SECTION("and tasks start as soon as they are up to date") {
     driver.scheduler.NoteCancellationsRead(driver.now - milliseconds(2600));
     CHECK(driver.Starts().size() == 1);
   }
 
-  SECTION("what is to be stopped is stopped all the same") {
+  SECTION("tasks are still stopped") {
     driver.scheduler.NoteCancellationsRead(driver.now);
     REQUIRE(driver.Starts().size() == 1);
     driver.scheduler.OnStartAnswer({"vm-1", {"job", 0, 0, 0}, 1},
@@ -519,7 +519,7 @@
   }
 }
 
-TEST_CASE("A cancelled job starts nothing and its tasks are stopped") {
+TEST_CASE("A cancelled job starts no tasks and its tasks are stopped") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1", 1000)});
   driver.Add(Job("job", {Step(3)}));
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -40,7 +40,7 @@
 
 // Guards against starts on a VM whose tasks use more than its capacity, and
 // against stopping those tasks because of it.
-TEST_CASE("A VM that shrinks below what runs on it") {
+TEST_CASE("A VM that shrinks below the needs of its tasks") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(4, 2000)}));
@@ -48,12 +48,12 @@
   driver.List("vm-1", AllRunning(4, 10), {});
   driver.Add(Job("next", {Step(1, 500)}));
 
-  SECTION("keeps its tasks and gets no other") {
+  SECTION("keeps its tasks and gets no others") {
     driver.scheduler.UpdateVms({Vm("vm-1", 5000)}, driver.now);
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
 
-    SECTION("while those that are left still take more than it has") {
+    SECTION("while the remaining ones still exceed its capacity") {
       driver.Pass(milliseconds(500));
       driver.List(
           "vm-1",
@@ -62,14 +62,14 @@
       CHECK(driver.Starts().empty());
       CHECK(driver.stops.empty());
 
-      SECTION("nor by an end that isn't listed yet") {
+      SECTION("also after an end that is not listed yet") {
         driver.Pass(milliseconds(100));
         driver.List("vm-1", {Running(Task(2), 1), Running(Task(3), 1)},
                     {Ended(1, Task(0), 1, end_kind::kDone)});
         CHECK(driver.Starts().empty());
       }
 
-      SECTION("and one when there is room again") {
+      SECTION("until there is free capacity again") {
         driver.Pass(milliseconds(500));
         driver.List("vm-1", {Running(Task(2), 1), Running(Task(3), 1)},
                     {Ended(1, Task(0), 1, end_kind::kDone),
@@ -80,19 +80,19 @@
       }
     }
 
-    SECTION("until it has its room back") {
+    SECTION("until its capacity is restored") {
       driver.scheduler.UpdateVms({Vm("vm-1", 8500)}, driver.now);
       CHECK(driver.Starts().size() == 1);
     }
   }
 
-  SECTION("is full by whichever resource it has too little of") {
+  SECTION("is full if it lacks any one resource") {
     driver.scheduler.UpdateVms({ShortOfMemory()}, driver.now);
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
   }
 
-  SECTION("has no room for tasks that take no processor time of their own") {
+  SECTION("has no capacity for best-effort tasks") {
     step_spec filling = Step(1, 500);
     filling.best_effort = true;
     driver.Add(Job("filling", {filling}));
@@ -100,7 +100,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("has none either for a task whose run there failed") {
+  SECTION("has none for a task whose run there failed") {
     driver.scheduler.UpdateVms({Vm("vm-1", 5000)}, driver.now);
     driver.Pass(milliseconds(500));
     driver.List("vm-1",
@@ -116,7 +116,7 @@
 
 // Guards against starts that do not count the resources of a rejected start or
 // of one in flight.
-TEST_CASE("A VM that shrinks while a start is on its way") {
+TEST_CASE("A VM that shrinks while a start is in flight") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1", 4000), Vm("vm-2", 4000)});
   driver.Add(Job("job", {Step(1, 3000)}), Policy(1));
@@ -127,7 +127,7 @@
   driver.scheduler.UpdateVms({Vm(target.vm, 2000), Vm(other, 4000)},
                              driver.now);
 
-  SECTION("holds what was ordered, and gets no more") {
+  SECTION("keeps the ordered tasks and gets no others") {
     driver.Add(Job("next", {Step(3, 1000)}));
     const auto more = driver.Starts();
     REQUIRE(more.size() == 3);
@@ -136,7 +136,7 @@
     }
   }
 
-  SECTION("refuses it, and the task starts elsewhere without a lost attempt") {
+  SECTION("rejects it, and the task starts elsewhere without a lost attempt") {
     driver.scheduler.OnStartAnswer(target, start_result::kNoCapacity,
                                    driver.now);
     const auto again = driver.StartAll();
@@ -151,7 +151,7 @@
 
 // Guards against interrupting a long-running task because its VM has shrunk,
 // and against moving several tasks at once when that VM is emptied.
-TEST_CASE("Lasting tasks on a VM that shrinks stay at work") {
+TEST_CASE("Long-running tasks on a VM that shrinks continue") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {LongRunningStep(3)}));
@@ -167,7 +167,7 @@
     driver.List("vm-2", {}, {});
   };
 
-  SECTION("as long as it is there") {
+  SECTION("as long as the VM exists") {
     for (int i = 0; i < 5; ++i) {
       pass(AllRunning(3, 100));
       CHECK(driver.Starts().empty());
@@ -175,7 +175,7 @@
     }
   }
 
-  SECTION("one that ends by itself starts again where there is room") {
+  SECTION("one that ends by itself starts again where it fits") {
     driver.Pass(seconds(1));
     driver.List("vm-1", {Running(Task(1), 1, 100), Running(Task(2), 1, 100)},
                 {Ended(1, Task(0), 1, end_kind::kFailed)});
@@ -185,7 +185,7 @@
     CHECK(starts[0].target.vm == "vm-2");
   }
 
-  SECTION("they leave one after the other when it is emptied") {
+  SECTION("they are moved one by one when the VM is emptied") {
     driver.scheduler.CloseVm("vm-1", driver.now);
     pass(AllRunning(3, 100));
     CHECK(driver.Starts().empty());
@@ -195,7 +195,7 @@
 
 // Guards against a new owner that uses the previous capacity, or none, of a VM
 // that has shrunk.
-TEST_CASE("An owner that begins after a VM has shrunk") {
+TEST_CASE("An owner that starts after a VM has shrunk") {
   takeover_bounds bounds;
   bounds.exclusive_from = kClaimed + seconds(2);
   bounds.default_lease_end = kClaimed + seconds(7);
@@ -207,18 +207,18 @@
     driver.List("vm-1", AllRunning(4, percent), {});
   };
 
-  SECTION("knows its capacity from the registry only") {
+  SECTION("knows its capacity only from the registry") {
     driver.scheduler.UpdateVms({Vm("vm-1", 5000)}, driver.now);
     list(10);
   }
 
-  SECTION("is told what runs there before it reads the registry") {
+  SECTION("receives a listing before it reads the registry") {
     list(10);
     CHECK(driver.Starts().empty());
     driver.scheduler.UpdateVms({Vm("vm-1", 5000)}, driver.now);
   }
 
-  SECTION("reads the old capacity, and the new one after the VM has told") {
+  SECTION("reads the old capacity, and the new one after a listing") {
     driver.scheduler.UpdateVms({Vm("vm-1", 8000)}, driver.now);
     list(10);
     driver.scheduler.UpdateVms({Vm("vm-1", 5000)}, driver.now);
@@ -241,7 +241,7 @@
 
 // Guards against starts that use the capacity that a VM had before the store
 // became unavailable: the VM cannot report a smaller one in the meantime.
-TEST_CASE("A VM whose report of its capacity is old") {
+TEST_CASE("A VM whose report of its capacity is outdated") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
@@ -268,7 +268,7 @@
 
 // Guards against a gang that starts only partly because one of its VMs has
 // shrunk.
-TEST_CASE("A gang that a shrunk VM has no room for waits as a whole") {
+TEST_CASE("A gang that does not fit on a shrunk VM waits as a whole") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec gang = Step(2, 6000);
@@ -282,7 +282,7 @@
 
 // Guards against a pool that requests no VMs because it counts capacity that no
 // longer exists.
-TEST_CASE("A pool whose VMs have shrunk wants more of them") {
+TEST_CASE("A pool whose VMs have shrunk requests more of them") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(8, 2000)}));
--- a/tests/core/jobs/suspected_task_test.cc
+++ b/tests/core/jobs/suspected_task_test.cc
@@ -53,11 +53,11 @@
 
 // Guards against tasks that are lost and counted as suspected because they
 // start next to a task that crashes their VM.
-TEST_CASE("A task under which a VM crashed starts apart from others") {
+TEST_CASE("A task under which a VM crashed starts in isolation") {
   suspected_task play(Step(1));
   scheduler_driver& driver = play.driver;
 
-  SECTION("on a VM without other runs, and nothing starts beside it") {
+  SECTION("on a VM without other runs, and nothing else starts there") {
     driver.Add(Job("other", {Step(2)}));
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 3);
@@ -71,7 +71,7 @@
       CHECK((!is_other || start.target.vm != apart->target.vm));
     }
 
-    SECTION("until the VM has outlived the start") {
+    SECTION("until the VM has survived the start") {
       const vm_id vm = apart->target.vm;
       // The capacity of "vm-2" is used up.
       driver.Add(Job("large", {Step(1, 7000)}));
@@ -84,7 +84,7 @@
     }
   }
 
-  SECTION("and is given up when that VM crashes, too") {
+  SECTION("and is given up when that VM crashes as well") {
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 1);
     play.Crash(starts[0].target.vm);
@@ -92,7 +92,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("and isn't given up when that VM leaves") {
+  SECTION("and is not given up when that VM is draining") {
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 1);
     const vm_id vm = starts[0].target.vm;
@@ -107,7 +107,7 @@
 // Guards against jobs that are given up because their VMs were disconnected.
 // The VM returns in the same incarnation, and the losses of the task are
 // withdrawn.
-TEST_CASE("A VM that is heard again hasn't crashed") {
+TEST_CASE("A VM that answers again has not crashed") {
   suspected_task play(Step(1));
   scheduler_driver& driver = play.driver;
   const auto recorded_losses = [&] {
@@ -129,12 +129,12 @@
   driver.Starts();
   CHECK(recorded_losses() == 2);
 
-  SECTION("and the task no longer has that loss against it") {
+  SECTION("and the loss no longer counts against the task") {
     driver.List(cut_off.vm, {}, {});
     CHECK(recorded_losses() == 1);
   }
 
-  SECTION("also by an owner that follows, which knows the run by its record") {
+  SECTION("also for the next owner, which knows the run from its record") {
     scheduler_driver next;
     next.Add(Job("suspect", {Step(1)}));
     job_progress progress;
@@ -159,7 +159,7 @@
 
 // Guards against jobs that fail because of the effects of a suspected task on
 // the same VM.
-TEST_CASE("A task beside a suspected one that crashes its VM isn't blamed") {
+TEST_CASE("A task next to a suspected one that crashes is not counted") {
   constexpr int kRounds = 6;
   scheduler_driver driver;
   driver.Add(Job("bystander", {Step(1)}));
@@ -204,7 +204,7 @@
 
 // Guards against long-running jobs that are given up after they have survived a
 // few VMs: only consecutive crashes at starts count.
-TEST_CASE("A lasting task that was at work has nothing against it") {
+TEST_CASE("A long-running task that was ready has no losses") {
   step_spec step = Step(1);
   step.long_running = true;
   suspected_task play(step);
@@ -224,7 +224,7 @@
     CHECK(play.Phase() != job_phase::kFailed);
   }
 
-  SECTION("and is given up when it never gets there") {
+  SECTION("and is given up when it never becomes ready") {
     play.Crash(target.vm);
     CHECK(play.Phase() == job_phase::kFailed);
   }
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -21,7 +21,7 @@
 // Guards against a pool that starts nothing for the length of a lease after
 // each change of its owner, because of VMs that were emptied and removed
 // before.
-TEST_CASE("A new owner doesn't wait for VMs that were recorded as vacant") {
+TEST_CASE("A new owner does not wait for VMs that are recorded as vacant") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -35,7 +35,7 @@
     CHECK(driver.Starts().size() == 2);
   }
 
-  SECTION("one that is listed and silent") {
+  SECTION("one that is registered and does not answer") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.scheduler.OnHoldUnanswered("vm-2");
@@ -43,14 +43,14 @@
     CHECK(driver.Starts().size() == 2);
   }
 
-  SECTION("but for all others") {
+  SECTION("but it waits for all others") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.List("vm-2", {}, {});
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("and what it tells to run all the same isn't started again") {
+  SECTION("and a task that it lists nevertheless is not started again") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.List("vm-2", {Running({"job", 0, 0, 0}, 1)}, {});
@@ -63,7 +63,7 @@
 
 // Guards against the same delay because of VMs whose records were deleted and
 // that the registry lists for some more seconds.
-TEST_CASE("A new owner doesn't wait for vacant VMs that are only listed yet") {
+TEST_CASE("A new owner does not wait for vacant VMs that are only registered") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -76,7 +76,7 @@
 
 // Guards against a takeover that waits, one after the other, for records of
 // expired leases of vacant VMs.
-TEST_CASE("The end of a vacant VM's lease holds up no takeover") {
+TEST_CASE("The end of a vacant VM's lease does not delay a takeover") {
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-2"] = kClaimed;
   scheduler_driver driver(bounds);
@@ -92,7 +92,7 @@
 
 // Guards against a VM that is recorded as vacant before its whole listing is
 // processed: the next owner does not query it and would start its task again.
-TEST_CASE("A VM that tells an end of an unknown job isn't empty") {
+TEST_CASE("A VM that lists an end of an unknown job is not empty") {
   scheduler_driver driver(Bounds());
   driver.Register({Vm("vm-1")});
   CHECK(driver.scheduler.IsEmpty("vm-1"));
@@ -103,20 +103,20 @@
 // Guards against tasks that run twice after a change of the owner. The runs of
 // the earlier owner continue, and VMs that the new owner has not heard from may
 // hold any task of the jobs that were accepted before.
-TEST_CASE("A new owner asks all VMs before it starts what may be running") {
+TEST_CASE("A new owner queries all VMs before it starts tasks again") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
   driver.Add(Job("job", {Step(2)}));
   const task_name first{"job", 0, 0, 0};
 
-  SECTION("also one that the registry doesn't list") {
+  SECTION("also one that is not registered") {
     driver.scheduler.UpdateVms({Vm("vm-1")}, driver.now);
     CHECK(driver.scheduler.Vms().size() == 2);
     driver.List("vm-1", {}, {});
     CHECK(driver.Starts().empty());
 
-    SECTION("what it tells is running isn't started again") {
+    SECTION("a task that it lists is not started again") {
       driver.Pass(milliseconds(10));
       driver.List("vm-2", {Running(first, 3)}, {});
       const auto starts = driver.Starts();
@@ -124,7 +124,7 @@
       CHECK(starts[0].target.task.index == 1);
     }
 
-    SECTION("it is waited for until its last lease is over") {
+    SECTION("the owner waits for it until its last lease has expired") {
       driver.Pass(seconds(6));
       driver.List("vm-1", {}, {});
       CHECK(driver.Starts().empty());
@@ -136,7 +136,7 @@
     }
   }
 
-  SECTION("a VM is heard only when its listing was taken in whole") {
+  SECTION("a VM is reconciled only when its whole listing was processed") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.List("vm-2", {}, {});
     // The end of a job that is unknown here blocks the second end.
@@ -146,7 +146,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("ends of jobs that have ended hold nothing back") {
+  SECTION("ends of jobs that have ended do not block other ends") {
     driver.scheduler.AddEndedJob("ended");
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.List("vm-2", {}, {});
@@ -158,7 +158,7 @@
     CHECK(starts[0].target.task.index == 1);
   }
 
-  SECTION("a job that was accepted since can't be running anywhere") {
+  SECTION("a job that was accepted since cannot be running anywhere") {
     driver.scheduler.UpdateVms({Vm("vm-1")}, driver.now);
     driver.List("vm-1", {}, {});
     driver.Pass(seconds(3));
@@ -169,7 +169,7 @@
     CHECK(starts[0].target.task.job == "fresh");
   }
 
-  SECTION("a known end of a VM's lease goes before the general bound") {
+  SECTION("a known end of a VM's lease overrides the default") {
     takeover_bounds bounds = Bounds();
     bounds.lease_ends["vm-2"] = kClaimed + seconds(1);
     scheduler_driver informed(bounds);
@@ -192,20 +192,20 @@
 // the new owner. A read of the new owner is slow, so that the VM lists the run
 // before its job is known. The task was started elsewhere before the next
 // listing of the VM.
-TEST_CASE("A job that is read after a VM has told of it isn't started again") {
+TEST_CASE("A job that is read after a VM listed it is not started again") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
 
-  SECTION("when the VM has told that its task runs") {
+  SECTION("when the VM has listed its task as running") {
     driver.List("vm-1", {Running(task, 1)}, {});
     driver.Pass(milliseconds(1500));
     driver.Add(Job("job", {Step(1)}));
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
 
-    SECTION("and when that run is over, the next one has a higher number") {
+    SECTION("and when that run has ended, the next one has a higher number") {
       driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
       const auto starts = driver.Starts();
       REQUIRE(starts.size() == 1);
@@ -213,7 +213,7 @@
     }
   }
 
-  SECTION("when the VM has told that its task ended") {
+  SECTION("when the VM has listed the end of its task") {
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kDone)});
     driver.Pass(milliseconds(1500));
     driver.Add(Job("job", {Step(1)}));
@@ -224,7 +224,7 @@
           job_phase::kCompleted);
   }
 
-  SECTION("a job of which no VM has told starts at once") {
+  SECTION("a job that no VM has listed starts at once") {
     driver.List("vm-1", {Running({"other", 0, 0, 0}, 1)}, {});
     driver.Add(Job("job", {Step(1)}));
     CHECK(driver.Starts().size() == 1);
@@ -234,7 +234,7 @@
 // Guards against exceeding the capacity of a VM. The run of a job that ended
 // under the earlier owner is still on the VM, and its resources are unknown
 // here.
-TEST_CASE("A run of an ended job closes its VM until it is gone") {
+TEST_CASE("A run of an ended job blocks its VM until it has ended") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddEndedJob("ended");
@@ -257,8 +257,7 @@
 // VM nor the run and uses number 1 again. When vm-1 lists the end of the old
 // run, it is mistaken for the end of the new one, and the task is started a
 // second time while it runs.
-TEST_CASE(
-    "The end of a run that nobody has heard doesn't pass for a newer one") {
+TEST_CASE("The end of an unreported run is not mistaken for a newer one") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
@@ -277,7 +276,7 @@
   successor.scheduler.AddKnownVm(silent);
   successor.Add(Job("job", {Step(1)}));
 
-  SECTION("under the heir that dropped the VM's record") {
+  SECTION("under the owner that deleted the VM's record") {
     successor.Starts();
     successor.Register({Vm("vm-2")});
     const auto starts = successor.StartAll();
@@ -286,7 +285,7 @@
     CHECK(successor.Starts().empty());
   }
 
-  SECTION("under an owner that replaces the heir before it has started any") {
+  SECTION("under an owner that replaces it before it has started any") {
     successor.Starts();
     job_progress recorded;
     bool is_vm_recorded = true;
@@ -318,14 +317,14 @@
 // the same 100 because the VM of that run does not answer, and uses the same
 // number. The end of the first run is then mistaken for the end of the second
 // one, which still runs.
-TEST_CASE("A number that was given before a record of it is not given again") {
+TEST_CASE("A number that was used before it was recorded is not reused") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
   scheduler_driver successor(bounds);
   std::vector<start_order> given;
 
-  SECTION("to a job that is read after the silent VM's record was dropped") {
+  SECTION("for a job that is read after the VM's record was deleted") {
     successor.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
     successor.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
     successor.Starts();
@@ -336,7 +335,7 @@
     given = successor.StartAll();
   }
 
-  SECTION("because of a VM of which no record was kept") {
+  SECTION("because of a VM without a record") {
     bounds.lease_ends["vm-1"] = kClaimed + milliseconds(100);
     scheduler_driver other(bounds);
     other.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -382,7 +381,7 @@
 // owner started it, the new one has not read it, and the VM lists the end. The
 // read of the job hangs, or the store is unavailable, for longer than ends of
 // unknown jobs were kept: then the end was acknowledged and dropped.
-TEST_CASE("A job that is read late isn't started again after its end") {
+TEST_CASE("A job that is read late is not started again after its end") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
@@ -405,7 +404,7 @@
 // job is read before the VM answers, counts as new and gets the same run
 // number. The end of the old run is mistaken for that of the new one, and the
 // task runs twice at the same time.
-TEST_CASE("A run that was told before its job was read keeps its number") {
+TEST_CASE("The number of a run listed before its job was read is not reused") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
@@ -425,7 +424,7 @@
     driver.List("vm-2", {Running(task, starts[0].target.run)}, {});
   };
 
-  SECTION("one that ran") {
+  SECTION("of a run that was running") {
     driver.List("vm-1", {Running(task, 1)}, {});
     start_after_read();
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
@@ -434,7 +433,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("one that had ended") {
+  SECTION("of a run that had ended") {
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kFailed)});
     start_after_read();
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kFailed)});
@@ -444,7 +443,7 @@
   }
 }
 
-TEST_CASE("What an earlier owner recorded is kept") {
+TEST_CASE("The state that an earlier owner recorded is kept") {
   scheduler_driver driver(Bounds());
   step_spec second = Step(1);
   second.depends_on = {0};
@@ -462,7 +461,7 @@
   CHECK(starts[0].target.run == 3);
   CHECK(starts[0].checkpoint == "saved");
 
-  SECTION("a recorded end that a VM lists again is no second failure") {
+  SECTION("a recorded end that is listed again is not counted twice") {
     driver.Pass(milliseconds(10));
     driver.List("vm-1", {Running(starts[0].target.task, 3)},
                 {Ended(1, starts[0].target.task, 2, end_kind::kFailed)});
@@ -473,7 +472,7 @@
     }
   }
 
-  SECTION("and a batch tells the same to the next owner") {
+  SECTION("and a batch passes the same state to the next owner") {
     driver.Pass(milliseconds(10));
     driver.List("vm-1", {},
                 {Ended(1, starts[0].target.task, 3, end_kind::kFailed)});
@@ -487,7 +486,7 @@
 // owner that could not reach the store, so that nothing is recorded. The new
 // owner hears from the VM of the second run first. If a failure were ignored, a
 // third run would be permitted.
-TEST_CASE("Failures are counted in whatever order VMs tell of them") {
+TEST_CASE("Failures are counted in whatever order VMs list them") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -511,7 +510,7 @@
   CHECK(batches[0].used_vms.size() == 1);
   CHECK(driver.StartAll().size() == 1);
 
-  SECTION("and dropped from the records when its lease is over") {
+  SECTION("and its record is deleted when its lease has expired") {
     driver.scheduler.OnHoldUnanswered("vm-1");
     driver.Pass(seconds(6));
     driver.Starts();
--- a/tests/core/jobs/unanswered_start_test.cc
+++ b/tests/core/jobs/unanswered_start_test.cc
@@ -14,7 +14,7 @@
 // already ready, and more of the step would be unavailable than permitted.
 // Therefore the next listing of the VM is awaited, and only a start that it
 // does not show is resolved by a stop.
-TEST_CASE("A lasting task whose start had no answer") {
+TEST_CASE("A long-running task whose start was not answered") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
@@ -33,7 +33,7 @@
   CHECK(driver.Starts().empty());
   CHECK(driver.stops.empty());
 
-  SECTION("isn't stopped when the VM runs it") {
+  SECTION("is not stopped when the VM runs it") {
     driver.Pass(milliseconds(100));
     driver.List(target.vm, {Running(target.task, 1, 100)}, {});
     driver.List(other.vm, {Running(other.task, 1, 100)}, {});
@@ -41,7 +41,7 @@
     CHECK(driver.stops.empty());
   }
 
-  SECTION("is stopped before it starts again when the VM doesn't show it") {
+  SECTION("is stopped before it starts again when the VM does not list it") {
     driver.Pass(milliseconds(100));
     driver.List(target.vm, {}, {});
     CHECK(driver.Starts().empty());
@@ -49,7 +49,7 @@
     CHECK(driver.stops[0].target == target);
   }
 
-  SECTION("isn't settled by a listing that was asked for before") {
+  SECTION("is not resolved by a listing that was requested before") {
     driver.Pass(milliseconds(100));
     driver.ListSentAt(target.vm, unanswered_at - milliseconds(1), {}, {});
     CHECK(driver.Starts().empty());
@@ -59,7 +59,7 @@
 
 // The VM lists the run before the call to start it times out. The order was
 // sent only once, so that it cannot arrive again.
-TEST_CASE("A run that a VM has shown needs no answer to its start") {
+TEST_CASE("A run that a VM has listed needs no answer to its start") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
--- a/tests/core/jobs/vm_index_test.cc
+++ b/tests/core/jobs/vm_index_test.cc
@@ -130,7 +130,7 @@
 
 // Guards against counts and lists that deviate from the VMs: tasks would wait
 // despite free capacity, or be placed on unavailable VMs.
-TEST_CASE("An index of VMs stays as if each was counted anew") {
+TEST_CASE("The index of VMs equals a complete recount") {
   rc::prop("any order of changes", [] {
     indexed_vms vms;
     const auto changes =
--- a/tests/core/jobs/vm_restart_test.cc
+++ b/tests/core/jobs/vm_restart_test.cc
@@ -74,7 +74,7 @@
 // Guards against tasks that run twice. The first ends of a VM that restarts
 // under its id were mistaken for ends of its previous incarnation that were
 // processed before.
-TEST_CASE("Ends of a VM's next life are taken from the first one on") {
+TEST_CASE("All ends of the next incarnation of a VM are processed") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   vm.EndTasksOfFirstIncarnation(3);
@@ -103,7 +103,7 @@
 
 // Guards against runs that were lost with the previous incarnation of a VM and
 // are treated as if they were on the next one.
-TEST_CASE("What ran in a VM's former life is over when the next one is heard") {
+TEST_CASE("Runs of an incarnation have ended when the next one answers") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -116,14 +116,14 @@
     driver.Store();
     CHECK(driver.StartAll().empty());
 
-    SECTION("and it takes tasks once the registry has its entry") {
+    SECTION("and it accepts tasks once the registry has its entry") {
       vm.RegisterNextIncarnation();
       const auto starts = driver.StartAll();
       REQUIRE(starts.size() == 1);
       CHECK(starts[0].target.run == 2);
     }
 
-    SECTION("and a late answer of the former life changes nothing") {
+    SECTION("and a late answer of the previous incarnation is ignored") {
       vm.RegisterNextIncarnation();
       REQUIRE(driver.StartAll().size() == 1);
       vm.ListSentAt(driver.now - seconds(1), kFirstIncarnation, vm.FirstClock(),
@@ -139,7 +139,7 @@
     }
   }
 
-  SECTION("by the registry, and it takes tasks once it is heard") {
+  SECTION("by the registry, and it accepts tasks once it has answered") {
     vm.RegisterNextIncarnation();
     driver.Store();
     CHECK(driver.StartAll().empty());
@@ -152,7 +152,7 @@
 // Guards against tasks that crash their VMs and start without limit. The next
 // incarnation of a VM under its id was mistaken for a VM that had only been
 // disconnected.
-TEST_CASE("A run that a VM's former life lost counts against its task") {
+TEST_CASE("A run lost by a previous incarnation counts against its task") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -174,7 +174,7 @@
 }
 
 // Guards against the same error if another owner has recorded the loss.
-TEST_CASE("A loss in a VM's former life isn't withdrawn by its next one") {
+TEST_CASE("A loss is not withdrawn by the next incarnation of its VM") {
   const auto incarnation = GENERATE(kFirstIncarnation, kNextIncarnation);
   scheduler_driver driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -201,7 +201,7 @@
 
 // Guards against a start of the previous incarnation that the next one carries
 // out late, concurrently with a newer run.
-TEST_CASE("A start without an answer is settled with a VM's next life, too") {
+TEST_CASE("An unanswered start is also resolved with the next incarnation") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -210,7 +210,7 @@
   driver.scheduler.OnStartAnswer(starts[0].target, start_result::kUnknown,
                                  driver.now);
 
-  SECTION("when the former life was lost before it confirmed the stop") {
+  SECTION("when the previous incarnation ended before it confirmed the stop") {
     driver.scheduler.OnHoldUnanswered("vm-1");
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
@@ -224,7 +224,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("when the former life had confirmed the stop") {
+  SECTION("when the previous incarnation had confirmed the stop") {
     driver.Starts();
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
     vm.List(kFirstIncarnation, vm.FirstClock() + milliseconds(1));
--- a/tests/core/jobs/vm_table_test.cc
+++ b/tests/core/jobs/vm_table_test.cc
@@ -18,7 +18,7 @@
 
 // Guards against a VM that no plan visits again although it has changed or its
 // lease has expired.
-TEST_CASE("A table tells which VMs have changed, and which are due") {
+TEST_CASE("A table returns the VMs that have changed and that are due") {
   vm_table table;
   const time_point now{std::chrono::hours(1)};
   vm_state* second = table.Add(Vm("vm-2")).first;
@@ -30,25 +30,25 @@
     CHECK(table.TakeChanged().empty());
     CHECK(table.TakeDue().empty());
 
-    SECTION("those that are taken for a change, once") {
+    SECTION("those that were obtained for a change, once") {
       CHECK(table.Change("vm-1") == first);
       CHECK(table.Change("vm-1") == first);
       CHECK(table.TakeChanged() == std::vector<vm_state*>{first});
     }
 
-    SECTION("not those that are only looked at") {
+    SECTION("not those that were only read") {
       CHECK(table.Find("vm-1") == first);
       CHECK(table.FindUntouched("vm-1") == first);
       CHECK(table.TakeDue().empty());
     }
 
-    SECTION("those whose date has come") {
+    SECTION("those whose check is due") {
       table.WakeAt(first, now + seconds(2));
       table.WakeAt(second, now + seconds(1));
       table.WakeDue(now + seconds(1));
       CHECK(table.TakeDue() == std::vector<vm_state*>{second});
 
-      SECTION("by the date that was set last") {
+      SECTION("by the time that was set last") {
         table.WakeAt(first, now + seconds(5));
         table.WakeDue(now + seconds(4));
         CHECK(table.TakeDue().empty());
@@ -58,7 +58,7 @@
     }
   }
 
-  SECTION("not one that was forgotten") {
+  SECTION("not one that was removed") {
     table.WakeAt(first, now);
     table.Erase(first);
     table.WakeDue(now);
@@ -82,20 +82,20 @@
   CHECK(table.WithRunsOf("other") == std::vector<vm_state*>{first});
   CHECK(table.WithRunsOf("unknown").empty());
 
-  SECTION("until the last run of the job there is gone") {
+  SECTION("until the last run of the job there is removed") {
     first->Erase({"job", 0, 0, 1});
     CHECK(table.WithRunsOf("job") == std::vector<vm_state*>{first, second});
     first->Erase({"job", 0, 0, 2});
     CHECK(table.WithRunsOf("job") == std::vector<vm_state*>{second});
   }
 
-  SECTION("or the VM is forgotten") {
+  SECTION("or the VM is removed") {
     table.Erase(first);
     CHECK(table.WithRunsOf("job") == std::vector<vm_state*>{second});
     CHECK(table.WithRunsOf("other").empty());
   }
 
-  SECTION("also when a newer run takes the place of one") {
+  SECTION("also when a newer run replaces another one") {
     first->Add({"other", 0, 0, 0}, Run());
     CHECK(table.WithRunsOf("other") == std::vector<vm_state*>{first});
   }
