--- a/include/plantainhead/core/jobs/job_types.h
+++ b/include/plantainhead/core/jobs/job_types.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "plantainhead/core/jobs/run_loss.h"
-#include "plantainhead/core/jobs/vm_incarnation.h"
+#include "plantainhead/core/jobs/vm_life.h"
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
--- a/include/plantainhead/core/jobs/run_loss.h
+++ b/include/plantainhead/core/jobs/run_loss.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "plantainhead/core/jobs/vm_incarnation.h"
+#include "plantainhead/core/jobs/vm_life.h"
 #include "plantainhead/core/names.h"
 
 namespace plantainhead::core::jobs {
--- a/include/plantainhead/core/jobs/vm_incarnation.h
+++ b/include/plantainhead/core/jobs/vm_life.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
-#define PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
+#define PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
 
 #include <cstdint>
 #include <optional>
@@ -24,4 +24,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_VM_INCARNATION_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_VM_LIFE_H_
