--- a/src/core/jobs/pool_scheduler_impl.h
+++ b/src/core/jobs/pool_scheduler_impl.h
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/jobs/congestion_window.h"
 #include "core/jobs/job_table.h"
+#include "core/jobs/send_window.h"
 #include "core/jobs/vm_index.h"
 #include "core/jobs/vm_state.h"
 #include "core/jobs/vm_table.h"
@@ -67,7 +67,7 @@
                          const run_ref& target,
                          bool is_answered,
                          time_point now);
-  /// Passes the result of a start to the congestion window of starts. `vm` may
+  /// Passes the result of a start to the send window of starts. `vm` may
   /// be null.
   void NoteStartTime(vm_state* vm, const run_ref& target, time_point now);
   duration AnswerDelay() const { return window_.delay(); }
@@ -298,7 +298,7 @@
   scheduler_counts counts_;
   /// Lost runs that have not been reported.
   std::vector<lost_run> losses_;
-  congestion_window window_;
+  send_window window_;
   /// The number of starts that this plan may still order, and of those in
   /// flight.
   std::size_t starts_left_ = 0;
--- a/src/core/jobs/congestion_window.cc
+++ b/src/core/jobs/send_window.cc
@@ -1,4 +1,4 @@
-#include "core/jobs/congestion_window.h"
+#include "core/jobs/send_window.h"
 
 #include <algorithm>
 
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-congestion_window::congestion_window(const congestion_window_settings& settings)
+send_window::send_window(const send_window_settings& settings)
     : settings_(settings),
       size_(static_cast<double>(settings.initial_size)),
       slow_start_threshold_(static_cast<double>(settings.max_size)) {}
 
-void congestion_window::NoteResult(duration took, time_point now) {
+void send_window::NoteResult(duration took, time_point now) {
   smoothed_delay_ += (took - smoothed_delay_) / kSmoothing;
   counted_from_ = counted_ == 0 ? now : counted_from_;
   ++counted_;
@@ -39,7 +39,7 @@
   slow_start_threshold_ = size_;
 }
 
-duration congestion_window::delay() const {
+duration send_window::delay() const {
   return smoothed_delay_ > settings_.slow ? smoothed_delay_ : duration::zero();
 }
 
--- a/src/core/jobs/congestion_window.h
+++ b/src/core/jobs/send_window.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_CORE_JOBS_CONGESTION_WINDOW_H_
-#define PLANTAINHEAD_SRC_CORE_JOBS_CONGESTION_WINDOW_H_
+#ifndef PLANTAINHEAD_SRC_CORE_JOBS_SEND_WINDOW_H_
+#define PLANTAINHEAD_SRC_CORE_JOBS_SEND_WINDOW_H_
 
 #include <chrono>
 #include <cstddef>
@@ -8,10 +8,10 @@
 
 namespace plantainhead::core::jobs {
 
-/// The limits of a `congestion_window`. The defaults are those of starts. VMs
+/// The limits of a `send_window`. The defaults are those of starts. VMs
 /// answer within some milliseconds, and an owner that orders hundreds of starts
 /// is busy for some tenths of a second, so that `slow` is far above both.
-struct congestion_window_settings {
+struct send_window_settings {
   std::size_t min_size = 8;
   /// The number of calls that may be in flight before any was answered.
   std::size_t initial_size = 512;
@@ -32,10 +32,10 @@
 /// and is halved when many results are slow. Without it, a process with a
 /// backlog sends more calls than its link carries within their timeout, gives
 /// them up and sends them again. Not thread-safe.
-class congestion_window {
+class send_window {
  public:
   /// Precondition: 0 < min_size <= initial_size <= max_size.
-  explicit congestion_window(const congestion_window_settings& settings = {});
+  explicit send_window(const send_window_settings& settings = {});
   /// Records that a call was answered, or timed out, after `took`.
   void NoteResult(duration took, time_point now);
   /// Returns the number of calls that may be in flight.
@@ -45,7 +45,7 @@
   duration delay() const;
 
  private:
-  congestion_window_settings settings_;
+  send_window_settings settings_;
   double size_;
   /// Below this size the window doubles with each round of answers.
   double slow_start_threshold_;
@@ -58,4 +58,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_SRC_CORE_JOBS_CONGESTION_WINDOW_H_
+#endif  // PLANTAINHEAD_SRC_CORE_JOBS_SEND_WINDOW_H_
--- a/src/jobs/partition_loader.cc
+++ b/src/jobs/partition_loader.cc
@@ -4,7 +4,7 @@
 #include <deque>
 #include <utility>
 
-#include "core/jobs/congestion_window.h"
+#include "core/jobs/send_window.h"
 #include "jobs/clocks.h"
 
 namespace plantainhead::jobs {
@@ -12,8 +12,8 @@
 
 // Begins with few, since nothing is known of the link, and leaves some of the
 // client's connections to calls that can't wait.
-core::jobs::congestion_window_settings LoadWindow() {
-  core::jobs::congestion_window_settings settings;
+core::jobs::send_window_settings LoadWindow() {
+  core::jobs::send_window_settings settings;
   settings.min_size = 1;
   settings.initial_size = 4;
   settings.max_size = 12;
@@ -80,7 +80,7 @@
   }
 
   adapter::store_client& store_;
-  core::jobs::congestion_window window_;
+  core::jobs::send_window window_;
   std::deque<waiting_page> waiting_first_;
   std::deque<waiting_page> waiting_last_;
   std::size_t under_way_ = 0;
--- a/tests/core/jobs/congestion_window_test.cc
+++ b/tests/core/jobs/send_window_test.cc
@@ -1,4 +1,4 @@
-#include "core/jobs/congestion_window.h"
+#include "core/jobs/send_window.h"
 
 #include <catch2/catch.hpp>
 
@@ -27,7 +27,7 @@
 // order in each `spacing`, in order. Orders that are not answered within the
 // timeout are given up but still take their time on the link.
 link_counts Simulate(duration spacing, bool has_window) {
-  congestion_window window;
+  send_window window;
   std::deque<time_point> waiting;
   link_counts counts;
   time_point now(seconds(1));
@@ -78,7 +78,7 @@
   }
 
   SECTION("a link with enough capacity is not limited") {
-    congestion_window window;
+    send_window window;
     for (int i = 0; i < 1000; ++i) {
       window.NoteResult(milliseconds(6), time_point(milliseconds(i)));
     }
@@ -89,7 +89,7 @@
   // Guards against a pool whose starts wait for those on one VM that does not
   // answer.
   SECTION("nor is a link with one peer that does not answer") {
-    congestion_window window;
+    send_window window;
     time_point now(seconds(1));
     for (int i = 0; i < 10'000; ++i, now += kTick) {
       window.NoteResult(i % 100 == 0 ? kTimeout : milliseconds(6), now);
@@ -98,7 +98,7 @@
   }
 
   SECTION("and the response time is returned while it is high") {
-    congestion_window window;
+    send_window window;
     for (int i = 0; i < 100; ++i) {
       window.NoteResult(milliseconds(650), time_point(seconds(i)));
     }
