--- a/src/core/jobs/job_state.cc
+++ b/src/core/jobs/job_state.cc
@@ -353,7 +353,7 @@
   return is_withdrawn;
 }
 
-bool job_state::ForgetLosses(const task_name& name) {
+bool job_state::ClearLosses(const task_name& name) {
   job_task_state* task = Find(name);
   if (task == nullptr || task->losses.empty() || !StepOf(name).long_running) {
     return false;
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -166,7 +166,7 @@
   bool WithdrawLosses(const vm_id& vm, const vm_incarnation& incarnation);
   /// Clears the losses of a long-running task that is ready. Returns false if
   /// there were none.
-  bool ForgetLosses(const task_name& name);
+  bool ClearLosses(const task_name& name);
   /// Returns whether any task may have losses.
   bool HasLosses() const { return has_losses_; }
   void Cancel() { Finish(job_phase::kCancelled); }
--- a/src/core/jobs/pool_incarnations.cc
+++ b/src/core/jobs/pool_incarnations.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // A call that was not answered may be carried out up to this much later.
-constexpr duration kLatestCall = std::chrono::seconds(15);
+constexpr duration kMaxCallDelay = std::chrono::seconds(15);
 
 }  // namespace
 
@@ -37,13 +37,13 @@
 void pool_scheduler::impl::BeginIncarnation(vm_state* vm,
                                             const vm_incarnation& incarnation,
                                             time_point now) {
-  ForgetUnprocessedEnds(vm);
+  DropUnprocessedEnds(vm);
   // If the lease has expired, the runs ended before the incarnation did.
-  const bool is_over = !vm->IsLeaseExpired(now);
+  const bool has_incarnation_ended = !vm->IsLeaseExpired(now);
   std::vector<lost_run> lost;
   for (auto& [task, run] : vm->runs()) {
     if (run.is_reported) {
-      lost.push_back(LostRunOf(*vm, task, run, is_over));
+      lost.push_back(LostRunOf(*vm, task, run, has_incarnation_ended));
     } else {
       MarkUncertain(&run, vm->incarnation);
     }
@@ -65,23 +65,23 @@
   run->is_stop_wanted = run->is_stop_wanted || !run->confirmed_at;
 }
 
-void pool_scheduler::impl::ForgetOldStarts(vm_state* vm, time_point now) {
+void pool_scheduler::impl::DropOldStarts(vm_state* vm, time_point now) {
   std::erase_if(vm->unanswered_starts, [now](const auto& start) {
-    return now - start.second.given_up_at > kLatestCall;
+    return now - start.second.given_up_at > kMaxCallDelay;
   });
 }
 
 void pool_scheduler::impl::NoteUnansweredStart(vm_state* vm,
                                                const run_ref& target,
                                                time_point now) {
-  ForgetOldStarts(vm, now);
+  DropOldStarts(vm, now);
   vm->unanswered_starts[target.task] = {target.run, now};
 }
 
 // The previous incarnation may have confirmed the stop of a start that has not
 // arrived yet.
 void pool_scheduler::impl::StopUnansweredStarts(vm_state* vm, time_point now) {
-  ForgetOldStarts(vm, now);
+  DropOldStarts(vm, now);
   for (const auto& [task, start] : vm->unanswered_starts) {
     const job_state* job = jobs_.Find(task.job);
     if (job == nullptr || vm->runs().count(task) != 0) {
--- a/src/core/jobs/pool_placement.cc
+++ b/src/core/jobs/pool_placement.cc
@@ -209,7 +209,7 @@
   // A gang that is larger than the window starts when no other start is in
   // flight.
   const bool is_held_back =
-      state.tasks.size() > starts_left_ && starts_under_way_ > 0;
+      state.tasks.size() > starts_left_ && starts_in_flight_ > 0;
   if (state.placed > 0 || is_held_back) {
     return;
   }
@@ -224,7 +224,7 @@
   }
   for (const std::string& rack : RacksFor(*job, step)) {
     std::vector<std::pair<vm_state*, task_name>> placed;
-    const std::size_t unplaced_before = unplaced_.size();
+    const std::size_t unplaced_before = unmet_demands_.size();
     for (std::uint32_t i = 0; i < state.tasks.size(); ++i) {
       const task_name name{job->spec().id, occurrence, step, i};
       vm_state* vm = ChooseVm(job, name, rack, now);
@@ -248,7 +248,7 @@
     if (!fits) {
       // Demands that found no capacity beside the attempted gang may find some
       // without it.
-      unplaced_.resize(unplaced_before);
+      unmet_demands_.resize(unplaced_before);
       continue;
     }
     for (const auto& [vm, name] : placed) {
@@ -281,8 +281,8 @@
 bool pool_scheduler::impl::IsKnownUnplaceable(const pool_id& pool,
                                               const step_spec& step) const {
   const resources demand = DemandOf(step);
-  return std::any_of(unplaced_.begin(), unplaced_.end(),
-                     [&](const unplaced_need& need) {
+  return std::any_of(unmet_demands_.begin(), unmet_demands_.end(),
+                     [&](const unmet_demand& need) {
                        return Fits(need.demand, demand) && need.pool == pool &&
                               need.label == step.required_label;
                      });
@@ -319,17 +319,17 @@
   const vm_id* avoided = nullptr;
   time_point now;
   /// Intermediate results.
-  bool has_room = false;
+  bool has_capacity = false;
   vm_state* last_resort = nullptr;
 };
 
 bool pool_scheduler::impl::Suits(vm_state* vm, vm_search* search) const {
   const std::string& label = search->step.required_label;
-  const bool has_room = Fits(search->demand, vm->Free()) &&
-                        search->now >= vm->avoid_until &&
-                        (label.empty() || HasLabel(vm->description(), label));
-  search->has_room = search->has_room || has_room;
-  if (!has_room ||
+  const bool has_capacity =
+      Fits(search->demand, vm->Free()) && search->now >= vm->avoid_until &&
+      (label.empty() || HasLabel(vm->description(), label));
+  search->has_capacity = search->has_capacity || has_capacity;
+  if (!has_capacity ||
       !MayHold(*vm, search->task, search->step, search->is_isolated)) {
     return false;
   }
@@ -418,8 +418,8 @@
     }
     best = best == nullptr ? FindBest(*eligible, &search) : best;
   }
-  if (!search.has_room) {
-    unplaced_.push_back({pool, step.required_label, search.demand});
+  if (!search.has_capacity) {
+    unmet_demands_.push_back({pool, step.required_label, search.demand});
   }
   if (best == nullptr && eligible->size() <= 1) {
     return search.last_resort;
@@ -449,9 +449,9 @@
   job->MarkPlaced(task, run);
   job->MarkStarted(now);
   index_.Update(vm, now);
-  vms_.Touch(vm);
+  vms_.MarkChanged(vm);
   ++counts_.starts;
-  ++starts_under_way_;
+  ++starts_in_flight_;
   starts_left_ -= std::min<std::size_t>(starts_left_, 1);
   orders->emplace_back(start_order{{vm->description().id, task, run},
                                    job->shared_spec(),
--- a/src/core/jobs/pool_reports.cc
+++ b/src/core/jobs/pool_reports.cc
@@ -30,12 +30,12 @@
                                      time_point now) {
   for (auto& [id, vm] : vms_.All()) {
     vm.is_registered = false;
-    vms_.Touch(&vm);
+    vms_.MarkChanged(&vm);
   }
   for (const vm_description& description : listed) {
     UpdateVm(description, now);
   }
-  has_list_ = true;
+  has_registry_ = true;
 }
 
 void pool_scheduler::impl::UpdateVm(const vm_description& description,
@@ -53,7 +53,7 @@
   // An owner that was paused may have been the first to see this VM and may
   // have started a task on it, which this owner would start a second time.
   const bool may_be_used =
-      is_new && (!has_list_ || now < takeover_.exclusive_from);
+      is_new && (!has_registry_ || now < takeover_.exclusive_from);
   if (may_be_used && vacant_.count(description.id) != 0) {
     vm->is_reconciled = true;
   } else if (may_be_used) {
@@ -77,11 +77,11 @@
     return;
   }
   const bool is_first = !known->trusted_until.has_value();
-  const bool was_doubted = known->indexed.stage == vm_stage::kUntrusted;
-  if (is_first || was_doubted || trusted_until < *known->trusted_until) {
+  const bool was_untrusted = known->indexed.stage == vm_stage::kUntrusted;
+  if (is_first || was_untrusted || trusted_until < *known->trusted_until) {
     FindVm(id)->trusted_until = trusted_until;
   } else {
-    vms_.FindUntouched(id)->trusted_until = trusted_until;
+    vms_.FindUnmarked(id)->trusted_until = trusted_until;
   }
 }
 
@@ -169,7 +169,7 @@
 // against it.
 void pool_scheduler::impl::NoteReady(const task_name& task) {
   job_state* job = jobs_.Find(task.job);
-  if (job != nullptr && job->ForgetLosses(task)) {
+  if (job != nullptr && job->ClearLosses(task)) {
     jobs_.NoteChange(job);
   }
 }
@@ -237,26 +237,26 @@
 // `IsRecovered`.
 void pool_scheduler::impl::AdoptRunsOf(const job_id& id, time_point now) {
   for (vm_state* vm : vms_.WithRunsOf(id)) {
-    std::vector<running_task> told;
+    std::vector<running_task> listed_runs;
     for (const auto& [task, run] : vm->runs()) {
       if (run.IsOfUnknownJob() && task.job == id) {
-        told.push_back({task, run.run, "", run.percent, run.reading});
+        listed_runs.push_back({task, run.run, "", run.percent, run.reading});
       }
     }
-    for (const running_task& row : told) {
+    for (const running_task& row : listed_runs) {
       vm->Erase(row.task);
       Adopt(vm, row, now);
     }
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
   }
-  const auto forgotten = forgotten_runs_.find(id);
-  if (forgotten == forgotten_runs_.end()) {
+  const auto forgotten = highest_unknown_runs_.find(id);
+  if (forgotten == highest_unknown_runs_.end()) {
     return;
   }
   for (const auto& [task, run] : forgotten->second) {
     jobs_.Find(id)->NoteReportedRun(task, run);
   }
-  forgotten_runs_.erase(forgotten);
+  highest_unknown_runs_.erase(forgotten);
 }
 
 // `job` is null if the job is unknown.
@@ -334,7 +334,7 @@
   const bool is_gang = job->StepOf(end.task).gang;
   bool is_any = false;
   for (vm_state* vm : vms_.WithRunsOf(end.task.job)) {
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
     ForRunsOfStep(vm, end.task, [&](const task_name& task, run_state* run) {
       const bool may_start = run->run > end.run && !run->confirmed_at &&
                              (is_gang || task.index == end.task.index);
--- a/src/core/jobs/pool_runs.cc
+++ b/src/core/jobs/pool_runs.cc
@@ -10,7 +10,7 @@
 // Best-effort tasks are throttled when the tail latency of a latency-sensitive
 // task reaches the first share of its target, before it exceeds the target, and
 // are sped up again when it is below the second share.
-constexpr double kSlowFrom = 0.85;
+constexpr double kThrottleFrom = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
 constexpr std::uint32_t kFullPace = 100;
 constexpr std::uint32_t kPaceStep = 20;
@@ -19,13 +19,13 @@
 constexpr std::uint32_t kMaxUnreportedRuns = 100;
 
 // A stop that was not answered within this time will not be answered.
-constexpr duration kStopGivenUp = std::chrono::seconds(3);
+constexpr duration kStopTimeout = std::chrono::seconds(3);
 
-loss_kind LossKindOf(const run_state& run, bool is_over) {
-  if (is_over && !run.confirmed_at) {
+loss_kind LossKindOf(const run_state& run, bool has_incarnation_ended) {
+  if (has_incarnation_ended && !run.confirmed_at) {
     return loss_kind::kCrashUnanswered;
   }
-  if (is_over) {
+  if (has_incarnation_ended) {
     return run.is_newly_started ? loss_kind::kCrashAtStart
                                 : loss_kind::kCrashLater;
   }
@@ -44,7 +44,7 @@
   vm->Erase(name);
   job_state* job = jobs_.Find(name.job);
   if (job == nullptr) {
-    NoteForgotten(name, run);
+    NoteUnknownRun(name, run);
     return nullptr;
   }
   if (!job->PresumeEnd(name, run)) {
@@ -72,12 +72,12 @@
 // The VM may return and list the end of the run again after its job has been
 // read. If a new run had the same number, the end would be mistaken for that of
 // the new run.
-void pool_scheduler::impl::NoteForgotten(const task_name& task,
-                                         std::uint32_t run) {
+void pool_scheduler::impl::NoteUnknownRun(const task_name& task,
+                                          std::uint32_t run) {
   const bool is_unknown =
       jobs_.Find(task.job) == nullptr && !jobs_.IsEnded(task.job);
   if (is_unknown) {
-    std::uint32_t& highest = forgotten_runs_[task.job][task];
+    std::uint32_t& highest = highest_unknown_runs_[task.job][task];
     highest = std::max(highest, run);
   }
 }
@@ -118,18 +118,19 @@
 // again. Such an owner has claimed the partition before, so that the store
 // rejects the record of these ends. The tasks start again only after the record
 // is stored.
-void pool_scheduler::impl::EndAllRunsAsLost(vm_state* vm, bool is_over) {
-  ForgetUnprocessedEnds(vm);
+void pool_scheduler::impl::EndAllRunsAsLost(vm_state* vm,
+                                            bool has_incarnation_ended) {
+  DropUnprocessedEnds(vm);
   std::vector<lost_run> lost;
   for (const auto& [task, run] : vm->runs()) {
-    lost.push_back(LostRunOf(*vm, task, run, is_over));
+    lost.push_back(LostRunOf(*vm, task, run, has_incarnation_ended));
   }
   EndLostRuns(vm, lost);
 }
 
-void pool_scheduler::impl::ForgetUnprocessedEnds(vm_state* vm) {
+void pool_scheduler::impl::DropUnprocessedEnds(vm_state* vm) {
   for (const auto& [task, run] : vm->unprocessed_ends) {
-    NoteForgotten(task, run);
+    NoteUnknownRun(task, run);
   }
   vm->unprocessed_ends.clear();
 }
@@ -137,9 +138,9 @@
 lost_run pool_scheduler::impl::LostRunOf(const vm_state& vm,
                                          const task_name& task,
                                          const run_state& run,
-                                         bool is_over) {
+                                         bool has_incarnation_ended) {
   return {{vm.description().id, task, run.run},
-          LossKindOf(run, is_over),
+          LossKindOf(run, has_incarnation_ended),
           vm.incarnation};
 }
 
@@ -182,7 +183,7 @@
 
 void pool_scheduler::impl::StopRunsOf(const job_id& id) {
   for (vm_state* vm : vms_.WithRunsOf(id)) {
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
     for (auto it = vm->runs().lower_bound({id, 0, 0, 0});
          it != vm->runs().end() && it->first.job == id; ++it) {
       it->second.is_stop_wanted = true;
@@ -193,7 +194,7 @@
 void pool_scheduler::impl::StopRunsOfDone(const task_name& task) {
   job_state* job = jobs_.Find(task.job);
   for (vm_state* vm : vms_.WithRunsOf(task.job)) {
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
     ForRunsOfStep(vm, task, [job](const task_name& name, run_state* run) {
       const job_task_state* state = job->Find(name);
       const bool is_done =
@@ -205,9 +206,9 @@
 
 void pool_scheduler::impl::ExpireIfSilent(vm_state* vm, time_point now) {
   // A listing that arrived after the end of the last lease is up to date.
-  const bool has_told_since =
+  const bool has_listed_since =
       vm->HasAnswered() && vm->last_answer_at() >= vm->lease_expires_at();
-  if (!vm->IsLeaseExpired(now) || has_told_since) {
+  if (!vm->IsLeaseExpired(now) || has_listed_since) {
     return;
   }
   has_unreported_vm_ =
@@ -252,7 +253,7 @@
   has_unreported_vm_ = now < takeover_.exclusive_from;
 }
 
-void pool_scheduler::impl::ForgetIfGone(vm_state* vm, time_point now) {
+void pool_scheduler::impl::RemoveIfGone(vm_state* vm, time_point now) {
   if (vm->is_registered || !vm->runs().empty() || !vm->IsLeaseExpired(now)) {
     return;
   }
@@ -331,9 +332,9 @@
                                      time_point now,
                                      std::vector<vm_order>* orders) {
   for (auto& [task, run] : vm->runs()) {
-    const bool is_under_way =
-        run.is_stop_in_flight && now - run.stop_sent_at < kStopGivenUp;
-    const bool is_due = run.is_stop_wanted && !is_under_way &&
+    const bool is_in_flight =
+        run.is_stop_in_flight && now - run.stop_sent_at < kStopTimeout;
+    const bool is_due = run.is_stop_wanted && !is_in_flight &&
                         !run.is_start_in_flight && !run.stop_answered_at &&
                         now >= run.next_stop_at;
     if (is_due) {
@@ -365,7 +366,7 @@
     std::uint32_t pace = run.pace;
     if (worst >= 1.0) {
       pace = 0;
-    } else if (worst >= kSlowFrom) {
+    } else if (worst >= kThrottleFrom) {
       pace = run.pace / 2;
     } else if (worst < kSpeedUpBelow) {
       pace = std::min(kFullPace, run.pace + kPaceStep);
--- a/src/core/jobs/pool_scheduler.cc
+++ b/src/core/jobs/pool_scheduler.cc
@@ -21,7 +21,7 @@
     return;
   }
   impl_->AdoptRunsOf(job->spec().id, now);
-  if (impl_->has_list()) {
+  if (impl_->has_registry()) {
     impl_->NoteReading(job);
   } else {
     job->MarkInherited();
--- a/src/core/jobs/pool_scheduler_impl.h
+++ b/src/core/jobs/pool_scheduler_impl.h
@@ -27,9 +27,10 @@
 
 /// The implementation of `pool_scheduler`. It visits only VMs that have changed
 /// rather than all of them: code that changes a VM obtains it from `FindVm` or
-/// calls `vm_table::Touch`. The implementation is split into eight files: the
-/// steps of a plan (`pool_plan.cc`), the listings of VMs (`pool_reports.cc`),
-/// restarts of VMs (`pool_incarnations.cc`), the answers to orders
+/// calls `vm_table::MarkChanged`. The implementation is split into eight files:
+/// the steps of a plan (`pool_plan.cc`), the listings of VMs
+/// (`pool_reports.cc`), restarts of VMs (`pool_incarnations.cc`), the answers
+/// to orders
 /// (`pool_answers.cc`), the stored records (`pool_records.cc`), the ends of
 /// runs (`pool_runs.cc`), the placement of tasks (`pool_placement.cc`) and the
 /// load of the pool (`pool_load.cc`).
@@ -42,9 +43,9 @@
   vm_table& vms() { return vms_; }
   /// Returns whether the registry's VMs are known. Jobs that were added before
   /// that belong to an earlier owner.
-  bool has_list() const { return has_list_; }
+  bool has_registry() const { return has_registry_; }
   /// Returns the VM and marks it as changed, or returns null if it is unknown.
-  vm_state* FindVm(const vm_id& id) { return vms_.Change(id); }
+  vm_state* FindVm(const vm_id& id) { return vms_.FindForChange(id); }
   const vm_state* PeekVm(const vm_id& id) const { return vms_.Find(id); }
   scheduler_counts Counts() const;
   pool_load Load(const pool_id& pool, time_point now);
@@ -128,7 +129,7 @@
 
   /// The requirements of the tasks of a step that no VM could meet, except for
   /// those that only some of the tasks have.
-  struct unplaced_need {
+  struct unmet_demand {
     pool_id pool;
     std::string label;
     resources demand;
@@ -151,20 +152,21 @@
   /// resolves it.
   static void MarkUncertain(run_state* run,
                             const vm_incarnation& former_incarnation);
-  static void ForgetOldStarts(vm_state* vm, time_point now);
+  static void DropOldStarts(vm_state* vm, time_point now);
   static void NoteUnansweredStart(vm_state* vm,
                                   const run_ref& target,
                                   time_point now);
   void StopUnansweredStarts(vm_state* vm, time_point now);
   /// Ends lost runs and counts them against their tasks.
   void EndLostRuns(vm_state* vm, const std::vector<lost_run>& lost);
-  void ForgetUnprocessedEnds(vm_state* vm);
-  /// Returns the report of a run that is lost with its VM. `is_over` states
-  /// whether its incarnation of the VM is known to have ended.
+  void DropUnprocessedEnds(vm_state* vm);
+  /// Returns the report of a run that is lost with its VM.
+  /// `has_incarnation_ended` states whether its incarnation of the VM is known
+  /// to have ended.
   static lost_run LostRunOf(const vm_state& vm,
                             const task_name& task,
                             const run_state& run,
-                            bool is_over);
+                            bool has_incarnation_ended);
 
   // Reports.
   void ProcessRunning(vm_state* vm, const running_task& row, time_point now);
@@ -188,16 +190,16 @@
   /// VM. Returns its job if its state changed, otherwise null.
   job_state* EndRun(vm_state* vm, const task_name& task);
   void CountLoss(job_state* job, const task_name& task, const run_loss& loss);
-  /// Ends all runs on a VM as lost. `is_over` states whether the incarnation of
-  /// the VM is known to have ended.
-  void EndAllRunsAsLost(vm_state* vm, bool is_over);
+  /// Ends all runs on a VM as lost. `has_incarnation_ended` states whether the
+  /// incarnation of the VM is known to have ended.
+  void EndAllRunsAsLost(vm_state* vm, bool has_incarnation_ended);
   static bool IsEndPlanned(const vm_state& vm);
   /// Returns whether a crash of the VM now is attributed to another task than
   /// that of the run.
   static bool IsClearedBySuspect(const vm_state& vm, const run_state& run);
   void ExpireIfSilent(vm_state* vm, time_point now);
   /// Removes a VM that is no longer registered and that can run no task.
-  void ForgetIfGone(vm_state* vm, time_point now);
+  void RemoveIfGone(vm_state* vm, time_point now);
   void StopHungRuns(vm_state* vm, time_point now);
   void EmptyVm(vm_state* vm, time_point now);
   bool MayInterrupt(const task_name& task);
@@ -225,7 +227,7 @@
   static void NoteWait(job_state* job, wait_cause cause, time_point now);
   bool IsRecovered(time_point now);
   void SkipUnreportedRuns(time_point now);
-  void NoteForgotten(const task_name& task, std::uint32_t run);
+  void NoteUnknownRun(const task_name& task, std::uint32_t run);
   std::set<job_id> JobsWithUnprocessedEnds() const;
   std::vector<candidate> Candidates(time_point now);
   void PlaceJob(job_state* job, time_point now, std::vector<vm_order>* orders);
@@ -293,7 +295,7 @@
   std::vector<vm_id> emptied_;
   /// VMs with ends that may be acknowledged only once a batch is stored.
   std::vector<vm_id> unacknowledged_;
-  bool has_list_ = false;
+  bool has_registry_ = false;
   std::uint64_t stored_through_ = 0;
   scheduler_counts counts_;
   /// Lost runs that have not been reported.
@@ -302,9 +304,9 @@
   /// The number of starts that this plan may still order, and of those in
   /// flight.
   std::size_t starts_left_ = 0;
-  std::size_t starts_under_way_ = 0;
+  std::size_t starts_in_flight_ = 0;
   /// Requirements that no VM could meet in this plan.
-  std::vector<unplaced_need> unplaced_;
+  std::vector<unmet_demand> unmet_demands_;
   /// Whether the lease of a VM expired before the VM had listed what was
   /// started there.
   bool has_unreported_vm_ = false;
@@ -313,7 +315,7 @@
   std::optional<time_point> cancellations_read_through_;
   /// The highest runs of unknown jobs that VMs had listed before their leases
   /// expired or they restarted.
-  std::map<job_id, std::map<task_name, std::uint32_t>> forgotten_runs_;
+  std::map<job_id, std::map<task_name, std::uint32_t>> highest_unknown_runs_;
   bool is_recovered_ = false;
   /// The number of the batch that records the last expired lease of a VM.
   std::uint64_t expiry_batch_ = 0;
--- a/src/core/jobs/vm_index.cc
+++ b/src/core/jobs/vm_index.cc
@@ -159,7 +159,7 @@
   figures.capacity = vm.description().capacity;
   figures.free = vm.Free();
   figures.kind = available_vm_list::KindOf(vm);
-  figures.starts_under_way = static_cast<std::size_t>(std::count_if(
+  figures.starts_in_flight = static_cast<std::size_t>(std::count_if(
       vm.runs().begin(), vm.runs().end(),
       [](const auto& run) { return run.second.is_start_in_flight; }));
   return figures;
@@ -168,7 +168,7 @@
 void vm_index::Add(vm_state* vm, const vm_index_entry& figures) {
   vm->indexed = figures;
   pool_vm_index& pool = *figures.pool;
-  starts_under_way_ += figures.starts_under_way;
+  starts_in_flight_ += figures.starts_in_flight;
   if (std::uint32_t* count = CountOf(figures.stage, &pool.stages)) {
     ++*count;
   }
@@ -197,7 +197,7 @@
     return;
   }
   pool_vm_index& pool = *figures.pool;
-  starts_under_way_ -= figures.starts_under_way;
+  starts_in_flight_ -= figures.starts_in_flight;
   if (std::uint32_t* count = CountOf(figures.stage, &pool.stages)) {
     --*count;
   }
--- a/src/core/jobs/vm_state.cc
+++ b/src/core/jobs/vm_state.cc
@@ -82,8 +82,8 @@
 
 // Leases may have been granted on a clock that is no longer valid. The last of
 // them has nevertheless expired by `lease_expires_at_`.
-void vm_state::BeginIncarnation(const vm_incarnation& mark, time_point now) {
-  incarnation = mark;
+void vm_state::BeginIncarnation(const vm_incarnation& next, time_point now) {
+  incarnation = next;
   incarnation_known_at_ = now;
   has_answered_ = false;
   unanswered_ = 0;
--- a/src/core/jobs/vm_state.h
+++ b/src/core/jobs/vm_state.h
@@ -94,7 +94,7 @@
   resources free;
   /// See `available_vm_list`.
   std::size_t kind = 0;
-  std::size_t starts_under_way = 0;
+  std::size_t starts_in_flight = 0;
 
   bool operator==(const vm_index_entry&) const = default;
 };
@@ -242,7 +242,7 @@
   /// See `vm_table`.
   bool is_changed = false;
   bool is_due = false;
-  std::optional<time_point> wake_at;
+  std::optional<time_point> next_check_at;
 
  private:
   std::uint32_t number_;
--- a/src/core/jobs/vm_table.h
+++ b/src/core/jobs/vm_table.h
@@ -27,12 +27,12 @@
   /// Returns the VM, or null if it is unknown.
   const vm_state* Find(const vm_id& id) const;
   /// Like `Find`, for a change of the VM; marks it as changed.
-  vm_state* Change(const vm_id& id);
+  vm_state* FindForChange(const vm_id& id);
   /// Like `Find`, for a change that does not affect a plan; the VM is not
   /// marked as changed.
-  vm_state* FindUntouched(const vm_id& id);
+  vm_state* FindUnmarked(const vm_id& id);
   /// Marks the VM as changed. Precondition: it is in the table.
-  void Touch(vm_state* vm);
+  void MarkChanged(vm_state* vm);
   /// Returns the VM, which is added if necessary and marked as changed, and
   /// whether it is new.
   std::pair<vm_state*, bool> Add(const vm_description& description);
@@ -42,9 +42,9 @@
   /// Schedules a check: the VM is marked as changed when a plan is made at `at`
   /// or later. Replaces the time that was set before. Precondition: the VM is
   /// in the table.
-  void WakeAt(vm_state* vm, time_point at);
+  void ScheduleCheck(vm_state* vm, time_point at);
   /// Marks the VMs as changed whose check is due.
-  void WakeDue(time_point now);
+  void MarkDueChecks(time_point now);
   /// Return the VMs that may have changed since the last call, in the order in
   /// which they became known: the first for the index, the second for the plan.
   std::vector<vm_state*> TakeChanged();
@@ -74,7 +74,7 @@
   job_vms job_vms_;
   std::vector<vm_state*> changed_;
   std::vector<vm_state*> due_;
-  std::set<std::pair<time_point, vm_state*>> wakes_;
+  std::set<std::pair<time_point, vm_state*>> checks_;
   std::uint32_t next_number_ = 0;
   mutable std::uint64_t visits_ = 0;
 };
--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -24,7 +24,7 @@
 /// returns each time.
 class crashing_vm {
  public:
-  crashing_vm() { Begin({}, {}); }
+  crashing_vm() { StartOwner({}, {}); }
 
   /// Sends the due orders. The VM answers, or crashes before it does.
   std::vector<start_order> Start(bool is_answered) {
@@ -74,7 +74,7 @@
     takeover_bounds bounds;
     bounds.exclusive_from = now;
     bounds.default_lease_end = now + seconds(5);
-    Begin(bounds, now);
+    StartOwner(bounds, now);
   }
 
   job_phase Phase() {
@@ -105,7 +105,7 @@
     }
   }
 
-  void Begin(const takeover_bounds& bounds, time_point now) {
+  void StartOwner(const takeover_bounds& bounds, time_point now) {
     driver_ = std::make_unique<scheduler_driver>(bounds);
     if (now != time_point()) {
       driver_->now = now;
--- a/tests/core/jobs/pool_model.h
+++ b/tests/core/jobs/pool_model.h
@@ -133,7 +133,7 @@
 
   struct vm_run {
     std::uint32_t run = 0;
-    resources room;
+    resources demand;
     time_point ends_at;
     bool fails = false;
     bool is_stopping = false;
@@ -154,7 +154,7 @@
     /// When a task crashes this incarnation.
     time_point crashes_at = time_point::max();
     time_point lease_until;
-    time_point silent_until;
+    time_point unresponsive_until;
     /// When the VM restarts under its id, without any state.
     time_point restarts_at = time_point::max();
     time_point unreadable_until;
@@ -328,7 +328,7 @@
     machine->fence = 0;
     machine->crashes_at = time_point::max();
     machine->lease_until = {};
-    machine->silent_until = {};
+    machine->unresponsive_until = {};
     machine->restarts_at = time_point::max();
     machine->zero =
         Between(std::chrono::seconds(0), std::chrono::seconds(1000));
@@ -350,7 +350,7 @@
     machine->ended.clear();
     machine->crashes_at = time_point::max();
     machine->restarts_at = now + restart_delay;
-    machine->silent_until = machine->restarts_at;
+    machine->unresponsive_until = machine->restarts_at;
   }
 
   // The registry lists the VM until its next incarnation appears.
@@ -382,7 +382,7 @@
     if (OccursInTick(faults_.silence_every) && !vms_.empty()) {
       auto it =
           std::next(vms_.begin(), static_cast<long>(random_() % vms_.size()));
-      it->second.silent_until =
+      it->second.unresponsive_until =
           now + Between(std::chrono::seconds(1), std::chrono::seconds(8));
     }
     if (OccursInTick(faults_.crash_every) && !vms_.empty()) {
@@ -467,8 +467,8 @@
       const auto found = vms_.find(id);
       const bool is_over = is_late && IncarnationOf(id) != meant &&
                            !faults_.late_orders_outlive_vms;
-      const bool is_reached =
-          found != vms_.end() && !is_over && now >= found->second.silent_until;
+      const bool is_reached = found != vms_.end() && !is_over &&
+                              now >= found->second.unresponsive_until;
       const auto answer = is_reached ? at_vm(&found->second) : nullptr;
       if (answer && !is_lost) {
         Later(Delay(), answer);
@@ -531,9 +531,9 @@
     if (progress.phase == job_phase::kFailed && !MayBeGivenUp(id)) {
       violations.push_back("given up after fewer than two crashes: " + id);
     }
-    const bool is_recorded_as_begun = progress.phase == job_phase::kRunning ||
-                                      progress.phase == job_phase::kCompleted;
-    if (is_recorded_as_begun && accepted_.count(id) == 0) {
+    const bool is_recorded_as_started = progress.phase == job_phase::kRunning ||
+                                        progress.phase == job_phase::kCompleted;
+    if (is_recorded_as_started && accepted_.count(id) == 0) {
       violations.push_back("recorded as running, but no VM accepted a task: " +
                            id);
     }
@@ -667,7 +667,7 @@
     machine->highest[task] = order.target.run;
     vm_run started;
     started.run = order.target.run;
-    started.room = order.job->steps[task.step].need;
+    started.demand = order.job->steps[task.step].need;
     started.ends_at = now + order.job->steps[task.step].estimate +
                       Between(duration::zero(), std::chrono::milliseconds(300));
     started.fails = Chance() < faults_.failing_runs;
@@ -703,9 +703,9 @@
     // The most recent order counts together with all others. The capacity may
     // have changed since it was sent.
     const vm_run* last = &run;
-    resources used = run.room;
+    resources used = run.demand;
     for (const auto& [other, held] : machine.runs) {
-      used = used + held.room;
+      used = used + held.demand;
       last = held.sent_at > last->sent_at ? &held : last;
     }
     if (!Fits(used, last->known_capacity)) {
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -311,11 +311,11 @@
   driver.Add(Job("job", {Step(1)}), Policy(1));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
-  const vm_id silent = starts[0].target.vm;
-  const vm_id other = silent == "vm-1" ? "vm-2" : "vm-1";
+  const vm_id unresponsive = starts[0].target.vm;
+  const vm_id other = unresponsive == "vm-1" ? "vm-2" : "vm-1";
   const duration lease = scheduler_settings().lease;
-  driver.scheduler.OnHoldUnanswered(silent);
-  CHECK_FALSE(driver.scheduler.NextHold(silent, driver.now).lease_until);
+  driver.scheduler.OnHoldUnanswered(unresponsive);
+  CHECK_FALSE(driver.scheduler.NextHold(unresponsive, driver.now).lease_until);
 
   driver.Pass(lease);
   driver.List(other, {}, {});
@@ -333,20 +333,20 @@
 
   SECTION("a failure that the VM lists later counts as an attempt") {
     driver.Store();
-    driver.List(silent, {},
+    driver.List(unresponsive, {},
                 {Ended(1, starts[0].target.task, 1, end_kind::kFailed)});
     CHECK(driver.Store().back().jobs[0].second.phase == job_phase::kFailed);
   }
 
   SECTION("a run that the VM still has is stopped") {
-    driver.List(silent, {Running(starts[0].target.task, 1)}, {});
+    driver.List(unresponsive, {Running(starts[0].target.task, 1)}, {});
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     CHECK(driver.stops[0].target.run == 1);
   }
 
   SECTION("another incarnation of it ends the wait at once") {
-    driver.scheduler.OnReplaced(silent, driver.now);
+    driver.scheduler.OnReplaced(unresponsive, driver.now);
     driver.Register({Vm(other)});
     CHECK(driver.scheduler.Vms().size() == 1);
   }
@@ -457,13 +457,13 @@
 TEST_CASE("Best-effort tasks are throttled for latency-sensitive ones") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
-  step_spec serving = Step(1);
-  serving.long_running = true;
-  serving.latency_target = milliseconds(100);
-  step_spec filling = Step(1, 50000);
-  filling.best_effort = true;
-  filling.long_running = true;
-  driver.Add(Job("job", {serving, filling}));
+  step_spec latency_sensitive = Step(1);
+  latency_sensitive.long_running = true;
+  latency_sensitive.latency_target = milliseconds(100);
+  step_spec background = Step(1, 50000);
+  background.best_effort = true;
+  background.long_running = true;
+  driver.Add(Job("job", {latency_sensitive, background}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
   const auto listing = [&](std::int64_t tail_ms) {
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -261,7 +261,7 @@
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
-  const known_vm silent{"vm-1", "10.0.0.1:80"};
+  const known_vm unresponsive{"vm-1", "10.0.0.1:80"};
 
   // Lets the unresponsive VM answer while the new run of the task is on vm-2.
   const auto bring_back = [&](scheduler_driver* driver, std::uint32_t run) {
@@ -273,7 +273,7 @@
   };
 
   scheduler_driver successor(bounds);
-  successor.scheduler.AddKnownVm(silent);
+  successor.scheduler.AddKnownVm(unresponsive);
   successor.Add(Job("job", {Step(1)}));
 
   SECTION("under the owner that deleted the VM's record") {
@@ -300,7 +300,7 @@
     next.Add(Job("job", {Step(1)}));
     next.scheduler.RestoreJob("job", recorded);
     if (is_vm_recorded) {
-      next.scheduler.AddKnownVm(silent);
+      next.scheduler.AddKnownVm(unresponsive);
     }
     next.Starts();
     next.Register({Vm("vm-2")});
--- a/tests/core/jobs/vm_index_test.cc
+++ b/tests/core/jobs/vm_index_test.cc
@@ -52,7 +52,7 @@
         vm->RecordAnswer(vm->last_clock() + duration(1), now_);
         break;
       case 5:
-        vm->Add(task, RunOf(lasting_));
+        vm->Add(task, RunOf(long_running_));
         break;
       case 6:
         vm->Add(task, RunOf(short_));
@@ -93,7 +93,7 @@
     RC_ASSERT(figures->usable_vms == usable);
     RC_ASSERT(figures->idle.size() == idle);
     RC_ASSERT(figures->used == used);
-    RC_ASSERT(index_.starts_under_way() == starts);
+    RC_ASSERT(index_.starts_in_flight() == starts);
     for (const std::string& label : kLabels) {
       RC_ASSERT(index_.AvailableWith("pool", label)->size() ==
                 available[label]);
@@ -118,7 +118,7 @@
 
   time_point now_{std::chrono::hours(1)};
   step_spec short_ = Step(1);
-  step_spec lasting_ = [] {
+  step_spec long_running_ = [] {
     step_spec step = Step(1, 2000);
     step.long_running = true;
     return step;
