--- a/src/core/jobs/pool_load.cc
+++ b/src/core/jobs/pool_load.cc
@@ -8,15 +8,15 @@
 pool_load pool_scheduler::impl::Load(const pool_id& pool, time_point now) {
   pool_load load;
   IndexChanged(now);
-  if (const pool_vm_index* figures = index_.Find(pool)) {
-    load.usable_vms = figures->usable_vms;
-    load.stages = figures->stages;
-    load.used = figures->used;
+  if (const pool_vm_index* pool_index = index_.Find(pool)) {
+    load.usable_vms = pool_index->usable_vms;
+    load.stages = pool_index->stages;
+    load.used = pool_index->used;
     if (load.usable_vms > 0) {
       const std::int64_t count = load.usable_vms;
-      load.vm_capacity = {figures->capacity.cpu_millis / count,
-                          figures->capacity.memory_mb / count,
-                          figures->capacity.gpus / count};
+      load.vm_capacity = {pool_index->capacity.cpu_millis / count,
+                          pool_index->capacity.memory_mb / count,
+                          pool_index->capacity.gpus / count};
     }
   }
   for (const auto& [id, job] : jobs_.waiting()) {
@@ -76,11 +76,11 @@
                                                    std::size_t count) {
   IndexChanged(indexed_at_);
   std::vector<vm_id> chosen;
-  const pool_vm_index* figures = index_.Find(pool);
-  if (figures == nullptr) {
+  const pool_vm_index* pool_index = index_.Find(pool);
+  if (pool_index == nullptr) {
     return chosen;
   }
-  for (const ranked_vm& idle : figures->idle) {
+  for (const ranked_vm& idle : pool_index->idle) {
     if (chosen.size() == count) {
       break;
     }
--- a/src/core/jobs/pool_placement.cc
+++ b/src/core/jobs/pool_placement.cc
@@ -376,12 +376,13 @@
   vm_state* best = nullptr;
   std::tuple<std::size_t, ranked_vm> best_cost;
   for (std::size_t kind = 0; kind < available_vm_list::kKinds; ++kind) {
-    for (const ranked_vm& taker : available.OfKind(kind)) {
+    for (const ranked_vm& available_vm : available.OfKind(kind)) {
       vms_.NoteVisits(1);
-      const std::tuple<std::size_t, ranked_vm> cost = {taker.vm->runs().size(),
-                                                       taker};
-      if (Suits(taker.vm, search) && (best == nullptr || cost < best_cost)) {
-        best = taker.vm;
+      const std::tuple<std::size_t, ranked_vm> cost = {
+          available_vm.vm->runs().size(), available_vm};
+      if (Suits(available_vm.vm, search) &&
+          (best == nullptr || cost < best_cost)) {
+        best = available_vm.vm;
         best_cost = cost;
       }
     }
--- a/src/core/jobs/vm_index.cc
+++ b/src/core/jobs/vm_index.cc
@@ -49,19 +49,19 @@
   return nullptr;
 }
 
-bool IsIdle(const vm_index_entry& figures) {
-  return figures.is_usable && !available_vm_list::HasLongRunning(figures.kind);
+bool IsIdle(const vm_index_entry& entry) {
+  return entry.is_usable && !available_vm_list::HasLongRunning(entry.kind);
 }
 
 }  // namespace
 
-void available_vm_list::Insert(std::size_t kind, const ranked_vm& taker) {
-  lists_[kind].insert(taker);
+void available_vm_list::Insert(std::size_t kind, const ranked_vm& ranked) {
+  lists_[kind].insert(ranked);
   ++size_;
 }
 
-void available_vm_list::Erase(std::size_t kind, const ranked_vm& taker) {
-  lists_[kind].erase(taker);
+void available_vm_list::Erase(std::size_t kind, const ranked_vm& ranked) {
+  lists_[kind].erase(ranked);
   --size_;
 }
 
@@ -75,10 +75,10 @@
     vm->index_slots.pool->vms.insert(vm);
     vm->has_new_description = false;
   }
-  const vm_index_entry figures = EntryOf(*vm, now);
-  if (figures != vm->indexed) {
+  const vm_index_entry entry = EntryOf(*vm, now);
+  if (entry != vm->indexed) {
     Subtract(vm);
-    Add(vm, figures);
+    Add(vm, entry);
   }
   Put(&unreconciled_, vm, !vm->is_reconciled && !vm->IsLeaseExpired(now));
   Put(&with_unprocessed_ends_, vm, !vm->unprocessed_ends.empty());
@@ -114,11 +114,11 @@
   if (found == pools_.end()) {
     return nullptr;
   }
-  pool_vm_index& figures = found->second;
-  if (figures.available.count(label) == 0) {
-    ListLabel(label, &figures);
+  pool_vm_index& entry = found->second;
+  if (entry.available.count(label) == 0) {
+    ListLabel(label, &entry);
   }
-  return &figures.available.at(label);
+  return &entry.available.at(label);
 }
 
 void vm_index::ListLabel(const std::string& label, pool_vm_index* pool) {
@@ -152,37 +152,37 @@
 }
 
 vm_index_entry vm_index::EntryOf(const vm_state& vm, time_point now) {
-  vm_index_entry figures;
-  figures.pool = vm.index_slots.pool;
-  figures.stage = StageOf(vm, now);
-  figures.is_usable = vm.IsUsable();
-  figures.capacity = vm.description().capacity;
-  figures.free = vm.Free();
-  figures.kind = available_vm_list::KindOf(vm);
-  figures.starts_in_flight = static_cast<std::size_t>(std::count_if(
+  vm_index_entry entry;
+  entry.pool = vm.index_slots.pool;
+  entry.stage = StageOf(vm, now);
+  entry.is_usable = vm.IsUsable();
+  entry.capacity = vm.description().capacity;
+  entry.free = vm.Free();
+  entry.kind = available_vm_list::KindOf(vm);
+  entry.starts_in_flight = static_cast<std::size_t>(std::count_if(
       vm.runs().begin(), vm.runs().end(),
       [](const auto& run) { return run.second.is_start_in_flight; }));
-  return figures;
+  return entry;
 }
 
-void vm_index::Add(vm_state* vm, const vm_index_entry& figures) {
-  vm->indexed = figures;
-  pool_vm_index& pool = *figures.pool;
-  starts_in_flight_ += figures.starts_in_flight;
-  if (std::uint32_t* count = CountOf(figures.stage, &pool.stages)) {
+void vm_index::Add(vm_state* vm, const vm_index_entry& entry) {
+  vm->indexed = entry;
+  pool_vm_index& pool = *entry.pool;
+  starts_in_flight_ += entry.starts_in_flight;
+  if (std::uint32_t* count = CountOf(entry.stage, &pool.stages)) {
     ++*count;
   }
-  if (figures.is_usable) {
+  if (entry.is_usable) {
     ++pool.usable_vms;
-    pool.capacity = pool.capacity + figures.capacity;
-    pool.used = pool.used + (figures.capacity - figures.free);
+    pool.capacity = pool.capacity + entry.capacity;
+    pool.used = pool.used + (entry.capacity - entry.free);
   }
-  if (IsIdle(figures)) {
-    pool.idle.insert({-figures.free.cpu_millis, vm});
+  if (IsIdle(entry)) {
+    pool.idle.insert({-entry.free.cpu_millis, vm});
   }
-  if (figures.stage == vm_stage::kAvailable) {
+  if (entry.stage == vm_stage::kAvailable) {
     for (available_vm_list* available : vm->index_slots.available) {
-      available->Insert(figures.kind, {figures.free.cpu_millis, vm});
+      available->Insert(entry.kind, {entry.free.cpu_millis, vm});
     }
     if (vm->index_slots.available_in_rack != nullptr) {
       ++*vm->index_slots.available_in_rack;
@@ -191,27 +191,27 @@
 }
 
 void vm_index::Subtract(vm_state* vm) {
-  const vm_index_entry figures = vm->indexed;
+  const vm_index_entry entry = vm->indexed;
   vm->indexed = {};
-  if (figures.pool == nullptr) {
+  if (entry.pool == nullptr) {
     return;
   }
-  pool_vm_index& pool = *figures.pool;
-  starts_in_flight_ -= figures.starts_in_flight;
-  if (std::uint32_t* count = CountOf(figures.stage, &pool.stages)) {
+  pool_vm_index& pool = *entry.pool;
+  starts_in_flight_ -= entry.starts_in_flight;
+  if (std::uint32_t* count = CountOf(entry.stage, &pool.stages)) {
     --*count;
   }
-  if (figures.is_usable) {
+  if (entry.is_usable) {
     --pool.usable_vms;
-    pool.capacity = pool.capacity - figures.capacity;
-    pool.used = pool.used - (figures.capacity - figures.free);
+    pool.capacity = pool.capacity - entry.capacity;
+    pool.used = pool.used - (entry.capacity - entry.free);
   }
-  if (IsIdle(figures)) {
-    pool.idle.erase({-figures.free.cpu_millis, vm});
+  if (IsIdle(entry)) {
+    pool.idle.erase({-entry.free.cpu_millis, vm});
   }
-  if (figures.stage == vm_stage::kAvailable) {
+  if (entry.stage == vm_stage::kAvailable) {
     for (available_vm_list* available : vm->index_slots.available) {
-      available->Erase(figures.kind, {figures.free.cpu_millis, vm});
+      available->Erase(entry.kind, {entry.free.cpu_millis, vm});
     }
     if (vm->index_slots.available_in_rack != nullptr) {
       --*vm->index_slots.available_in_rack;
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -58,10 +58,10 @@
 
   const ranked_vms& OfKind(std::size_t kind) const { return lists_[kind]; }
   std::size_t size() const { return size_; }
-  /// Precondition: `taker` is not in the list.
-  void Insert(std::size_t kind, const ranked_vm& taker);
-  /// Precondition: `taker` is in the list with this rank.
-  void Erase(std::size_t kind, const ranked_vm& taker);
+  /// Precondition: `ranked` is not in the list.
+  void Insert(std::size_t kind, const ranked_vm& ranked);
+  /// Precondition: `ranked` is in the list with this rank.
+  void Erase(std::size_t kind, const ranked_vm& ranked);
 
  private:
   std::array<ranked_vms, kKinds> lists_;
@@ -119,7 +119,7 @@
   void FindSlots(vm_state* vm);
   static void ListLabel(const std::string& label, pool_vm_index* pool);
   static vm_index_entry EntryOf(const vm_state& vm, time_point now);
-  void Add(vm_state* vm, const vm_index_entry& figures);
+  void Add(vm_state* vm, const vm_index_entry& entry);
   void Subtract(vm_state* vm);
 
   /// Pointers to the elements are kept in `vm_state::index_slots`.
--- a/tests/core/jobs/vm_index_test.cc
+++ b/tests/core/jobs/vm_index_test.cc
@@ -89,10 +89,10 @@
             has_label && vm->IsUsable() && vm->is_recorded ? 1 : 0;
       }
     }
-    const pool_vm_index* figures = index_.Find("pool");
-    RC_ASSERT(figures->usable_vms == usable);
-    RC_ASSERT(figures->idle.size() == idle);
-    RC_ASSERT(figures->used == used);
+    const pool_vm_index* entry = index_.Find("pool");
+    RC_ASSERT(entry->usable_vms == usable);
+    RC_ASSERT(entry->idle.size() == idle);
+    RC_ASSERT(entry->used == used);
     RC_ASSERT(index_.starts_in_flight() == starts);
     for (const std::string& label : kLabels) {
       RC_ASSERT(index_.AvailableWith("pool", label)->size() ==
