--- a/include/plantainhead/core/jobs/job_types.h
+++ b/include/plantainhead/core/jobs/job_types.h
@@ -94,6 +94,7 @@
   std::uint32_t count = 1;
 };
 
+/// Describes a submitted job and the pool that was chosen for it.
 struct job_spec {
   job_id id;
   queue_id queue;
@@ -121,6 +122,7 @@
   duration latency_target = duration::zero();
 };
 
+/// The phase of a job from its submission to its end.
 enum class job_phase {
   kQueued,
   kRunning,
--- a/include/plantainhead/core/jobs/orders.h
+++ b/include/plantainhead/core/jobs/orders.h
@@ -26,6 +26,7 @@
   bool operator==(const run_ref&) const = default;
 };
 
+/// Orders a VM to start a task.
 struct start_order {
   run_ref target;
   std::shared_ptr<const job_spec> job;
@@ -36,16 +37,18 @@
   duration lease_until = duration::zero();
 };
 
+/// Orders a VM to stop a task.
 struct stop_order {
   run_ref target;
 };
 
-/// Limits a task to a percentage of its full speed.
+/// Orders a VM to limit a task to a percentage of its full speed.
 struct pace_order {
   run_ref target;
   std::uint32_t percent = 100;
 };
 
+/// An order to a VM.
 using vm_order = std::variant<start_order, stop_order, pace_order>;
 
 /// The parameters of the next hold of a VM. A hold is a long-polling call that
--- a/include/plantainhead/core/jobs/vm_reports.h
+++ b/include/plantainhead/core/jobs/vm_reports.h
@@ -29,6 +29,7 @@
   bool operator==(const vm_description&) const = default;
 };
 
+/// Classifies how a run of a task ended.
 enum class end_kind {
   kDone,
   kFailed,
@@ -53,6 +54,7 @@
   return kEndKindNames;
 }
 
+/// A running task as its VM lists it.
 struct running_task {
   task_name task;
   std::uint32_t run = 0;
@@ -65,6 +67,7 @@
   std::int64_t reading = 0;
 };
 
+/// An ended task as its VM lists it until the end is acknowledged.
 struct ended_task {
   /// The sequence number of the end within one incarnation of the VM, starting
   /// at 1.
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -16,6 +16,7 @@
 
 namespace plantainhead::core::jobs {
 
+/// The phase of a task from the point of view of the owner.
 enum class task_phase {
   /// The task starts as soon as its step is ready.
   kWaiting,
@@ -24,6 +25,7 @@
   kDone,
 };
 
+/// Tracks one task of a job.
 struct job_task_state {
   task_phase phase = task_phase::kWaiting;
   /// The highest run that was ever ordered or listed.
@@ -44,6 +46,7 @@
   time_point failed_until;
 };
 
+/// Tracks one step of an occurrence of a job.
 struct step_state {
   std::vector<job_task_state> tasks;
   std::uint32_t done = 0;
@@ -55,6 +58,7 @@
   bool IsDone() const { return done == tasks.size(); }
 };
 
+/// Tracks one occurrence of a job.
 struct occurrence_state {
   std::vector<step_state> steps;
   /// The cached result of `RemainingChain`; reset when a step is done.
--- a/src/core/jobs/pool_scheduler_impl.h
+++ b/src/core/jobs/pool_scheduler_impl.h
@@ -30,10 +30,9 @@
 /// calls `vm_table::MarkChanged`. The implementation is split into eight files:
 /// the steps of a plan (`pool_plan.cc`), the listings of VMs
 /// (`pool_reports.cc`), restarts of VMs (`pool_incarnations.cc`), the answers
-/// to orders
-/// (`pool_answers.cc`), the stored records (`pool_records.cc`), the ends of
-/// runs (`pool_runs.cc`), the placement of tasks (`pool_placement.cc`) and the
-/// load of the pool (`pool_load.cc`).
+/// to orders (`pool_answers.cc`), the stored records (`pool_records.cc`), the
+/// ends of runs (`pool_runs.cc`), the placement of tasks (`pool_placement.cc`)
+/// and the load of the pool (`pool_load.cc`).
 class pool_scheduler::impl {
  public:
   impl(const scheduler_settings& settings, const takeover_bounds& takeover)
@@ -68,8 +67,8 @@
                          const run_ref& target,
                          bool is_answered,
                          time_point now);
-  /// Passes the result of a start to the send window of starts. `vm` may
-  /// be null.
+  /// Passes the result of a start to the send window of starts. `vm` may be
+  /// null.
   void NoteStartTime(vm_state* vm, const run_ref& target, time_point now);
   duration AnswerDelay() const { return window_.delay(); }
   bool IsStartWindowFull() const { return starts_left_ == 0; }
@@ -119,6 +118,7 @@
   }
 
  private:
+  /// A job with waiting tasks that may be placed.
   struct candidate {
     job_state* job = nullptr;
     /// Jobs with the lowest rank are placed first, then those with the earliest
--- a/src/core/jobs/send_window.h
+++ b/src/core/jobs/send_window.h
@@ -8,9 +8,9 @@
 
 namespace plantainhead::core::jobs {
 
-/// The limits of a `send_window`. The defaults are those of starts. VMs
-/// answer within some milliseconds, and an owner that orders hundreds of starts
-/// is busy for some tenths of a second, so that `slow` is far above both.
+/// The limits of a `send_window`. The defaults are those of starts. VMs answer
+/// within some milliseconds, and an owner that orders hundreds of starts is
+/// busy for some tenths of a second, so that `slow` is far above both.
 struct send_window_settings {
   std::size_t min_size = 8;
   /// The number of calls that may be in flight before any was answered.
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -13,6 +13,7 @@
 
 namespace plantainhead::core::jobs {
 
+/// VMs in the order in which they became known.
 using vm_set = std::set<vm_state*, by_number>;
 
 /// An entry of a list of VMs that is sorted by rank, the lowest first.
@@ -39,6 +40,7 @@
     return rank < b.rank;
   }
 };
+/// VMs in the order of their ranks.
 using ranked_vms = std::set<ranked_vm, by_rank>;
 
 /// Lists the VMs that are available for new tasks, ranked by their free
--- a/src/core/jobs/vm_state.h
+++ b/src/core/jobs/vm_state.h
@@ -144,7 +144,7 @@
     return is_registered && IsDescribed() && is_reconciled && IsReachable() &&
            !is_closed && !description_.draining;
   }
-  /// Returns whether its report of its capacity is still valid.
+  /// Returns whether the last report of its capacity is still valid.
   bool IsTrusted(time_point now) const {
     return !trusted_until || now <= *trusted_until;
   }
@@ -222,7 +222,7 @@
   std::uint32_t failures_in_row = 0;
   std::set<job_id> failing_jobs;
   bool is_registered = true;
-  /// When its report of its capacity expires; empty if it does not expire.
+  /// When the last report of its capacity expires; empty if it does not expire.
   std::optional<time_point> trusted_until;
   /// Whether a listing of the VM has been processed completely.
   bool is_reconciled = false;
