--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -156,7 +156,7 @@
   /// Adds a job. Does nothing if the job is known. Jobs that are added before
   /// the first `UpdateVms` belong to an earlier owner. `now` determines whether
   /// an earlier owner may have started the job; its target latency is measured
-  /// from `age` before `now`. Precondition: `spec` is valid (see `FindFaults`).
+  /// from `age` before `now`. Precondition: `spec` is valid.
   void AddJob(std::shared_ptr<const job_spec> spec,
               const queue_policy& policy,
               time_point now,
