--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -207,7 +207,7 @@
   /// Removes one VM from the list of registered VMs; see `UpdateVms`.
   void UnregisterVm(const vm_id& vm);
   /// Sets the time until which the VM's report of its capacity is valid; see
-  /// `report_ages`. No task starts on the VM after that.
+  /// `report_validity`. No task starts on the VM after that.
   void NoteReport(const vm_id& vm, time_point trusted_until);
   /// Like `NoteReport`, for several VMs.
   void NoteReports(const std::map<vm_id, time_point>& trusted_until);
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -98,7 +98,7 @@
   }
   /// Records what the tasks of the job wait for from now on.
   void NoteWait(std::optional<wait_cause> cause, time_point now) {
-    waits_.Note(cause, now);
+    waits_.SetCause(cause, now);
   }
   /// Returns whether a task of a ready step is waiting.
   bool HasWaiting() const;
@@ -201,7 +201,7 @@
   time_point deadline_;
   job_phase phase_ = job_phase::kQueued;
   std::optional<time_point> started_at_;
-  wait_clock waits_;
+  wait_time_tracker waits_;
   std::uint32_t repeated_runs_ = 0;
   bool is_inherited_ = false;
   bool is_given_up_ = false;
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -77,7 +77,7 @@
   /// The totals of the usable VMs.
   resources capacity;
   resources used;
-  vm_stages stages;
+  vm_stage_counts stages;
   /// Usable VMs without a long-running task, the most free processor time
   /// first.
   ranked_vms idle;
--- a/src/core/jobs/vm_state.h
+++ b/src/core/jobs/vm_state.h
@@ -73,7 +73,7 @@
 struct pool_vm_index;
 
 /// The stages that a VM passes until it is available for tasks; see
-/// `vm_stages`.
+/// `vm_stage_counts`.
 enum class vm_stage {
   /// The VM is not in the registry.
   kUnregistered,
