--- a/include/plantainhead/core/fleet/pool_balance.h
+++ b/include/plantainhead/core/fleet/pool_balance.h
@@ -32,15 +32,15 @@
   std::uint32_t CountIn(const zone_id& domain) const;
 
   /// VMs that are missing to serve the demand.
-  std::uint32_t BaseLack() const;
+  std::uint32_t DemandShortage() const;
   /// VMs that are missing to serve the demand and survive a loss, if they are
   /// added where they help most.
-  std::uint32_t Lack() const;
+  std::uint32_t Shortage() const;
   /// VMs that can go from anywhere they are too many without a lack.
   std::uint32_t Surplus() const;
-  /// Returns true if one VM of `domain` can go. With `base_only` the spare may
-  /// be used up.
-  bool CanSpare(const zone_id& domain, bool base_only) const;
+  /// Returns true if one VM of `domain` can go. With `ignore_spare` the spare
+  /// may be used up.
+  bool CanRelease(const zone_id& domain, bool ignore_spare) const;
 
  private:
   using spread = std::map<zone_id, std::uint32_t>;
--- a/include/plantainhead/core/log/fleet_view.h
+++ b/include/plantainhead/core/log/fleet_view.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <vector>
 
-#include "plantainhead/core/fleet/phase_watch.h"
+#include "plantainhead/core/fleet/phase_tracker.h"
 #include "plantainhead/core/fleet/planner_types.h"
 #include "plantainhead/core/log/record_gate.h"
 
@@ -26,7 +26,7 @@
   /// Null for a VM that is not on the list.
   const vm_listing* listing = nullptr;
   /// What this entry has seen of it; null for one not seen yet.
-  const phase_watch::sight* seen = nullptr;
+  const phase_tracker::observation* seen = nullptr;
   /// Where it is, or was when it was listed last.
   zone_id zone;
   rack_id rack;
@@ -72,7 +72,7 @@
 class fleet_view {
  public:
   fleet_view(const planner_inputs& inputs,
-             const phase_watch& watch,
+             const phase_tracker& watch,
              const record_gate& gate,
              time_point now);
 
@@ -97,7 +97,7 @@
  private:
   void JoinVms(const planner_inputs& inputs);
   void JoinReports(const planner_inputs& inputs);
-  void JoinMemory(const phase_watch& watch,
+  void JoinMemory(const phase_tracker& watch,
                   const record_gate& gate,
                   time_point now);
   void FillPools(const planner_inputs& inputs);
--- a/src/core/entry/entry_core.cc
+++ b/src/core/entry/entry_core.cc
@@ -249,7 +249,7 @@
   // list it would answer that there is no endpoint, so it joins after it.
   contents.caught_up =
       control_.caught_up() && listed_at_ != time_point() && !stopping();
-  contents.log_out = !control_.log_readable();
+  contents.log_unreachable = !control_.log_readable();
   contents.load = Load(now);
   contents.classes = meter_.Classes();
   contents.times = meter_.Times();
