--- a/include/plantainhead/core/fleet/capacity.h
+++ b/include/plantainhead/core/fleet/capacity.h
@@ -10,36 +10,39 @@
 
 namespace plantainhead::core {
 
-/// What one pool has to have, in VMs.
+/// Capacity that one pool requires, in VMs.
 struct pool_capacity {
-  /// False when nothing is known of the demand of its services.
+  /// False if the demand of all of the pool's services is unknown.
   bool is_known = false;
-  /// Fewest that serve the demand within the targets of its classes.
+  /// Minimum number of VMs that serves the demand within the latency targets of
+  /// the pool's classes.
   std::uint32_t need = 0;
-  /// Fewest that must be left after the loss of any one rack or zone.
+  /// Minimum number of VMs that must remain after the loss of any one rack or
+  /// zone.
   std::uint32_t min_after_loss = 0;
-  /// Fewest that must take work while others are in maintenance.
+  /// Minimum number of VMs that must stay available while others are in
+  /// maintenance.
   std::uint32_t floor = 0;
-  /// How long a whole outage of the pool could last without spending more than
-  /// a set share of any class's budget.
+  /// How long a complete outage of the pool may last without spending more than
+  /// a fixed share of the error budget of any of its classes.
   duration outage_allowance{};
-  /// The least unavailability that its classes tolerate.
+  /// The lowest unavailability target among the pool's classes.
   double tolerance = 1.0;
 };
 
 using capacity_plan = std::map<pool_id, pool_capacity>;
 
-/// Works out what each pool of the configuration has to have.
-/// Thread safety: safe from any thread while nobody writes the arguments.
+/// Computes the capacity that each configured pool requires. Thread safety:
+/// safe from any thread as long as no thread modifies the arguments.
 capacity_plan PlanCapacity(const planner_inputs& inputs,
                            const fleet_view& view,
                            const demand_estimator& demand,
                            const planner_options& options);
 
-/// Returns the fewest VMs that, spread evenly over `domains` failure domains,
-/// are at least `need` and leave `min_after_loss` when one domain is lost. With
-/// one domain nothing can survive its loss, and `need` is returned. Thread
-/// safety: safe from any thread.
+/// Returns the minimum number of VMs that, spread evenly over `domains` failure
+/// domains, is at least `need` and leaves `min_after_loss` VMs when one domain
+/// is lost. With a single domain nothing survives its loss, and `need` is
+/// returned. Thread safety: safe from any thread.
 std::uint32_t MinEvenSpread(std::uint32_t need,
                             std::uint32_t min_after_loss,
                             std::uint32_t domains);
--- a/include/plantainhead/core/fleet/demand_estimator.h
+++ b/include/plantainhead/core/fleet/demand_estimator.h
@@ -7,30 +7,34 @@
 
 namespace plantainhead::core {
 
-/// Learns the load of each service from what the entries measured. It follows a
-/// rise within seconds and a fall within minutes: a rise that is missed costs
-/// the callers, a fall only spare VMs. Thread safety: none.
+/// Estimates the load of each service from the measurements of the entries. The
+/// estimate follows a rise within seconds and a fall within minutes: missing a
+/// rise affects callers, whereas missing a fall only keeps spare VMs. Thread
+/// safety: none.
 class demand_estimator {
  public:
-  /// What is known of one service.
+  /// Estimate for one service.
   struct estimate {
     /// Mean number of busy slots.
     double load = 0;
-    /// Mean time that a request holds a slot, in seconds.
+    /// Mean time that a request occupies a slot, in seconds.
     double service_seconds = 0;
-    /// The measured load without its fastest noise.
+    /// The measured load with short-term noise filtered out.
     double smoothed = 0;
   };
 
-  /// `rise` and `fall` are the time constants of the moving average.
+  /// `rise` and `fall` are the time constants of the moving average for rising
+  /// and falling load.
   demand_estimator(duration rise, duration fall);
 
-  /// Takes in what was measured last. Services that are missing keep their
-  /// estimate: reports lag and may be lost.
+  /// Updates the estimates with the latest measurements. Services that are
+  /// missing from `demand` keep their estimate, because reports are delayed and
+  /// may be lost.
   void Observe(const std::map<service_name, service_demand>& demand,
                time_point now);
 
-  /// Returns the estimates; a service that was never reported has none.
+  /// Returns the estimates by service. A service that was never reported has
+  /// none.
   const std::map<service_name, estimate>& estimates() const {
     return estimates_;
   }
--- a/include/plantainhead/core/fleet/fleet_meter.h
+++ b/include/plantainhead/core/fleet/fleet_meter.h
@@ -13,24 +13,25 @@
 
 namespace plantainhead::core {
 
-/// Works out what the whole fleet is asked for, and how fast budgets burn, from
-/// the counts that entries send with their heartbeats.
-/// Thread safety: none.
+/// Computes the demand on the whole fleet and the burn rates of the error
+/// budgets from the counts that entries send in their heartbeats. Thread
+/// safety: none.
 class fleet_meter {
  public:
-  /// Over how long demand and burn are measured.
+  /// Length of the sliding window over which demand and burn rates are
+  /// measured.
   static constexpr duration kWindow = std::chrono::seconds(60);
   static constexpr duration kBucketWidth = std::chrono::seconds(5);
 
-  /// Takes in an entry's counts since its start. The first report of an entry
-  /// is only the base of what follows: its counts may be hours old. Empty lists
-  /// change nothing.
+  /// Adds the counts of an entry, which are cumulative since the start of that
+  /// entry. The first report of an entry only sets the baseline for later
+  /// reports, because its counts may be hours old. Empty lists have no effect.
   void Observe(incarnation who,
                const std::vector<class_counts>& classes,
                const std::vector<service_times>& times,
                time_point now);
 
-  /// Forgets entries that aren't members.
+  /// Drops the baselines of entries that are not in `members`.
   void Retain(const std::map<incarnation, entry_member>& members);
 
   std::map<service_name, service_demand> Demand(const configuration& targets,
--- a/include/plantainhead/core/fleet/job_placement.h
+++ b/include/plantainhead/core/fleet/job_placement.h
@@ -14,42 +14,47 @@
 
 namespace plantainhead::core {
 
-/// The room on all workers and what teams hold, for one plan. Jobs that are
-/// placed during the plan are added to it. Thread safety: none.
+/// Tracks, during one plan, the free capacity of all workers and the resources
+/// that each team uses. Jobs that are placed during the plan are included.
+/// Thread safety: none.
 class job_placement {
  public:
-  /// How a worker was found for a job.
+  /// A worker selected for a job, and what its placement requires.
   struct choice {
     const vm_view* vm = nullptr;
-    /// Jobs that must be checkpointed to make room; empty when there is room.
+    /// Jobs that must be checkpointed to free capacity; empty if the worker has
+    /// enough.
     std::vector<job_id> preempted;
-    /// True when the job can start before they have gone: only processors are
-    /// short, and those can be shared for a while.
+    /// True if the job can start before the preempted jobs have left: only
+    /// processors are short, and they can be overcommitted temporarily.
     bool can_start_now = true;
   };
 
   job_placement(const planner_context& context, const task_history& history);
 
-  /// Returns a worker with room for the job, or nothing. Among several it takes
-  /// one that no wave has still to reboot, then the one with the least room.
+  /// Returns a worker with enough free capacity for the job, or nothing.
+  /// Prefers workers that no running wave has still to reboot, then the worker
+  /// with the least free capacity.
   std::optional<choice> Find(const job_spec& spec);
 
-  /// Returns true if `Find` has met a job of this pool and size for which no
-  /// worker had room; a long queue need not search again for each.
+  /// Returns true if `Find` has already found that no worker has capacity for a
+  /// job of this pool and size. Avoids repeating the search for each job of a
+  /// long queue.
   bool IsKnownFull(const job_spec& spec) const;
 
-  /// Returns a worker where an urgent job gets room at the expense of jobs that
-  /// can wait, or nothing.
+  /// Returns a worker on which an urgent job can be placed by preempting jobs
+  /// that can wait, or nothing.
   std::optional<choice> FindByPreemption(const job_spec& spec) const;
 
-  /// Takes the room for a job on a worker.
+  /// Reserves capacity for a job on a worker.
   void Place(const job_spec& spec, const vm_id& vm);
 
-  /// Returns why no worker of its pool could hold the job even if it were idle,
-  /// or nothing.
+  /// Returns why no worker of the job's pool could run the job even if it were
+  /// idle, or an empty string.
   std::string UnplaceableReason(const job_spec& spec) const;
 
-  /// Returns why the quota of the job's team doesn't let it start, or nothing.
+  /// Returns why the quota of the job's team prevents its start, or an empty
+  /// string.
   std::string QuotaExceededReason(const job_spec& spec) const;
 
  private:
@@ -59,7 +64,8 @@
     std::int64_t memory_mb = 0;
     std::int64_t accelerators = 0;
     bool awaits_wave = false;
-    /// Jobs that hold it, with those that have yet to leave.
+    /// Jobs that occupy the worker, including those that are being
+    /// checkpointed.
     std::vector<job_id> jobs;
   };
   struct team_use {
@@ -71,10 +77,12 @@
   void AddJobs();
   void AddTeamPools();
   void Occupy(const job_spec& spec, const vm_id& vm, const job_id& job);
-  /// Returns true if the job failed on the worker or was refused by it lately.
+  /// Returns true if the job failed on the worker or was recently refused by
+  /// it.
   bool IsAvoided(const job_id& job, const vm_id& vm) const;
   const team_spec* FindTeam(const team_id& team) const;
-  /// Returns true if the team's quota lets a job of it run on the VM.
+  /// Returns true if the quota of the team allows one of its jobs to run on the
+  /// VM.
   bool TeamMayUse(const team_id& team, const vm_id& vm) const;
   static bool Fits(const worker& item, const job_size& size);
   static bool FitsButProcessors(const worker& item, const job_size& size);
--- a/include/plantainhead/core/fleet/job_planner.h
+++ b/include/plantainhead/core/fleet/job_planner.h
@@ -14,25 +14,27 @@
 
 namespace plantainhead::core {
 
-/// Places jobs on workers, keeps the leases of their tasks, checkpoints them
-/// before their worker goes, and takes workers and jobs out of use that fail
-/// time after time. Thread safety: none.
+/// Places jobs on workers, renews the leases of their tasks, checkpoints jobs
+/// before their worker is taken out of service, and quarantines workers and
+/// parks jobs that fail repeatedly. Thread safety: none.
 class job_planner {
  public:
-  /// Watches jobs and list; called on every entry, with or without the lease.
+  /// Records changes of the jobs and of the platform's list. To be called on
+  /// every entry, with or without the planner lease.
   void Observe(const planner_inputs& inputs,
                const planner_options& options,
                time_point now);
 
-  /// Writes the records and operations that the jobs need now.
+  /// Appends the records and sends the operations that the jobs currently
+  /// require.
   void Plan(const planner_context& context);
 
  private:
-  /// What this entry knows of the present state of one job.
+  /// What this entry has observed of the current state of one job.
   struct job_observation {
     generation version = 0;
     time_point since;
-    /// The latest moment at which its task's lease may still run.
+    /// The latest time at which the lease of the job's task may still be valid.
     time_point lease_end;
   };
 
@@ -44,16 +46,17 @@
   void AdvanceCheckpointing(const planner_context& context,
                             const job_id& id,
                             const job_progress& job);
-  /// Records the end of a task if the list shows one. Returns whether it did.
+  /// Records the end of a task if the list shows it. Returns true if it did.
   bool RecordTaskEnd(const planner_context& context,
                      const job_id& id,
                      const job_progress& job);
-  /// Sends the start until it has a sure end. Returns whether it was done.
+  /// Sends the start of the task until its result is known. Returns true if the
+  /// start succeeded.
   bool AdvanceStart(const planner_context& context,
                     const job_id& id,
                     const job_progress& job);
-  /// Gives a task up once its lease surely ended. Returns whether its worker or
-  /// task is gone from the list.
+  /// Requeues the job of a lost task once the lease of the task has certainly
+  /// expired. Returns true if the worker or the task is missing from the list.
   bool ReleaseLostTask(const planner_context& context,
                        const job_id& id,
                        const job_progress& job);
@@ -65,8 +68,8 @@
   void StopOrphanedTasks(const planner_context& context);
   void Quarantine(const planner_context& context);
   void PlaceWaiting(const planner_context& context);
-  /// Places one job or leaves the reason why not. Returns true if a record was
-  /// written.
+  /// Places one job, or records the reason why it cannot be placed. Returns
+  /// true if a record was appended.
   bool PlaceWaitingJob(const planner_context& context,
                        job_placement& room,
                        const job_id& id,
@@ -94,9 +97,9 @@
   std::map<job_id, job_observation> observations_;
   std::map<job_id, const task_listing*> tasks_;
   time_point observed_list_;
-  /// Since when no worker seems able to hold a job.
+  /// Time since when no worker has been large enough for a job.
   std::map<job_id, time_point> unplaceable_since_;
-  /// Version and list of the newest pass over the waiting jobs.
+  /// Work version and list time of the latest pass over the waiting jobs.
   generation placed_version_ = 0;
   time_point placed_list_;
 };
--- a/include/plantainhead/core/fleet/operation_tracker.h
+++ b/include/plantainhead/core/fleet/operation_tracker.h
@@ -12,35 +12,38 @@
 
 namespace plantainhead::core {
 
-/// Sends operations to the platform until each has a sure end. The id comes
-/// from a record that was read back, so a planner that takes over sends the
-/// same id, and the platform acts once. Thread safety: none.
+/// Sends each operation to the platform until its result is known. The
+/// operation id comes from a record that was read back, so a planner that takes
+/// over sends the same id and the platform executes the operation once. Thread
+/// safety: none.
 class operation_tracker {
  public:
-  /// `resend_after` is the time without an answer and `retry_delay` the wait
-  /// after an answer of unknown effect, after which an operation is sent again.
+  /// An operation is sent again `resend_after` after it was sent without an
+  /// answer, or `retry_delay` after an answer that leaves its result unknown.
   operation_tracker(duration resend_after, duration retry_delay);
 
-  /// Sends `what` under `id` unless it is under way or has ended. Returns its
-  /// sure end, or nothing while there is none.
+  /// Sends `what` under `id` unless it is in progress or has ended. Returns the
+  /// final result, or nothing while it is unknown.
   std::optional<operation_result> EnsureSent(const operation_id& id,
                                              const platform_operation& what,
                                              time_point now,
                                              effects& out);
 
-  /// Takes in the end of an operation; one that was never driven is ignored.
+  /// Records the result of an operation. Operations that were never passed to
+  /// `EnsureSent` are ignored.
   void Finish(const operation_finished& event, time_point now);
 
-  /// Returns true once `id` has a sure end.
+  /// Returns true once the final result of `id` is known.
   bool HasEnded(const operation_id& id) const;
 
-  /// Returns when `id` was done, or nothing.
+  /// Returns when `id` succeeded, or nothing.
   std::optional<time_point> DoneAt(const operation_id& id) const;
 
-  /// Returns the platform's words on how `id` ended; empty when it said none.
+  /// Returns the platform's message about the result of `id`; empty if it gave
+  /// none.
   std::string DetailOf(const operation_id& id) const;
 
-  /// Forgets the operations that were not driven since `before`.
+  /// Drops the operations that have not been requested since `before`.
   void Forget(time_point before);
 
   std::size_t size() const { return entries_.size(); }
--- a/include/plantainhead/core/fleet/phase_tracker.h
+++ b/include/plantainhead/core/fleet/phase_tracker.h
@@ -8,41 +8,43 @@
 
 namespace plantainhead::core {
 
-/// Remembers since when this entry has seen each VM in its phase and when a
-/// member was last lost. It watches on every entry, so that one that takes the
-/// lease over need not start all waits again. Thread safety: none.
+/// Tracks when this entry first observed each VM in its current phase and when
+/// a member was last lost. It runs on every entry, so that an entry that takes
+/// over the planner lease does not restart all waits. Thread safety: none.
 class phase_tracker {
  public:
   struct observation {
     vm_phase phase = vm_phase::kServing;
     operation_id operation;
-    /// First sight of the phase, which is never before the record was written.
+    /// When the phase was first observed; never before its record was written.
     time_point since;
-    /// Offset of the fold then, which is never below that of the record.
+    /// Offset of the fold at that time; never below the offset of the record.
     log_offset offset = 0;
-    /// First moment of the present absence from the list, if it is absent.
+    /// Start of the current absence from the list, if `missing`.
     time_point missing_since;
     bool missing = false;
-    /// First moment of the present failure (absent, leaving or unhealthy).
+    /// Start of the current failure (missing, leaving or unhealthy), if
+    /// `impaired`.
     time_point impaired_since;
     bool impaired = false;
     bool quarantined = false;
     time_point quarantined_since;
-    /// Pool and the first sight of the VM in it.
+    /// Pool of the VM, and when the VM was first observed in it.
     pool_id pool;
     time_point pool_since;
-    /// Where it was when it was listed last.
+    /// Location of the VM when it was last listed.
     zone_id zone;
     rack_id rack;
   };
 
   void Observe(const planner_inputs& inputs, time_point now);
 
-  /// Returns what is known of a VM of the fold that was observed, or null.
+  /// Returns the observation of a VM of the last observed fold, or null.
   const observation* Find(const vm_id& vm) const;
 
-  /// Returns true once requests that a lost member may have left in flight at a
-  /// VM, draining since `since`, are past every deadline.
+  /// Returns true once `max_deadline` has passed since a member was last lost,
+  /// so that no request that it may have left in flight at a VM is still
+  /// running.
   bool LostMemberRequestsExpired(time_point now, duration max_deadline) const;
 
  private:
--- a/include/plantainhead/core/fleet/planner.h
+++ b/include/plantainhead/core/fleet/planner.h
@@ -15,9 +15,10 @@
 
 namespace plantainhead::core {
 
-/// Decides pools, waves and jobs. It runs on every entry and acts only while
-/// that entry holds the planner lease. All that must last is a record, so
-/// another entry's planner goes on from the fold alone:
+/// Plans the assignment of VMs to pools, maintenance waves and the placement of
+/// jobs. It runs on every entry and acts only while that entry holds the
+/// planner lease. All durable decisions are records, so that the planner of
+/// another entry can continue from the folded state alone:
 ///
 ///     planner fleet_planner{planner_options()};
 ///     fleet_planner.OnTick(inputs, now, out);  // records and operations
@@ -30,17 +31,18 @@
   /// Plans if `plan_interval` has passed since the last plan.
   void OnTick(const planner_inputs& inputs, time_point now, effects& out);
 
-  /// Takes in the end of an operation. Others' operations are ignored.
+  /// Records the result of an operation. Operations of other modules are
+  /// ignored.
   void OnOperationFinished(const operation_finished& event,
                            time_point now,
                            effects& out);
 
-  /// Returns why things stand as they do, by object ("vm:a", "wave:w",
-  /// "job:j"). It is what this entry's planner decided while it held the lease;
-  /// the records of the fold carry their own reasons.
+  /// Returns the reason for the current state of each object ("vm:a", "wave:w",
+  /// "job:j"). These are the decisions of this entry's planner while it held
+  /// the lease; the records of the fold carry their own reasons.
   const reason_map& reasons() const { return reasons_; }
 
-  /// Returns what the pools cost as of the newest plan.
+  /// Returns the VM counts of the pools as of the latest plan.
   const pool_figures& figures() const { return pools_.figures(); }
 
  private:
--- a/include/plantainhead/core/fleet/planner_context.h
+++ b/include/plantainhead/core/fleet/planner_context.h
@@ -13,10 +13,10 @@
 
 namespace plantainhead::core {
 
-/// Why things stand as they do, by the name of the object ("vm:suwon-3").
+/// Reasons for the current state of objects, by object name ("vm:suwon-3").
 using reason_map = std::map<std::string, std::string>;
 
-/// What the parts of the planner share during one plan.
+/// State that the modules of the planner share during one plan.
 struct planner_context {
   const planner_inputs& inputs;
   const planner_options& options;
@@ -26,22 +26,25 @@
   operation_tracker& operations;
   reason_map& reasons;
   effects& out;
-  /// When each VM that didn't drain in time was given up; tried again last.
+  /// When the drain of each VM that did not drain in time was aborted. Such VMs
+  /// are drained again after `drain_retry_delay`.
   std::map<vm_id, time_point>& deferred;
-  /// Pools in which a failure took the slack, so that no VM may leave.
+  /// Pools whose spare capacity was lost to a failure, so that no VM may be
+  /// taken out of service.
   const std::set<pool_id>& blocked_pools;
 
-  /// Returns true while the platform's list is new enough to act upon.
+  /// Returns true if the platform's list is recent enough to act on.
   bool list_is_fresh() const {
     return now - inputs.listed_at <= options.max_list_age;
   }
 
-  /// The failure domain of a VM: its zone, or its rack.
+  /// Returns the failure domain of a VM: its zone, or its rack if `by_rack`.
   static zone_id DomainOf(const vm_view& vm, bool by_rack) {
     return by_rack ? zone_id(vm.rack.value()) : vm.zone;
   }
 
-  /// Keeps `reason` for `object` and notes it the first time that it is given.
+  /// Stores `reason` for `object`, and logs it unless it is already the stored
+  /// reason.
   void Report(note_level level,
               const std::string& object,
               const std::string& reason) const {
--- a/include/plantainhead/core/fleet/planner_types.h
+++ b/include/plantainhead/core/fleet/planner_types.h
@@ -11,129 +11,139 @@
 #include "plantainhead/core/platform_types.h"
 #include "plantainhead/core/time.h"
 
-/// What the planner is given and how it is tuned.
+/// Inputs and options of the planner.
 namespace plantainhead::core {
 
-/// How much of one service callers ask for, as the entries measured it.
+/// Demand on one service, as measured by the entries.
 struct service_demand {
   double arrivals_per_second = 0;
-  /// Time that one request holds a slot.
+  /// Mean time that a request occupies a slot.
   duration mean_service_time{};
 };
 
-/// How a class stands against its availability budget.
+/// Consumption of the error budget of a class.
 struct class_burn {
-  /// Share of the budget of the window that is spent, from 0.
+  /// Spent share of the budget of the class's window; 0 if nothing is spent.
   double spent = 0;
-  /// How many times faster than the window allows the budget is being spent.
+  /// Burn rate: how many times faster than its window allows the budget is
+  /// being spent.
   double rate = 0;
 };
 
-/// All that the planner sees at one moment.
+/// Inputs of the planner at one point in time.
 struct planner_inputs {
-  /// All three must outlive the inputs.
+  /// All three arguments must outlive this object.
   planner_inputs(const fleet_state& fleet,
                  const std::vector<vm_listing>& listed_vms,
                  const std::vector<task_listing>& listed_tasks)
       : state(fleet), vms(listed_vms), tasks(listed_tasks) {}
 
   const fleet_state& state;
-  /// True while this entry may count on holding the planner lease.
+  /// True while this entry can rely on holding the planner lease.
   bool holds_lease = false;
-  /// The epoch under which this entry holds it.
+  /// The epoch of the planner lease that this entry holds.
   lease_epoch epoch = 0;
-  /// The newest list of the platform.
+  /// The latest list of VMs that was read from the platform.
   const std::vector<vm_listing>& vms;
   const std::vector<task_listing>& tasks;
-  /// When the list was read; 1970-01-01 when it never was.
+  /// When the list was read; 1970-01-01 if it was never read.
   time_point listed_at;
-  /// The least offset that the newest heartbeats of all live members, this
-  /// entry among them, say to have applied.
+  /// The lowest offset that the latest heartbeats of all live members,
+  /// including this entry, report as applied.
   log_offset reported_offset = 0;
-  /// For each VM the sum of the requests in flight in those same heartbeats. A
-  /// VM that is missing has none.
+  /// For each VM, the sum of its requests in flight in the same heartbeats. A
+  /// VM that is not in the map has none.
   std::map<vm_id, std::uint32_t> in_flight;
-  /// Empty for services of which nothing is known.
+  /// Demand by service; services with unknown demand are absent.
   std::map<service_name, service_demand> demand;
   std::map<class_name, class_burn> budgets;
   /// VMs whose endpoint is ejected or fails its health check.
   std::set<vm_id> unhealthy;
 };
 
-/// How the planner acts; the defaults fit both users.
+/// Time limits and thresholds of the planner. The defaults are suitable for
+/// both current deployments.
 struct planner_options {
-  /// Time between two plans. Small against the 2.1 s in which urgent work
-  /// starts.
+  /// Time between two plans. Short compared with the 2.1 s within which urgent
+  /// jobs must start.
   duration plan_interval = std::chrono::milliseconds(200);
   /// Time between two plans of the pools, which change more slowly.
   duration pool_interval = std::chrono::seconds(1);
-  /// A record that has not been read back after this is appended again.
+  /// A record that has not been read back after this time is appended again.
   duration record_timeout = std::chrono::seconds(5);
-  /// An operation that has not ended after this is sent again under its id.
+  /// An operation without a result after this time is sent again under the same
+  /// id.
   duration operation_resend_after = std::chrono::seconds(30);
-  /// Wait before an operation whose end is unknown is sent again.
+  /// Delay before an operation whose result is unknown is sent again.
   duration operation_retry_delay = std::chrono::seconds(1);
-  /// A list older than this is not acted upon.
+  /// The planner does not act on a list that is older than this.
   duration max_list_age = std::chrono::seconds(15);
-  /// How far the list may lag behind what happens.
+  /// Maximum delay with which the list reflects the actual state.
   duration list_lag = std::chrono::seconds(5);
-  /// A VM that has been off the list for this long is forgotten.
+  /// A VM that has been missing from the list for this time is removed from the
+  /// fleet.
   duration forget_after = std::chrono::seconds(60);
 
-  /// Time constants with which a learned load follows a rise and a fall.
+  /// Time constants with which the estimated load follows a rise and a fall.
   duration demand_rise = std::chrono::seconds(10);
   duration demand_fall = std::chrono::minutes(2);
-  /// How long a pool must lack VMs for its demand, or for its spare, and how
-  /// long another must have too many, before one is moved.
+  /// How long a pool must lack VMs for its demand, or spare VMs, and how long
+  /// another pool must have a surplus, before a VM is moved.
   duration demand_shortage_delay = std::chrono::seconds(5);
   duration spare_shortage_delay = std::chrono::minutes(1);
   duration surplus_delay = std::chrono::minutes(5);
-  /// Time that a VM stays in a pool before it moves again, unless the demand of
-  /// another pool can't be served without it.
+  /// Minimum time that a VM stays in a pool before it is moved again, unless
+  /// the demand of another pool cannot be served without it.
   duration min_dwell_time = std::chrono::minutes(10);
-  /// Time in which the remembered peak of a pool loses half. Pools at or below
-  /// their peak give VMs away last: they will want them back.
+  /// Half-life of the recorded peak size of a pool. Pools at or below their
+  /// peak are chosen as donors last, because they are likely to need their VMs
+  /// again.
   duration peak_half_life = std::chrono::hours(48);
-  /// How long a zone that lost all its VMs counts as out and not as gone.
+  /// How long a zone that has lost all its VMs is treated as an outage and not
+  /// as removed.
   duration outage_retention = std::chrono::hours(6);
 
-  /// Time that owners are given to stop sending to a draining VM.
+  /// Time for request owners to stop sending requests to a draining VM.
   duration drain_notice = std::chrono::seconds(2);
-  /// The greatest patience that a caller may ask for; requests of an entry that
-  /// has gone have ended after it.
+  /// The longest deadline that a caller may request. Requests of a lost entry
+  /// have ended after this time.
   duration max_deadline = std::chrono::seconds(60);
-  /// A VM that has not drained after this goes back to serving and is reported.
+  /// A VM that has not drained after this time returns to service and is
+  /// reported.
   duration drain_timeout = std::chrono::minutes(15);
-  /// A VM that has not come back after this is reported as lost.
+  /// A VM that has not returned after this time is reported as lost.
   duration return_timeout = std::chrono::minutes(15);
-  /// Wait before a VM that didn't drain is tried again.
+  /// Delay before a VM that did not drain in time is drained again.
   duration drain_retry_delay = std::chrono::minutes(30);
-  /// A budget that burns this many times too fast pauses waves; at or below the
-  /// second rate, kept for `resume_after`, they resume.
+  /// Waves pause when the burn rate of a budget exceeds `pause_burn_rate`. They
+  /// resume once it has stayed at or below `resume_burn_rate` for
+  /// `resume_after`.
   double pause_burn_rate = 2.0;
   double resume_burn_rate = 1.0;
   duration resume_after = std::chrono::seconds(30);
-  /// Lease under which tasks run; renewed at a third of it. Longer leases cost
-  /// fewer messages and make the restart of a lost job later.
+  /// Lease of a task, renewed at a third of this time. A longer lease needs
+  /// fewer messages but delays the restart of a lost job.
   duration task_lease = std::chrono::minutes(2);
-  /// Added to a lease before its task is taken for ended: a renewal may still
-  /// be on its way, and clocks differ.
+  /// Added to a lease before its task is considered ended: a renewal may still
+  /// be in transit, and clocks differ.
   duration lease_margin = std::chrono::seconds(15);
-  /// A job isn't offered again for this long to a worker that refused it.
+  /// Time for which a job is not offered again to a worker that refused it.
   duration refusal_backoff = std::chrono::minutes(1);
-  /// A worker is quarantined once its last tasks, of this many different jobs,
-  /// have all failed; never more than this share of all VMs at once.
+  /// A worker is quarantined once its last tasks, of `quarantine_failures`
+  /// different jobs, have all failed. At most `max_quarantine_share` of all VMs
+  /// are quarantined at once.
   std::size_t quarantine_failures = 3;
   double max_quarantine_share = 0.1;
   duration quarantine_duration = std::chrono::hours(1);
-  /// A job is parked once it failed on this many different workers, or was
-  /// started this often without an end, or no worker could hold it for this
-  /// long.
+  /// A job is parked once it has failed on `park_failures` different workers,
+  /// was started `park_starts` times without an end, or no worker was large
+  /// enough for it for `unplaceable_delay`.
   std::size_t park_failures = 3;
   std::uint32_t park_starts = 10;
   duration unplaceable_delay = std::chrono::seconds(30);
 
-  /// What one reboot is taken to last, for what it costs of a budget.
+  /// Assumed duration of one reboot, used to compute its cost to an error
+  /// budget.
   duration expected_reboot_time = std::chrono::minutes(5);
 };
 
--- a/include/plantainhead/core/fleet/pool_balance.h
+++ b/include/plantainhead/core/fleet/pool_balance.h
@@ -9,14 +9,14 @@
 
 namespace plantainhead::core {
 
-/// How the VMs of one pool stand against what it has to have, with their spread
-/// over the zones (or racks, where the fleet has only one zone).
-/// Thread safety: none.
+/// Compares the VMs of one pool with its required capacity, including their
+/// spread over the zones (or racks, if the fleet has only one zone). Thread
+/// safety: none.
 class pool_balance {
  public:
-  /// `domains` is the number of failure domains that the fleet can offer. Spare
-  /// VMs are asked for only if `wants_spare`: while a zone is out, the spare
-  /// for its loss is in use.
+  /// `domains` is the number of failure domains in the fleet. Spare VMs are
+  /// required only if `wants_spare`: during a zone outage the spare VMs for its
+  /// loss are in use.
   pool_balance(const pool_capacity& capacity,
                std::uint32_t domains,
                bool wants_spare);
@@ -26,20 +26,21 @@
 
   std::uint32_t size() const { return size_; }
   std::uint32_t need() const { return capacity_.need; }
-  /// True when callers, not only jobs, lack what it lacks.
+  /// True if the shortage affects callers and not only jobs.
   bool is_for_callers() const { return capacity_.is_known; }
   double tolerance() const { return capacity_.tolerance; }
   std::uint32_t CountIn(const zone_id& domain) const;
 
-  /// VMs that are missing to serve the demand.
+  /// Number of VMs missing to serve the demand.
   std::uint32_t DemandShortage() const;
-  /// VMs that are missing to serve the demand and survive a loss, if they are
-  /// added where they help most.
+  /// Number of VMs missing to serve the demand and to survive the loss of a
+  /// failure domain, if they are added to the best domains.
   std::uint32_t Shortage() const;
-  /// VMs that can go from anywhere they are too many without a lack.
+  /// Number of VMs that can be removed, from the largest domains first, without
+  /// causing a shortage.
   std::uint32_t Surplus() const;
-  /// Returns true if one VM of `domain` can go. With `ignore_spare` the spare
-  /// may be used up.
+  /// Returns true if one VM of `domain` can be removed. With `ignore_spare`,
+  /// only the demand is considered and spare VMs may be used.
   bool CanRelease(const zone_id& domain, bool ignore_spare) const;
 
  private:
--- a/include/plantainhead/core/fleet/pool_planner.h
+++ b/include/plantainhead/core/fleet/pool_planner.h
@@ -13,43 +13,46 @@
 
 namespace plantainhead::core {
 
-/// What the pools cost, beside the least that would do.
+/// VM counts summed over all pools, to compare the actual use of VMs with the
+/// required minimum.
 struct pool_figures {
-  /// VMs that all pools need to serve their demand.
+  /// Number of VMs that all pools need to serve their demand.
   std::uint32_t need = 0;
-  /// Spare VMs that the planner holds back, and the fewest that survive the
-  /// loss of one zone when spread evenly.
+  /// Number of spare VMs that the planner keeps, and the minimum that survives
+  /// the loss of one failure domain when spread evenly.
   std::uint32_t buffer = 0;
   std::uint32_t buffer_bound = 0;
-  /// VMs that no pool asks for.
+  /// Number of VMs that no pool requires.
   std::uint32_t surplus = 0;
-  /// VMs that pools lack.
+  /// Number of VMs that pools lack.
   std::uint32_t shortage = 0;
-  /// Moves that this planner has carried out.
+  /// Number of moves that this planner has completed.
   std::uint64_t moves = 0;
 };
 
-/// Gives every VM of the platform's list a pool, moves as few VMs as it can to
-/// the pools that lack them, and forgets VMs that are gone.
+/// Assigns every VM of the platform's list to a pool, moves as few VMs as
+/// possible to pools with a shortage, and removes VMs that have disappeared.
 /// Thread safety: none.
 class pool_planner {
  public:
-  /// Writes the records and operations that the pools need now.
+  /// Appends the records and sends the operations that the pools currently
+  /// require.
   void Plan(const planner_context& context,
             const vm_lifecycle& lifecycle,
             const capacity_plan& capacity);
 
-  /// Figures of the newest plan.
+  /// Returns the VM counts of the latest plan.
   const pool_figures& figures() const { return figures_; }
 
  private:
   using balances = std::map<pool_id, pool_balance>;
 
-  /// How one pool stands, worked out once for each plan.
+  /// Shortage, surplus and peak size of one pool, updated once per plan.
   struct pool_trend {
     std::uint32_t shortage = 0;
     std::uint32_t surplus = 0;
-    /// VMs that it wants now, and the most that it lately wanted.
+    /// Number of VMs that the pool currently requires, and its recent peak,
+    /// which decays over time.
     std::uint32_t wanted = 0;
     double peak = 0;
     time_point peak_at;
@@ -76,36 +79,39 @@
                   const vm_lifecycle& lifecycle,
                   balances& pools);
   void UpdateTrends(const planner_context& context, const balances& pools);
-  /// Returns the pool that a VM suits best which none lacks: the one furthest
-  /// below its peak, else the smallest.
+  /// Returns the pool for a VM that no pool lacks: the pool furthest below its
+  /// peak, or else the smallest pool.
   pool_id PoolForSpareVm(const balances& pools) const;
   void UpdateFigures(const planner_context& context,
                      const balances& pools,
                      const capacity_plan& capacity);
-  /// Returns true if the quota of the receiving pool's team lets a VM of pool
-  /// `from` in; `from` is empty for a new VM.
+  /// Returns true if the quota of the receiving pool's team allows it to
+  /// receive a VM of pool `from`; `from` is empty for a new VM.
   bool QuotaAllowsMove(const planner_context& context,
                        const pool_id& pool,
                        const pool_id& from) const;
-  /// Counts VMs that already drain towards the pools that lack them.
+  /// Adds VMs that are already draining for a move to the pools that will
+  /// receive them.
   void CountPendingMoves(const planner_context& context, balances& pools);
-  /// Returns true while the drain for a move has been asked for and not read
-  /// back.
+  /// Returns true while the drain record for a move has been appended but not
+  /// read back.
   bool IsStarting(const vm_view& vm) const;
   void UpdateTeamCounts(const planner_context& context,
                         const pool_id& from,
                         const pool_id& to);
-  /// Returns the pools whose lack has not yet lasted long enough for a move.
+  /// Returns the pools whose shortage has not yet lasted long enough for a
+  /// move.
   std::set<pool_id> PoolsWithRecentShortage(const planner_context& context,
                                             const balances& pools) const;
-  /// Returns the pool outside `excluded` that lacks most, or nothing. With
-  /// `from` only pools whose quota lets a VM of that pool in are seen.
+  /// Returns the pool with the most urgent shortage that is not in `excluded`,
+  /// or nothing. If `from` is given, only pools whose quota allows a VM of that
+  /// pool are considered.
   std::optional<pool_id> MostUrgentPool(
       const planner_context& context,
       const balances& pools,
       const std::optional<pool_id>& from,
       const std::set<pool_id>& excluded) const;
-  /// Returns true if the pool may give VMs of some kind to the receiver.
+  /// Returns true if the pool may give any VM to the receiver.
   bool IsDonor(const planner_context& context,
                const pool_balance& from,
                const pool_trend& trend,
@@ -117,8 +123,9 @@
                                  const std::set<vm_id>& taken) const;
   static bool HasLastingSurplus(const planner_context& context,
                                 const pool_trend& trend);
-  /// Settles all pools whose lack isn't urgent when no pool has VMs to give: in
-  /// a full fleet the search for each would come to nothing.
+  /// Excludes all pools without an urgent shortage if no pool has had a surplus
+  /// for long enough. In a fully used fleet the search for a donor for each of
+  /// them would find nothing.
   void ExcludeIfNoDonor(const planner_context& context,
                         const balances& pools,
                         std::set<pool_id>& excluded) const;
--- a/include/plantainhead/core/fleet/queueing.h
+++ b/include/plantainhead/core/fleet/queueing.h
@@ -3,19 +3,20 @@
 
 #include <cstdint>
 
-/// How many slots a load needs, by the model of many equal servers with random
-/// arrivals and service times (M/M/n, Erlang C).
+/// Queueing model (M/M/n, Erlang C) that computes the number of slots for a
+/// load: equal servers with random arrivals and service times.
 namespace plantainhead::core {
 
-/// Returns the probability that an arrival has to wait when `load` slots are
-/// busy on average out of `slots`; 1 when the load doesn't fit.
-/// Thread safety: safe from any thread.
+/// Returns the probability that an arrival has to wait when on average `load`
+/// of `slots` slots are busy; 1 if the load exceeds the slots. Thread safety:
+/// safe from any thread.
 double WaitProbability(double load, std::uint32_t slots);
 
-/// Returns the fewest slots with which at most `late` (a share in (0, 1]) of
-/// the requests wait longer than `patience` mean service times. Returns 0 for
-/// no load. Thread safety: safe from any thread.
-std::uint32_t RequiredSlots(double load, double late, double patience);
+/// Returns the minimum number of slots with which at most the share
+/// `late_share` in (0, 1] of the requests waits longer than `max_wait` mean
+/// service times. Returns 0 if there is no load. Thread safety: safe from any
+/// thread.
+std::uint32_t RequiredSlots(double load, double late_share, double max_wait);
 
 }  // namespace plantainhead::core
 
--- a/include/plantainhead/core/fleet/task_history.h
+++ b/include/plantainhead/core/fleet/task_history.h
@@ -15,7 +15,7 @@
 
 namespace plantainhead::core {
 
-/// What a job takes on a worker.
+/// Resources that a job occupies on a worker.
 struct job_size {
   std::uint32_t processors = 0;
   std::uint32_t memory_mb = 0;
@@ -25,23 +25,24 @@
   friend auto operator<=>(const job_size&, const job_size&) = default;
 };
 
-/// Returns `start` with the size that the task is to get. A start that is sent
-/// again must ask for the same: the platform refuses an id that comes with
-/// other figures, and what is learned of a job changes between two planners.
-/// Thread safety: safe from any thread.
+/// Returns the operation id `start` with the size of the task appended. A
+/// repeated start must request the same size: the platform refuses a known id
+/// with a different content, and the learned size of a job may change between
+/// two planners. Thread safety: safe from any thread.
 operation_id WithSize(const operation_id& start, const job_size& size);
 
-/// Returns the size that `WithSize` put into an id, or nothing.
-/// Thread safety: safe from any thread.
+/// Returns the size that `WithSize` appended to an id, or nothing. Thread
+/// safety: safe from any thread.
 std::optional<job_size> ParseSize(const operation_id& start);
 
-/// Learns from the platform's list of tasks: which workers fail every task,
-/// which jobs fail everywhere, and how much jobs use beside what they declare.
-/// It is memory only: a planner that takes over learns it anew from the list.
-/// Thread safety: none.
+/// Statistics derived from the platform's list of tasks: which workers fail
+/// every task, which jobs fail on every worker, and how much the jobs use
+/// compared with what they declare. They are kept in memory only; a planner
+/// that takes over derives them again from the list. Thread safety: none.
 class task_history {
  public:
-  /// Takes in the newest list. Each task's end counts once.
+  /// Updates the statistics with the latest list. The end of each task is
+  /// counted once.
   void Observe(const std::vector<task_listing>& tasks,
                const fleet_state& state);
 
@@ -52,22 +53,24 @@
   /// Returns the workers on which the job failed.
   const std::set<vm_id>& FailedOn(const job_id& job) const;
 
-  /// Notes that a worker refused a job.
+  /// Records that a worker refused a job.
   void CountRefusal(const job_id& job, const vm_id& vm, time_point now);
 
   /// Returns true if the worker refused the job at or after `since`.
   bool WasRefused(const job_id& job, const vm_id& vm, time_point since) const;
 
-  /// Returns how often workers refused the job.
+  /// Returns how many times workers refused the job.
   std::uint32_t RefusalCount(const job_id& job) const;
 
-  /// Forgets what was held against a worker, as when it is used again.
+  /// Clears the failures of a worker, for example when its quarantine ends.
   void ClearFailures(const vm_id& vm);
-  /// Forgets what was held against a job, as when an operator frees it.
+  /// Clears the failures of a job, for example when an operator releases it
+  /// from the parked state.
   void ClearFailures(const job_id& job);
 
-  /// Returns what the job is expected to take: what it was seen to use, else
-  /// what it declares, corrected by how far off its team's jobs declare.
+  /// Returns the expected resource use of a job: its observed use, or else its
+  /// declared use, corrected by the observed ratio of used to declared
+  /// resources of its team.
   job_size SizeOf(const job_spec& spec) const;
 
  private:
@@ -89,7 +92,7 @@
   std::map<job_id, refusals> refusals_;
   std::set<operation_id> counted_;
   std::map<job_id, usage> used_;
-  /// Used over declared, by team.
+  /// Ratio of used to declared resources, by team.
   std::map<team_id, usage> ratios_;
 };
 
--- a/include/plantainhead/core/fleet/vm_lifecycle.h
+++ b/include/plantainhead/core/fleet/vm_lifecycle.h
@@ -8,48 +8,49 @@
 
 namespace plantainhead::core {
 
-/// Start of the reason of a wave that the planner paused by itself; a wave that
-/// an operator paused waits for an operator.
+/// Prefix of the pause reason of a wave that the planner paused automatically.
+/// A wave that an operator paused is resumed only by an operator.
 inline constexpr const char* kAutoPausePrefix = "auto: ";
 
-/// Returns true when the planner, not an operator, paused the wave.
-/// Thread safety: safe from any thread while nobody writes the wave.
+/// Returns true if the wave was paused by the planner and not by an operator.
+/// Thread safety: safe from any thread as long as no thread modifies the wave.
 bool IsAutoPause(const wave_progress& wave);
 
 /// Returns the id of the operation of one kind ("reboot") that a record with
-/// this expected generation allows. Two planners build the same id.
-/// Thread safety: safe from any thread.
+/// this expected generation permits. Two planners build the same id. Thread
+/// safety: safe from any thread.
 operation_id MakeOperationId(const std::string& kind,
                              const std::string& object,
                              generation expected);
 
-/// Leads VMs from serving through drain and reboot, or through drain and a
-/// change of pool, back to serving. Each step is a record; an operation goes
-/// out only after the record that names it was read back. Thread safety: none.
+/// Moves VMs through the phases of maintenance (drain, reboot, return to
+/// service) or of a pool change (drain, readmission to another pool). Each step
+/// is a record; an operation is sent only after the record that names it was
+/// read back. Thread safety: none.
 class vm_lifecycle {
  public:
   /// The arguments must outlive this object.
   vm_lifecycle(const planner_context& context, const phase_tracker& watch);
 
-  /// Returns true when a drain of the VM may start: it serves, is listed as
-  /// live, and no earlier operation on it is under way.
+  /// Returns true if a drain of the VM may start: it is serving, is listed as
+  /// live, and no earlier operation on it is in progress.
   bool CanDrain(const vm_view& vm) const;
 
-  /// Asks for a drain; `wave` is empty for a change of pool.
-  /// Precondition: `CanDrain(vm)`.
+  /// Starts a drain; `wave` is empty for a pool change. Precondition:
+  /// `CanDrain(vm)`.
   void StartDrain(const vm_view& vm,
                   const wave_id& wave,
                   const std::string& reason) const;
 
-  /// Takes the next step of every VM that is not serving, and ends the
-  /// operations of those that serve again. A drained VM without a wave is left
-  /// to the planner of the pools.
+  /// Takes the next step of every VM that is not serving, and completes the
+  /// operations of VMs that are serving again. Drained VMs without a wave are
+  /// handled by `pool_planner`.
   void Advance() const;
 
-  /// Lets a draining or drained VM serve again, in its pool.
+  /// Returns a draining or drained VM to service in its pool.
   void Readmit(const vm_view& vm, const std::string& reason) const;
 
-  /// Lets a drained VM serve again, in another pool.
+  /// Returns a drained VM to service in another pool.
   void ReadmitTo(const vm_view& vm,
                  const pool_id& pool,
                  const std::string& reason) const;
@@ -61,9 +62,10 @@
   void AdvanceRebooting(const vm_view& vm) const;
   void AdvanceReturning(const vm_view& vm) const;
   void AbortDrain(const vm_view& vm, const std::string& reason) const;
-  /// Returns why a drain for a wave must not go on, or nothing.
+  /// Returns why a drain for a wave must be aborted, or an empty string.
   std::string AbortReason(const vm_view& vm) const;
-  /// True when the VM's wave was cancelled, has finished or is forgotten.
+  /// Returns true if the VM's wave was cancelled, is finished or no longer
+  /// exists.
   bool IsWaveOver(const vm_view& vm) const;
   bool IsDrained(const vm_view& vm) const;
   bool HasBeenInPhaseFor(const vm_view& vm, duration bound) const;
--- a/include/plantainhead/core/fleet/wave_planner.h
+++ b/include/plantainhead/core/fleet/wave_planner.h
@@ -13,28 +13,30 @@
 
 namespace plantainhead::core {
 
-/// Chooses the VMs that waves take next: as many at once as the budgets of all
-/// classes allow, one zone of a pool at a time, rack by rack. It pauses waves
-/// when a budget burns or failures leave them no slack, and resumes them.
-/// Thread safety: none.
+/// Selects the VMs that maintenance waves reboot next: as many at once as the
+/// error budgets of all classes allow, one zone of a pool at a time, rack by
+/// rack. It pauses waves when a budget burns too fast or failures leave no
+/// spare capacity, and resumes them afterwards. Thread safety: none.
 class wave_planner {
  public:
-  /// Returns the pools from which nothing may leave, because VMs were lost
-  /// and the rest is no more than the pool needs.
+  /// Returns the pools from which no VM may be taken, because VMs were lost and
+  /// the remaining VMs are below the required minimum.
   static std::set<pool_id> BlockedPools(const planner_context& context,
                                         const capacity_plan& capacity);
 
-  /// Starts drains for all running waves, pauses, resumes and ends waves.
+  /// Starts drains for all running waves, and pauses, resumes and finishes
+  /// waves.
   void Plan(const planner_context& context,
             const vm_lifecycle& lifecycle,
             const capacity_plan& capacity);
 
  private:
-  /// What a pass over a wave's pools found.
+  /// Result of a scan of the pools of one wave.
   struct scan_result {
     std::uint32_t left = 0;
     std::uint32_t under_way = 0;
-    /// Pools with VMs left, and those of them that failures hold back.
+    /// Number of pools with VMs left to reboot, and of those among them that
+    /// are blocked by failures.
     std::uint32_t open_pools = 0;
     std::uint32_t blocked_pools = 0;
     std::string obstacle;
@@ -56,7 +58,7 @@
                                          const vm_lifecycle& lifecycle,
                                          const pool_view& pool,
                                          const wave_progress& wave) const;
-  /// Returns why the wave should be paused, or nothing.
+  /// Returns why the wave should be paused, or an empty string.
   std::string PauseReason(const planner_context& context,
                           const wave_progress& wave,
                           const scan_result& found) const;
@@ -70,7 +72,8 @@
                 wave_state state,
                 const std::string& reason) const;
 
-  /// Since when nothing speaks for the pause of a wave that paused itself.
+  /// For each automatically paused wave, since when there has been no reason
+  /// for its pause.
   std::map<wave_id, time_point> clear_since_;
 };
 
--- a/src/core/fleet/capacity.cc
+++ b/src/core/fleet/capacity.cc
@@ -9,23 +9,24 @@
 namespace plantainhead::core {
 namespace {
 
-/// Share of a pool that may be in maintenance while its demand isn't known.
+/// Divisor of the pool size that gives the number of VMs that may be in
+/// maintenance while the demand of the pool is unknown.
 constexpr std::uint32_t kUnknownDemandDivisor = 10;
 /// The same for a pool that runs only jobs.
 constexpr std::uint32_t kJobPoolDivisor = 2;
-/// Slots of a VM of which the list says nothing.
+/// Number of slots assumed for a VM if the platform's list does not state it.
 constexpr double kDefaultSlots = 8.0;
-/// Work that can wait is served at this share of its slots.
+/// Utilization up to which slots are filled with work that can wait.
 constexpr double kDeferrableUtilization = 0.9;
-/// Share of what is left of a budget that one dip of a pool may spend.
+/// Share of the remaining error budget that one outage of a pool may spend.
 constexpr double kOutageBudgetShare = 0.25;
 
-/// The strictest of the classes of one service.
+/// The strictest targets among the classes of one service.
 struct service_targets {
-  double late = 1.0;
+  double late_share = 1.0;
   double max_wait_seconds = 0;
   double tolerance = 1.0;
-  /// The tolerance that is left of the budgets right now.
+  /// The tolerated unavailability that remains in the error budgets.
   double remaining_tolerance = 1.0;
   duration outage_allowance = duration::max();
   bool only_deferrable = true;
@@ -53,7 +54,8 @@
     targets.max_wait_seconds = within;
   }
   targets.only_deferrable = false;
-  targets.late = std::min(targets.late, std::max(1e-6, 1.0 - work.served));
+  targets.late_share =
+      std::min(targets.late_share, std::max(1e-6, 1.0 - work.served));
   targets.tolerance = std::min(targets.tolerance, work.unavailability);
   targets.remaining_tolerance = std::min(targets.remaining_tolerance, usable);
 }
@@ -78,9 +80,9 @@
   if (targets.only_deferrable || service_seconds <= 0) {
     return load / kDeferrableUtilization;
   }
-  // One mean service time of the patience goes on the service itself.
-  const double patience = targets.max_wait_seconds / service_seconds - 1.0;
-  return RequiredSlots(load, targets.late, patience);
+  // The service itself takes one mean service time of the allowed time.
+  const double max_wait = targets.max_wait_seconds / service_seconds - 1.0;
+  return RequiredSlots(load, targets.late_share, max_wait);
 }
 
 double SlotsPerVm(const pool_view& pool) {
@@ -99,7 +101,7 @@
   return static_cast<std::uint32_t>(std::ceil(slots / slots_per_vm - 1e-9));
 }
 
-/// Slots of one pool, added up over the services that it runs.
+/// Required slots of one pool, summed over the services that it runs.
 struct pool_slots {
   bool has_service = false;
   bool is_known = false;
@@ -110,8 +112,8 @@
   duration outage_allowance = duration::max();
 };
 
-/// Returns what share of a service's load each of its pools carries: by the
-/// VMs they have, evenly when they have none.
+/// Returns the share of a service's load that each of its pools carries: in
+/// proportion to the VMs of the pools, or evenly if they have none.
 std::vector<double> SharesOf(const service_spec& service,
                              const fleet_view& view) {
   std::vector<double> shares;
@@ -176,12 +178,12 @@
     const double per_vm = SlotsPerVm(pool);
     item.need = std::max(least, VmsFor(slots.need, per_vm));
     item.min_after_loss = VmsFor(slots.min_after_loss, per_vm);
-    // Load may come back while VMs reboot. Without this a wave would take a
-    // whole pool that nobody uses at the time.
+    // Load may return while VMs reboot. Without this limit a wave would take
+    // all VMs of a pool that has no load at the moment.
     item.floor = std::max(VmsFor(slots.floor, per_vm), (size + 1) / 2);
   } else {
-    // A pool without a service has only jobs, which a drain moves elsewhere.
-    // While jobs wait it is asked to grow by one VM at a time.
+    // A pool without a service runs only jobs, which a drain moves to other
+    // workers. While jobs wait, the pool is asked to grow by one VM at a time.
     const std::uint32_t divisor =
         slots.has_service ? kUnknownDemandDivisor : kJobPoolDivisor;
     const std::uint32_t away = std::max(1U, size / divisor);
@@ -190,8 +192,7 @@
     item.need = std::max(least, slots.has_service ? size : for_jobs);
     item.floor = size > away ? size - away : 0;
   }
-  // A pool that has no more than its least VMs still gets its maintenance, one
-  // VM at a time.
+  // A pool at its minimum size still gets its maintenance, one VM at a time.
   const std::uint32_t all_but_one = size > 0 ? size - 1 : 0;
   item.floor = std::max(item.floor, std::min(least, all_but_one));
   return item;
--- a/src/core/fleet/demand_estimator.cc
+++ b/src/core/fleet/demand_estimator.cc
@@ -11,7 +11,8 @@
   return std::chrono::duration<double>(time).count();
 }
 
-/// Weight of a new value in a moving average of this time constant.
+/// Returns the weight of a new value in an exponential moving average with this
+/// time constant.
 double WeightOf(double elapsed, duration constant) {
   return 1.0 - std::exp(-elapsed / SecondsOf(constant));
 }
@@ -35,8 +36,9 @@
       known = {load, seconds, load};
       continue;
     }
-    // Noise is taken out first, evenly: else each upward swing would lift the
-    // estimate at once and the slow fall would keep it at the peaks of noise.
+    // Noise is filtered first, with the same weight up and down. Otherwise each
+    // upward fluctuation would raise the estimate at once, and its slow decay
+    // would keep the estimate at the peaks of the noise.
     known.smoothed += WeightOf(elapsed, kSmoothing) * (load - known.smoothed);
     const duration constant = known.smoothed > known.load ? rise_ : fall_;
     known.load += WeightOf(elapsed, constant) * (known.smoothed - known.load);
--- a/src/core/fleet/job_placement.cc
+++ b/src/core/fleet/job_placement.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// An urgent job may share processors up to this many times over while jobs
+/// Factor by which processors may be overcommitted for an urgent job while jobs
 /// that can wait are being checkpointed.
 constexpr std::int64_t kProcessorOvercommit = 2;
 
@@ -177,7 +177,7 @@
       continue;
     }
     if (job->second.state == job_state::kCheckpointing) {
-      // It leaves already; its room will be there.
+      // It is already being checkpointed and will free its resources.
       const job_size gone = history_.SizeOf(job->second.spec);
       left.processors += gone.processors;
       left.memory_mb += gone.memory_mb;
@@ -187,7 +187,7 @@
       waiting.emplace_back(by == time_point() ? time_point::max() : by, id);
     }
   }
-  // Those that can wait longest go first.
+  // Jobs with the latest deadlines are preempted first.
   std::sort(waiting.rbegin(), waiting.rend());
   choice found{item.vm, {}, can_start_now};
   for (const auto& [by, id] : waiting) {
@@ -226,11 +226,12 @@
     memory_mb = std::max(memory_mb, vm.memory_mb);
     accelerators = std::max(accelerators, vm.accelerators);
   }
-  return "no worker of pool " + spec.pool.value() + " can ever hold it: it " +
-         "takes " + std::to_string(size.processors) + " processors, " +
+  return "no worker of pool " + spec.pool.value() +
+         " is large enough for the job: it " + "requires " +
+         std::to_string(size.processors) + " processors, " +
          std::to_string(size.memory_mb) + " MB, " +
          std::to_string(size.accelerators) + " accelerators; the largest " +
-         "figures are " + std::to_string(processors) + ", " +
+         "worker sizes are " + std::to_string(processors) + ", " +
          std::to_string(memory_mb) + " MB, " + std::to_string(accelerators);
 }
 
--- a/src/core/fleet/job_planner.cc
+++ b/src/core/fleet/job_planner.cc
@@ -13,10 +13,11 @@
 constexpr const char* kCheckpoint = "checkpoint";
 constexpr const char* kStop = "stop";
 
-constexpr const char* kNoRoom = "no worker of its pool has room";
+constexpr const char* kNoRoom =
+    "no worker of the pool has enough free capacity";
 
-/// Records of placements written in one plan; the log takes several hundred
-/// appends a second.
+/// Maximum number of placement records appended in one plan; the log handles
+/// several hundred appends per second.
 constexpr std::size_t kPlacementsPerPlan = 100;
 
 }  // namespace
@@ -30,7 +31,8 @@
   });
   for (const auto& [id, job] : inputs.state.jobs) {
     if (job.state == job_state::kParked) {
-      // An operator who frees it wants it tried anew.
+      // An operator who releases the job expects it to be tried on all workers
+      // again.
       history_.ClearFailures(id);
     }
     if (!HoldsTask(job)) {
@@ -39,7 +41,7 @@
     const auto [found, is_new] = observations_.try_emplace(id);
     job_observation& seen = found->second;
     if (is_new || seen.version != job.version) {
-      // Whoever planned before may have renewed the lease until just now.
+      // The planner of another entry may have renewed the lease until now.
       seen.lease_end = now + options.task_lease + options.lease_margin;
       seen.version = job.version;
       seen.since = now;
@@ -78,7 +80,7 @@
       continue;
     }
     const auto found = context.inputs.state.jobs.find(task.job);
-    // A job that this fold doesn't know may be newer than the fold; if it is
+    // A job that is missing from this fold may be newer than the fold. If it is
     // not, its task ends with its lease.
     if (found == context.inputs.state.jobs.end()) {
       continue;
@@ -131,8 +133,8 @@
     }
     if (quarantined >= most) {
       context.Report(note_level::kError, ObjectOf(id),
-                     "it fails every task, but too many workers are "
-                     "quarantined already");
+                     "the worker fails every task, but is not quarantined: the "
+                     "limit of quarantined workers is reached");
       continue;
     }
     ++quarantined;
@@ -141,14 +143,14 @@
         set_quarantine{context.inputs.epoch, id, vm.state->version, true,
                        "the last tasks of " +
                            std::to_string(context.options.quarantine_failures) +
-                           " different jobs failed on it"},
+                           " different jobs failed on the worker"},
         context.now, context.out);
   }
 }
 
 void job_planner::PlaceWaiting(const planner_context& context) {
-  // With no new record of a job or VM and no new list, the pass would end as
-  // the last did.
+  // Without a new record of a job or VM and without a new list, the result
+  // would be the same as that of the last pass.
   if (placed_version_ == context.view.work_version() &&
       placed_list_ == context.inputs.listed_at) {
     return;
@@ -206,7 +208,7 @@
   if (found) {
     room.Place(job.spec, found->vm->id);
     SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
-             "worker " + found->vm->id.value() + " has room");
+             "worker " + found->vm->id.value() + " has enough free capacity");
     return true;
   }
   if (job.spec.urgent && PlaceUrgent(context, room, id, job)) {
@@ -232,18 +234,19 @@
       continue;
     }
     SetState(context, other, progress, job_state::kCheckpointing, progress.vm,
-             kCheckpoint, "it can wait and makes room for " + id.value());
+             kCheckpoint, "preempted by urgent job " + id.value());
   }
-  // The room is kept for it in this plan, or others would take it.
+  // Reserves the capacity for the rest of this plan, so that no other job takes
+  // it.
   room.Place(job.spec, found->vm->id);
   if (!found->can_start_now) {
     context.reasons[ObjectOf(id)] =
-        "room is being made on " + found->vm->id.value();
+        "waiting for preempted jobs to leave worker " + found->vm->id.value();
     return false;
   }
   SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
-           "urgent; it shares worker " + found->vm->id.value() +
-               " until jobs that can wait have left");
+           "urgent; shares worker " + found->vm->id.value() +
+               " until the preempted jobs have left");
   return true;
 }
 
@@ -266,11 +269,12 @@
     return "it failed on " + std::to_string(failed) + " workers: " + workers +
            "; " + job.reason;
   }
-  // The fold counts each placement that came to nothing; a refusal says nothing
-  // of the job.
+  // The fold counts every placement without a finished task, including
+  // refusals. A refusal is no evidence against the job and is therefore allowed
+  // for in the limit.
   if (job.failures >= context.options.park_starts + history_.RefusalCount(id)) {
-    return "it was started " + std::to_string(job.failures) +
-           " times without an end; " + job.reason;
+    return "the job was started " + std::to_string(job.failures) +
+           " times without finishing; " + job.reason;
   }
   std::string never = room.UnplaceableReason(job.spec);
   if (never.empty()) {
--- a/src/core/fleet/job_planner_tasks.cc
+++ b/src/core/fleet/job_planner_tasks.cc
@@ -9,11 +9,11 @@
 constexpr const char* kCheckpoint = "checkpoint";
 constexpr const char* kRenew = "renew";
 
-/// A lease is renewed this many times while it lasts, so that one lost renewal
-/// doesn't end the task.
+/// Number of renewals per lease period, so that one lost renewal does not end
+/// the task.
 constexpr int kRenewalsPerLease = 3;
-/// Spreads the renewals of many tasks over the period. It need not be equal at
-/// two planners: a renewal more does no harm.
+/// Spreads the renewals of many tasks over the period. The offset may differ
+/// between two planners: an additional renewal is harmless.
 duration OffsetOf(const job_id& id, duration period) {
   return duration(static_cast<duration::rep>(
       std::hash<job_id>()(id) % static_cast<std::size_t>(period.count())));
@@ -41,8 +41,8 @@
   if (RecordTaskEnd(context, id, job)) {
     return;
   }
-  // A task on the list needs no start; a planner that takes over need not send
-  // the starts of all jobs again.
+  // A listed task has already started. A planner that takes over does not have
+  // to send the starts of all jobs again.
   const bool is_running = FindTask(id, job) != nullptr;
   if (!is_running && IsWorkerGone(context, job)) {
     ReleaseLostTask(context, id, job);
@@ -78,11 +78,11 @@
   if (end == operation_result::kRefused) {
     history_.CountRefusal(id, job.vm, context.now);
     SetState(context, id, job, job_state::kWaiting, job.vm, "",
-             "worker " + job.vm.value() +
-                 " refused it: " + context.operations.DetailOf(job.operation));
+             "worker " + job.vm.value() + " refused the task: " +
+                 context.operations.DetailOf(job.operation));
     return false;
   }
-  // A start that is still under way may begin a lease at any moment.
+  // A start that is still in progress may begin a lease at any time.
   const auto seen = observations_.find(id);
   if (seen != observations_.end()) {
     seen->second.lease_end =
@@ -104,12 +104,14 @@
   if (RecordTaskEnd(context, id, job) || ReleaseLostTask(context, id, job)) {
     return;
   }
-  // Until it is saved, or has ended by itself, its task must not lapse.
+  // The lease of the task must not expire before its checkpoint is saved or the
+  // task has ended.
   Renew(context, id, job);
   if (end == operation_result::kRefused) {
-    context.Report(note_level::kWarning, ObjectOf(id),
-                   "it can't be checkpointed and is left to finish: " +
-                       context.operations.DetailOf(job.operation));
+    context.Report(
+        note_level::kWarning, ObjectOf(id),
+        "the checkpoint was refused; the task continues until it finishes: " +
+            context.operations.DetailOf(job.operation));
   }
 }
 
@@ -133,7 +135,7 @@
       return true;
     case task_state::kLapsed:
       SetState(context, id, job, job_state::kWaiting, job.vm, "",
-               "its lease lapsed on " + job.vm.value());
+               "the task lease expired on " + job.vm.value());
       return true;
     case task_state::kCheckpointed:
       SetState(context, id, job, job_state::kWaiting, vm_id(), "",
@@ -158,9 +160,9 @@
   if (!is_vm_gone && !is_task_gone) {
     return false;
   }
-  // The list may be wrong, and the task may still run on a worker that nobody
-  // can reach; a second start then would run the job twice. Without renewal the
-  // worker ends it by the end of its lease at the latest.
+  // The list may be wrong, and the task may still be running on a worker that
+  // is unreachable; a second start now would run the job twice. Without
+  // renewals the worker ends the task when its lease expires.
   if (context.now >= seen->second.lease_end) {
     SetState(context, id, job, job_state::kWaiting, job.vm, "",
              (is_vm_gone ? "its worker was lost: " : "its task was lost on ") +
@@ -202,7 +204,8 @@
     return nullptr;
   }
   const task_listing* task = found->second;
-  // The list lags and may still show an earlier task of the job on this worker.
+  // The list is delayed and may still show an earlier task of the job on this
+  // worker.
   const bool is_this = job.state == job_state::kCheckpointing ||
                        task->started_by == job.operation;
   return is_this ? task : nullptr;
--- a/src/core/fleet/phase_tracker.cc
+++ b/src/core/fleet/phase_tracker.cc
@@ -40,8 +40,9 @@
       seen.pool = vm.pool;
       seen.pool_since = now;
     }
-    // A second drain may follow the first within one batch of records; the
-    // operation tells them apart, so that no old heartbeat proves the new one.
+    // A second drain may follow the first within one batch of records. The
+    // operation id distinguishes them, so that no old heartbeat is taken as
+    // proof for the new drain.
     if (is_new || seen.phase != vm.phase || seen.operation != vm.operation) {
       seen.phase = vm.phase;
       seen.operation = vm.operation;
@@ -53,8 +54,8 @@
 
 void phase_tracker::ObserveMembers(const planner_inputs& inputs,
                                    time_point now) {
-  // An entry that has just started doesn't know which members were lost before
-  // it; it waits as if one had been lost right now.
+  // An entry that has just started does not know which members were lost
+  // before. It waits as if a member had been lost now.
   bool lost = !has_started_;
   for (const incarnation who : members_) {
     lost = lost || !inputs.state.members.contains(who);
--- a/src/core/fleet/planner.cc
+++ b/src/core/fleet/planner.cc
@@ -5,9 +5,10 @@
 namespace plantainhead::core {
 namespace {
 
-/// How long the end of an operation is remembered after it was last needed.
+/// How long the result of an operation is kept after it was last requested.
 constexpr duration kOperationRetention = std::chrono::minutes(5);
-/// Reasons kept beyond one for each VM, before all are dropped and given anew.
+/// Maximum number of reasons beyond one per VM. When it is exceeded, all
+/// reasons are dropped and collected again.
 constexpr std::size_t kMaxExtraReasons = 4096;
 
 }  // namespace
@@ -33,8 +34,8 @@
     return;
   }
   if (inputs.epoch != epoch_) {
-    // Records of the earlier epoch are void; those under way must be written
-    // again.
+    // Records of the earlier epoch are rejected by the fold; pending ones must
+    // be appended again.
     epoch_ = inputs.epoch;
     gate_.Clear();
   }
@@ -63,13 +64,15 @@
 void planner::Plan(const planner_inputs& inputs, time_point now, effects& out) {
   const fleet_view view(inputs, phase_tracker_, gate_, now);
   const capacity_plan capacity = PlanCapacity(inputs, view, demand_, options_);
-  const std::set<pool_id> none_held;
-  const planner_context unheld{inputs,    options_,    view,     now,
-                               gate_,     operations_, reasons_, out,
-                               deferred_, none_held};
-  const std::set<pool_id> held = wave_planner::BlockedPools(unheld, capacity);
-  const planner_context context{inputs,      options_, view, now,       gate_,
-                                operations_, reasons_, out,  deferred_, held};
+  const std::set<pool_id> none_blocked;
+  const planner_context unblocked{inputs,    options_,    view,     now,
+                                  gate_,     operations_, reasons_, out,
+                                  deferred_, none_blocked};
+  const std::set<pool_id> blocked =
+      wave_planner::BlockedPools(unblocked, capacity);
+  const planner_context context{inputs,    options_,    view,     now,
+                                gate_,     operations_, reasons_, out,
+                                deferred_, blocked};
   const vm_lifecycle lifecycle(context, phase_tracker_);
   lifecycle.Advance();
   if (now - pools_planned_at_ >= options_.pool_interval) {
--- a/src/core/fleet/pool_balance.cc
+++ b/src/core/fleet/pool_balance.cc
@@ -44,7 +44,7 @@
   if (!NeedsSpare()) {
     return DemandShortage();
   }
-  // Fill the emptiest domain first until nothing lacks.
+  // Adds VMs to the smallest domain until nothing is missing.
   std::vector<std::uint32_t> counts;
   for (const auto& [domain, count] : counts_) {
     counts.push_back(count);
--- a/src/core/fleet/pool_planner.cc
+++ b/src/core/fleet/pool_planner.cc
@@ -12,8 +12,8 @@
 using pool_rules::IsMoving;
 using pool_rules::SpecOf;
 
-/// Tells if the pool can count on the VM: it works, or comes back from
-/// maintenance.
+/// Returns true if the pool can rely on the VM: it is in service, or is
+/// expected back from maintenance.
 bool IsMember(const planner_context& context, const vm_view& vm) {
   if (vm.state == nullptr || vm.state->quarantined || IsMoving(vm)) {
     return false;
@@ -131,7 +131,8 @@
       const std::optional<pool_id> most_urgent =
           MostUrgentPool(context, pools, pool_id(), {});
       chosen = most_urgent ? *most_urgent : PoolForSpareVm(pools);
-      reason = most_urgent ? "this pool lacks most" : "no pool lacks a VM";
+      reason = most_urgent ? "this pool has the most urgent shortage"
+                           : "no pool has a shortage";
     }
     pools.at(chosen).Add(context.DomainOf(vm, by_rack_));
     context.gate.Append(ObjectOf(id), 0,
@@ -164,7 +165,8 @@
         vm.listing->pool == vm.state->pool) {
       continue;
     }
-    // A readmission tells the pool itself; the list shows it after its lag.
+    // A readmission already sends the pool to the platform; the list shows it
+    // with a delay.
     const operation_id& own = vm.state->operation;
     const std::optional<time_point> done = context.operations.DoneAt(own);
     const bool is_under_way = !own.empty() && !context.operations.HasEnded(own);
@@ -182,7 +184,7 @@
                                 const balances& pools) {
   std::erase_if(trends_,
                 [&](const auto& item) { return !pools.contains(item.first); });
-  const auto follow = [&](std::optional<time_point>& since, bool holds) {
+  const auto update_since = [&](std::optional<time_point>& since, bool holds) {
     if (!holds) {
       since.reset();
     } else if (!since) {
@@ -194,8 +196,8 @@
     trend.shortage = pool.Shortage();
     trend.surplus = pool.Surplus();
     trend.wanted = pool.size() + trend.shortage - trend.surplus;
-    follow(trend.shortage_since, trend.shortage > 0);
-    follow(trend.surplus_since, trend.surplus > 0);
+    update_since(trend.shortage_since, trend.shortage > 0);
+    update_since(trend.surplus_since, trend.surplus > 0);
     const std::chrono::duration<double> elapsed = context.now - trend.peak_at;
     const std::chrono::duration<double> half = context.options.peak_half_life;
     const double kept = trend.peak * std::exp2(-(elapsed / half));
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -10,7 +10,7 @@
 using pool_rules::IsMoving;
 using pool_rules::SpecOf;
 
-/// Tells if a running wave has still to visit the VM in its present pool.
+/// Returns true if an open wave has still to reboot the VM in its current pool.
 bool AwaitsWave(const planner_context& context, const vm_view& vm) {
   for (const auto& [id, wave] : context.inputs.state.waves) {
     const bool is_open =
@@ -24,7 +24,7 @@
   return false;
 }
 
-/// Tells if callers can't be served without more VMs.
+/// Returns true if the demand of callers cannot be served without more VMs.
 bool IsUrgent(const pool_balance& pool) {
   return pool.DemandShortage() > 0 && pool.is_for_callers();
 }
@@ -46,14 +46,15 @@
     const std::optional<pool_id> receiver =
         MostUrgentPool(context, pools, vm.state->pool, {});
     if (!receiver || *receiver == vm.state->pool) {
-      lifecycle.Readmit(vm, "no other pool lacks it any more");
+      lifecycle.Readmit(vm, "no other pool needs the VM any longer");
       continue;
     }
     pools.at(*receiver).Add(context.DomainOf(vm, by_rack_));
     UpdateTeamCounts(context, vm.state->pool, *receiver);
     ++figures_.moves;
     lifecycle.ReadmitTo(vm, *receiver,
-                        "pool " + receiver->value() + " lacked it more than " +
+                        "pool " + receiver->value() +
+                            " had a more urgent shortage than pool " +
                             vm.state->pool.value());
   }
 }
@@ -82,8 +83,8 @@
     const zone_id domain = context.DomainOf(*best->vm, by_rack_);
     lifecycle.StartDrain(*best->vm, wave_id(),
                          "move to pool " + receiver->value() +
-                             ", which lacks " + Count(to.Shortage()) +
-                             "; pool " + best->from.value() + " needs " +
+                             ", which is short of " + Count(to.Shortage()) +
+                             " VMs; pool " + best->from.value() + " needs " +
                              Count(pools.at(best->from).need()) + " of its " +
                              Count(pools.at(best->from).size()));
     taken.insert(best->vm->id);
@@ -246,9 +247,9 @@
 void pool_planner::ReportNoDonor(const planner_context& context,
                                  const pool_id& name,
                                  const pool_balance& pool) {
-  context.Report(
-      note_level::kWarning, ObjectOf(name),
-      "it lacks " + Count(pool.Shortage()) + " VMs and no pool can spare one");
+  context.Report(note_level::kWarning, ObjectOf(name),
+                 "the pool is short of " + Count(pool.Shortage()) +
+                     " VMs and no other pool has a surplus");
 }
 
 bool pool_planner::MayMove(const planner_context& context,
--- a/src/core/fleet/pool_rules.h
+++ b/src/core/fleet/pool_rules.h
@@ -3,17 +3,17 @@
 
 #include "plantainhead/core/fleet/planner_context.h"
 
-/// Rules that the parts of the planner of the pools share.
+/// Helpers shared by the sources of `pool_planner`.
 namespace plantainhead::core::pool_rules {
 
-/// A mover is a VM that was drained, or drains, to change its pool.
+/// Returns true if the VM is draining or drained for a pool change.
 inline bool IsMoving(const vm_view& vm) {
   return vm.state != nullptr && vm.state->wave.empty() &&
          (vm.state->phase == vm_phase::kDraining ||
           vm.state->phase == vm_phase::kDrained);
 }
 
-/// Returns the pool's part of the configuration, or null.
+/// Returns the configuration of the pool, or null.
 inline const pool_spec* SpecOf(const planner_context& context,
                                const pool_id& pool) {
   const pool_view* view = context.view.FindPool(pool);
--- a/src/core/fleet/queueing.cc
+++ b/src/core/fleet/queueing.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// Erlang B by its recursion: the share that would be turned away.
+/// Returns the Erlang B blocking probability, computed by its recurrence.
 double BlockingProbability(double load, std::uint32_t slots) {
   double blocking = 1.0;
   for (std::uint32_t n = 1; n <= slots; ++n) {
@@ -35,17 +35,17 @@
   return WaitFromBlocking(load, slots, BlockingProbability(load, slots));
 }
 
-std::uint32_t RequiredSlots(double load, double late, double patience) {
+std::uint32_t RequiredSlots(double load, double late_share, double max_wait) {
   if (load <= 0.0) {
     return 0;
   }
   auto slots = static_cast<std::uint32_t>(std::floor(load)) + 1;
   double blocking = BlockingProbability(load, slots);
-  const double wait_limit = std::max(0.0, patience);
+  const double wait_limit = std::max(0.0, max_wait);
   while (true) {
     const double waits = WaitFromBlocking(load, slots, blocking);
-    const double late_share = waits * std::exp(-(slots - load) * wait_limit);
-    if (late_share <= late) {
+    const double late = waits * std::exp(-(slots - load) * wait_limit);
+    if (late <= late_share) {
       return slots;
     }
     ++slots;
--- a/src/core/fleet/task_history.cc
+++ b/src/core/fleet/task_history.cc
@@ -8,14 +8,15 @@
 namespace plantainhead::core {
 namespace {
 
-/// Failures kept for each worker.
+/// Maximum number of failures kept for each worker.
 constexpr std::size_t kMaxFailures = 8;
 /// Weight of a new measurement in the moving averages.
 constexpr double kAverageWeight = 0.2;
-/// Jobs are given this much more than they were seen to use.
+/// Jobs are allotted this factor times their observed use.
 constexpr double kHeadroom = 1.2;
-/// Bounds of the correction of what jobs declare. Memory is never cut below
-/// what is declared until the job itself was seen: too little ends the task.
+/// Bounds of the correction of declared sizes. Memory is never reduced below
+/// the declared size until the job itself has been observed, because too little
+/// memory ends the task.
 constexpr double kMinRatio = 0.25;
 constexpr double kMaxRatio = 4.0;
 
@@ -121,7 +122,7 @@
   if (found == failures_.end()) {
     return false;
   }
-  // A job that fails elsewhere as well speaks against itself, not the worker.
+  // A job that also fails on other workers is no evidence against this worker.
   const auto only_here = std::count_if(
       found->second.begin(), found->second.end(),
       [&](const job_id& job) { return FailedOn(job).size() <= 1; });
--- a/src/core/fleet/vm_lifecycle.cc
+++ b/src/core/fleet/vm_lifecycle.cc
@@ -5,7 +5,7 @@
 
 constexpr const char* kDrain = "drain";
 constexpr const char* kReboot = "reboot";
-/// Puts a drained VM to work again, in the pool of its record.
+/// Returns a drained VM to service, in the pool of its record.
 constexpr const char* kReadmit = "readmit";
 
 constexpr const char* kNotRebooted = "not rebooted; its wave has ended";
@@ -31,8 +31,8 @@
   if (!vm.serving() || vm.is_pending || !vm.listed_live()) {
     return false;
   }
-  // A readmission that is still under way could reach the VM after the drain
-  // and make it take work while it is about to be rebooted.
+  // A readmission that is still in progress could reach the VM after the drain
+  // and make it accept work although it is about to be rebooted.
   return vm.state->operation.empty() ||
          context_.operations.HasEnded(vm.state->operation);
 }
@@ -78,9 +78,9 @@
   if (vm.is_pending) {
     return;
   }
-  // Both records go out together. Between them the VM serves its old pool by
-  // the fold, but its runner still refuses work until the operation, which
-  // waits for the second record.
+  // Both records are appended together. Between them the fold shows the VM as
+  // serving in its old pool, but its runner still refuses work until it
+  // receives the operation, which is sent only after the second record.
   const generation after = vm.state->version + 1;
   SetPhase(vm, vm_phase::kServing, kReadmit, wave_id(), reason);
   context_.gate.Append(
@@ -98,15 +98,15 @@
 }
 
 void vm_lifecycle::AdvanceDraining(const vm_view& vm) const {
-  const std::string why = AbortReason(vm);
-  if (!why.empty()) {
-    Readmit(vm, why);
+  const std::string abort_reason = AbortReason(vm);
+  if (!abort_reason.empty()) {
+    Readmit(vm, abort_reason);
     return;
   }
   const std::optional<operation_result> end = context_.operations.EnsureSent(
       vm.state->operation, drain_vm{vm.id}, context_.now, context_.out);
   if (end == operation_result::kRefused) {
-    AbortDrain(vm, "the platform refused to drain it: " +
+    AbortDrain(vm, "the platform refused to drain the VM: " +
                        context_.operations.DetailOf(vm.state->operation));
     return;
   }
@@ -131,9 +131,9 @@
   if (vm.state->wave.empty()) {
     return;
   }
-  const std::string why = AbortReason(vm);
-  if (!why.empty()) {
-    Readmit(vm, why);
+  const std::string abort_reason = AbortReason(vm);
+  if (!abort_reason.empty()) {
+    Readmit(vm, abort_reason);
     return;
   }
   SetPhase(vm, vm_phase::kRebooting, kReboot, vm.state->wave,
@@ -146,7 +146,7 @@
       id, reboot_vm{vm.id}, context_.now, context_.out);
   if (end == operation_result::kRefused) {
     context_.Report(note_level::kError, ObjectOf(vm.id),
-                    "the platform refused to reboot it: " +
+                    "the platform refused to reboot the VM: " +
                         context_.operations.DetailOf(id));
     if (IsWaveOver(vm)) {
       SetPhase(vm, vm_phase::kReturning, "", vm.state->wave, kNotRebooted);
@@ -154,8 +154,9 @@
     return;
   }
   const std::optional<time_point> done = context_.operations.DoneAt(id);
-  // The list lags: one from just after the reboot may still show the VM as it
-  // was before. One that was read later by the lag shows what came of it.
+  // The list is delayed: one that was read just after the reboot may still show
+  // the state before it. A list that was read at least `list_lag` later shows
+  // the result of the reboot.
   if (done && vm.listed_live() &&
       context_.inputs.listed_at >= *done + context_.options.list_lag) {
     SetPhase(vm, vm_phase::kReturning, "", vm.state->wave,
@@ -164,13 +165,13 @@
   }
   if (HasBeenInPhaseFor(vm, context_.options.return_timeout)) {
     context_.Report(note_level::kError, ObjectOf(vm.id),
-                    "it did not come back in time after its reboot");
+                    "the VM did not return in time after its reboot");
   }
 }
 
 void vm_lifecycle::AdvanceReturning(const vm_view& vm) const {
   if (vm.listed_live() && vm.healthy) {
-    // A VM that was not rebooted still refuses work since its drain.
+    // A VM that was not rebooted still refuses work because of its drain.
     const bool was_rebooted = vm.state->reason != kNotRebooted;
     SetPhase(vm, vm_phase::kServing, was_rebooted ? "" : kReadmit,
              vm.state->wave,
@@ -180,7 +181,7 @@
   }
   if (HasBeenInPhaseFor(vm, context_.options.return_timeout)) {
     context_.Report(note_level::kError, ObjectOf(vm.id),
-                    "it is not healthy after its reboot");
+                    "the VM is not healthy after its reboot");
   }
 }
 
@@ -197,7 +198,7 @@
     return name + " is paused, " + wave.reason;
   }
   if (context_.blocked_pools.contains(vm.state->pool)) {
-    return "a failure took the slack of its pool";
+    return "a failure left its pool without spare capacity";
   }
   return "";
 }
@@ -216,9 +217,9 @@
   if (!HasBeenInPhaseFor(vm, context_.options.drain_notice)) {
     return false;
   }
-  // A member that has not yet applied the drain may still send to the VM; the
-  // caller would see its request cut by the reboot. Only heartbeats that were
-  // sent after the drain was applied prove the zero.
+  // A member that has not yet applied the drain may still send requests to the
+  // VM, which the reboot would abort. Only heartbeats that were sent after the
+  // drain was applied prove that no request is in flight.
   if (context_.inputs.reported_offset < vm.seen->offset || vm.in_flight > 0) {
     return false;
   }
--- a/src/core/fleet/wave_planner.cc
+++ b/src/core/fleet/wave_planner.cc
@@ -12,9 +12,10 @@
          wave.state == wave_state::kPaused;
 }
 
-/// Tells if a VM that is out of work holds its zone: no other zone of the pool
-/// may be touched. One that has been out for longer than the bound is taken for
-/// lost for good, or it would hold the wave up for ever.
+/// Returns true if the VM is out of service and therefore occupies its zone, so
+/// that no VM of another zone of the pool may be taken. A VM that has been out
+/// of service for longer than `return_timeout` is considered permanently lost;
+/// otherwise it would block the wave forever.
 bool OccupiesZone(const planner_context& context, const vm_view& vm) {
   if (vm.state == nullptr || vm.zone.empty()) {
     return false;
@@ -52,8 +53,9 @@
   return lost;
 }
 
-/// Tells if the budgets allow the pool to go below its floor for one reboot.
-/// It is for pools too small to give up even one VM otherwise.
+/// Returns true if the error budgets allow the pool to go below its floor for
+/// one reboot. This applies to pools that are too small to release even one VM
+/// otherwise.
 bool BudgetAllowsOutage(const planner_context& context,
                         const pool_capacity& capacity,
                         std::uint32_t available) {
@@ -67,10 +69,10 @@
          static_cast<double>(capacity.outage_allowance.count());
 }
 
-/// Tells if a listed VM has no pool yet. A wave that is started together with
-/// the first targets meets empty pools: taken for finished then, it would never
-/// reboot their VMs. The pool planner gives every listed VM a pool, so this
-/// holds a wave up for some plans only.
+/// Returns true if a listed VM has no pool yet. A wave that is started together
+/// with the first configuration finds its pools empty; if it were finished
+/// then, its VMs would never be rebooted. The pool planner assigns every listed
+/// VM to a pool, so this delays a wave by a few plans only.
 bool HasUnassignedVms(const planner_context& context) {
   if (!context.list_is_fresh()) {
     return true;
@@ -85,14 +87,14 @@
 
 std::set<pool_id> wave_planner::BlockedPools(const planner_context& context,
                                              const capacity_plan& capacity) {
-  std::set<pool_id> held;
+  std::set<pool_id> blocked;
   for (const auto& [name, pool] : context.view.pools()) {
     if (pool.available < capacity.at(name).floor &&
         CountLost(context, pool) > 0) {
-      held.insert(name);
+      blocked.insert(name);
     }
   }
-  return held;
+  return blocked;
 }
 
 void wave_planner::Plan(const planner_context& context,
@@ -159,7 +161,7 @@
   if (context.blocked_pools.contains(pool.spec->name)) {
     ++found.blocked_pools;
     found.obstacle =
-        "a failure took the slack of pool " + pool.spec->name.value();
+        "a failure left no spare capacity in pool " + pool.spec->name.value();
     return;
   }
   if (wave.state != wave_state::kRunning || !context.list_is_fresh()) {
@@ -172,7 +174,8 @@
     if (cost == 1 && available <= capacity.floor &&
         (away > 0 || !BudgetAllowsOutage(context, capacity, available))) {
       found.obstacle = "pool " + pool.spec->name.value() + " has " +
-                       std::to_string(available) + " VMs at work and needs " +
+                       std::to_string(available) +
+                       " VMs in service and requires at least " +
                        std::to_string(capacity.floor);
       break;
     }
@@ -181,7 +184,7 @@
     }
     if (zones.size() > 1) {
       found.obstacle = "pool " + pool.spec->name.value() +
-                       " has VMs out of work in more than one zone";
+                       " has VMs out of service in more than one zone";
       break;
     }
     zones.insert(vm->zone);
@@ -217,8 +220,9 @@
       found.push_back(vm);
     }
   }
-  // A zone that was begun is ended first, then the zones and VMs with the
-  // fewest jobs: what must move away then finds rebooted VMs and moves once.
+  // A zone with rebooted VMs is completed first, followed by the zones and VMs
+  // with the fewest jobs. Jobs that must move then find rebooted VMs and move
+  // only once.
   const auto key = [&](const vm_view* vm) {
     return std::make_tuple(!started.contains(vm->zone), jobs[vm->zone],
                            std::cref(vm->zone), vm->jobs > 0,
@@ -278,7 +282,7 @@
       clear_since_.try_emplace(id, context.now).first->second;
   if (context.now - calm >= context.options.resume_after) {
     SetState(context, id, wave, wave_state::kRunning,
-             "resumed, what paused it is over");
+             "resumed: the reason for the pause no longer applies");
   }
 }
 
