--- a/include/plantainhead/core/membership/membership.h
+++ b/include/plantainhead/core/membership/membership.h
@@ -18,34 +18,36 @@
 namespace plantainhead::core {
 
 struct membership_options {
-  /// Time between heartbeats to those that watch this entry.
+  /// Time between small heartbeats to the watchers of this entry.
   duration heartbeat_interval = std::chrono::milliseconds(200);
-  /// A member that isn't heard for this long is suspected.
+  /// A member from which nothing was received for this time is suspected.
   duration suspicion_timeout = std::chrono::seconds(1);
-  /// An accused member must not be suspected for this long before the
-  /// accusation is withdrawn; doubled each time when it is accused again.
+  /// An accused member must stay unsuspected for this time before the
+  /// accusation is withdrawn. The time doubles with each repeated accusation.
   duration withdraw_after = std::chrono::seconds(1);
-  /// Pause before a record that hasn't come back is asked for again.
+  /// Delay before a record that has not been read back is appended again.
   duration record_retry_interval = std::chrono::seconds(5);
-  /// Members that watch each one; with as many as there are others, all watch
-  /// all.
+  /// Number of watchers of each member. If it is at least the number of other
+  /// members, all members watch each other.
   std::size_t watchers = 3;
-  /// Each other member gets a complete heartbeat once in this time, as long as
-  /// `complete_spacing` lets it.
+  /// Time within which each other member gets one complete heartbeat, as far as
+  /// `complete_spacing` permits.
   duration complete_interval = std::chrono::seconds(1);
-  /// Time between two complete heartbeats, to whomever; bounds the bytes.
+  /// Minimum time between two complete heartbeats to any members; limits the
+  /// network traffic.
   duration complete_spacing = std::chrono::milliseconds(100);
 };
 
-/// What the other modules want to tell the other entries.
+/// State of this entry's other modules that is sent in heartbeats.
 struct heartbeat_contents {
   log_offset offset = 0;
   std::uint64_t digest = 0;
   bool ready = false;
   bool stopping = false;
-  /// The fold has caught up with the greatest offset that it can learn of.
+  /// The fold has applied all records up to the highest offset known to this
+  /// entry.
   bool caught_up = false;
-  /// The log can't be reached: nothing new is asked of it.
+  /// The log is unreachable. No records are appended.
   bool log_unreachable = false;
   std::vector<service_load> load;
   std::vector<vm_in_flight> in_flight;
@@ -53,21 +55,21 @@
   std::vector<service_times> times = {};
 };
 
-/// What is known of another entry by its heartbeats.
+/// State of another entry as reported by its heartbeats.
 struct peer_status {
-  /// The newest complete heartbeat: its load, requests in flight and offset
-  /// belong together. `ready`, `stopping` and `suspected` are as the newest
-  /// heartbeat of any kind said.
+  /// The latest complete heartbeat: its load, requests in flight and offset are
+  /// consistent with each other. `ready`, `stopping` and `suspected` are those
+  /// of the latest heartbeat of any kind.
   heartbeat last;
-  /// The view that the peer acted under.
+  /// The view under which the peer sent its latest heartbeat.
   log_offset view = 0;
-  /// When anything was last heard.
+  /// When the latest heartbeat was received.
   time_point last_heard_at;
-  /// Number of the newest heartbeat.
+  /// Sequence number of the latest heartbeat.
   std::uint64_t sequence = 0;
 };
 
-/// How a frame's sender and view compare with the fold.
+/// Relation of a frame's sender and view to the members and view of the fold.
 enum class frame_status { kCurrent, kOlderView, kNewerView, kNotMember };
 
 inline constexpr name_table<frame_status, 4> kFrameStatusNames = {{
@@ -80,49 +82,52 @@
   return kFrameStatusNames;
 }
 
-/// Returns how `frame` compares with the members and the view of `fleet`.
-/// Thread safety: safe from any thread while nobody writes.
+/// Returns how the sender and view of `frame` relate to the members and view of
+/// `fleet`. Thread safety: safe from any thread as long as no thread modifies
+/// the arguments.
 frame_status FrameStatusOf(const fleet_state& fleet, const peer_frame& frame);
 
-/// One entry's part in the fleet's membership: it joins, leaves, tells the
-/// others how it is, suspects those that it doesn't hear, and accuses them by
-/// records. Who is a member is up to the fold alone.
+/// Group membership of one entry: joins and leaves the fleet, sends heartbeats
+/// to the other members, suspects members whose heartbeats are missing, and
+/// accuses them by records. Only the fold decides who is a member.
 ///
-/// Each member sends small heartbeats to its few watchers on the ring. A
-/// watcher that hears none tells all members at once; the others follow when
-/// most of a member's watchers say so and they haven't heard it themselves.
-/// Complete heartbeats, with load and requests in flight, go to the others in
-/// turn, and at once to the holder of the planner lease when a drain needs
-/// them.
-/// Thread safety: none; the core owns one.
+/// Each member sends small heartbeats to its watchers on the ring. A watcher
+/// that receives none reports the suspicion to all members at once. Other
+/// members follow when most of the watchers of a member suspect it and they
+/// have not received anything from it themselves. Complete heartbeats, which
+/// contain load and requests in flight, are sent to the other members in turn,
+/// and immediately to the holder of the planner lease when it needs them for a
+/// drain. Thread safety: none; each core owns one.
 class membership {
  public:
-  /// Precondition: `self.who` isn't `kNone`.
+  /// Precondition: `self.who` is not `kNone`.
   membership(entry_member self, membership_options options);
 
-  /// Does what is due at `now`. To be called at each tick.
+  /// Sends the heartbeats and appends the records that are due at `now`. To be
+  /// called at each tick.
   void OnTick(const fleet_state& fleet,
               const heartbeat_contents& contents,
               time_point now,
               effects& out);
 
-  /// Takes note of a frame. Any message shows that its sender lives; those of
-  /// senders that aren't members are dropped.
+  /// Processes a received frame. Any message shows that its sender is alive;
+  /// messages from senders that are not members are dropped.
   void OnFrame(const peer_frame& frame, time_point now);
 
-  /// Asks for the record by which this entry leaves, and again until the fold
-  /// has it. It doesn't join any more.
+  /// Appends the record with which this entry leaves, and appends it again
+  /// until the fold has applied it. The entry does not join again afterwards.
   void Leave(const fleet_state& fleet, effects& out);
 
-  /// Returns true while `peer` is held to be gone. Routing avoids such entries,
-  /// also while the log is out and nobody can be expelled.
+  /// Returns true while `peer` is suspected to have failed. Routing avoids such
+  /// entries, even while the log is unreachable and no member can be expelled.
   bool Suspects(incarnation peer) const;
 
-  /// Returns what `peer` said last, or null.
+  /// Returns the state that `peer` last reported, or null.
   const peer_status* StatusOf(incarnation peer) const;
 
-  /// Returns true once the fold has dropped this entry after having held it.
-  /// The process must take no more work and start anew as another incarnation.
+  /// Returns true once the fold has removed this entry although it had not
+  /// left. The process must stop accepting work and restart as a new
+  /// incarnation.
   bool expelled() const { return expelled_; }
 
  private:
@@ -131,10 +136,12 @@
     std::optional<peer_status> status;
     bool watched = false;
     time_point watched_since;
-    /// It was watched before the ring changed and still is for a while.
+    /// The member was watched before the ring changed and remains watched until
+    /// this time.
     time_point watched_until;
     bool suspected = false;
-    /// This entry was its watcher and missed it; not by hearsay.
+    /// True if this entry suspects the member as its watcher and not because of
+    /// the reports of others.
     bool missed_directly = false;
     time_point suspected_at;
     int accusations = 0;
@@ -187,9 +194,9 @@
   log_offset view_ = 0;
   watch_ring ring_;
   std::map<incarnation, known_member> others_;
-  /// Members that this entry has missed itself.
+  /// Members that this entry suspects as their watcher.
   std::set<incarnation> missed_members_;
-  /// How many members say of one that they have missed it.
+  /// Number of members that report each member as suspected.
   std::map<incarnation, std::ptrdiff_t> reports_;
 
   std::optional<time_point> last_tick_;
@@ -203,15 +210,16 @@
   std::optional<time_point> small_sent_at_;
   std::optional<time_point> complete_sent_at_;
   std::optional<time_point> planner_notified_at_;
-  /// The member that got the newest complete heartbeat in turn.
+  /// The member that received the latest complete heartbeat in turn.
   incarnation last_complete_to_ = incarnation::kNone;
-  /// What all members were told; a change goes to all at once.
+  /// The latest heartbeat that was sent to all members. A change of its
+  /// contents is sent to all members at once.
   heartbeat last_broadcast_;
   bool notify_all_ = false;
   std::vector<vm_in_flight> reported_in_flight_;
   log_offset seen_offset_ = 0;
   generation vm_changes_ = 0;
-  /// Holder of the planner lease that was told, or is about to be.
+  /// Holder of the planner lease that was notified last or is about to be.
   incarnation planner_ = incarnation::kNone;
   bool notify_planner_ = false;
 };
--- a/include/plantainhead/core/membership/watch_ring.h
+++ b/include/plantainhead/core/membership/watch_ring.h
@@ -10,24 +10,25 @@
 
 namespace plantainhead::core {
 
-/// Who watches whom. The members of a view stand on a ring on which neighbours
-/// are of different zones, and each is watched by the same number of those
-/// after it. Equal views make equal rings at every entry. With as many watchers
-/// as there are others, all watch all.
-/// Thread safety: safe from any thread while nobody writes.
+/// Ring that determines which members watch each other for failures. The
+/// members of a view are placed such that neighbors are in different zones, and
+/// each member is watched by the same number of its successors. Equal views
+/// produce equal rings at every entry. If the number of watchers is at least
+/// the number of other members, all members watch each other. Thread safety:
+/// safe from any thread as long as no thread modifies the ring.
 class watch_ring {
  public:
   using member_map = std::map<incarnation, entry_member>;
 
   watch_ring() = default;
-  /// `watchers` is cut to the number of other members.
+  /// `watchers` is limited to the number of other members.
   watch_ring(const member_map& members, std::size_t watchers);
 
-  /// Returns the members that `who` sends its heartbeats to, nearest first;
-  /// empty for one that isn't on the ring.
+  /// Returns the members to which `who` sends its heartbeats, nearest first;
+  /// empty if `who` is not on the ring.
   const std::vector<incarnation>& WatchersOf(incarnation who) const;
 
-  /// Returns true if `watcher` is to hear `watched`.
+  /// Returns true if `watcher` receives the heartbeats of `watched`.
   bool Watches(incarnation watcher, incarnation watched) const;
 
  private:
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -55,7 +55,8 @@
     member.status.emplace();
   }
   peer_status& status = *member.status;
-  // After a reconnect, what was left in the old connection may come last.
+  // After a reconnect, messages that were buffered in the old connection may
+  // arrive out of order.
   if (beat->sequence <= status.sequence) {
     return;
   }
@@ -96,9 +97,10 @@
 }
 
 void membership::DetectLocalPause(time_point now) {
-  // An entry that was frozen wakes up with old times for all others and would
-  // accuse the whole fleet at once, though it alone had stood still. Its own
-  // ticks show the gap; from here on every member gets a whole timeout again.
+  // An entry that was suspended resumes with outdated receive times for all
+  // other members and would accuse the whole fleet at once, although only this
+  // entry was stopped. The gap between its own ticks reveals this; every member
+  // then gets a full timeout again.
   const bool paused =
       last_tick_ && now - *last_tick_ >= options_.suspicion_timeout;
   last_tick_ = now;
@@ -108,8 +110,8 @@
   for (auto& [who, member] : others_) {
     member.last_heard_at = now;
   }
-  // The others may have given this entry up; only its watchers would hear of
-  // its return by its heartbeats.
+  // The other members may suspect this entry, and only its watchers would
+  // notice its return by its regular heartbeats.
   notify_all_ = true;
 }
 
@@ -141,14 +143,15 @@
     member.last_heard_at = now;
   }
   const bool watched = ring_.Watches(self_.who, who);
-  // Whoever wasn't watched before may have had nothing to say.
+  // A member that was not watched before may not have sent heartbeats to this
+  // entry.
   if (watched && !member.watched) {
     member.watched_since = now;
   }
   // When a zone is lost, the first expulsions change the ring while the other
-  // dead are close to being missed; their new watchers would begin anew. A
-  // member that lives was heard shortly before the change, so that half a
-  // timeout more doesn't make it missed.
+  // failed members are about to be suspected; their new watchers would have to
+  // wait a full timeout again. A live member was heard shortly before the
+  // change, so that half a timeout more does not make it suspected.
   if (member.watched && !watched) {
     member.watched_until = now + options_.suspicion_timeout / 2;
   }
@@ -162,8 +165,8 @@
       !contents.caught_up) {
     return;
   }
-  // The record may be on its way; a second one at once would only add load to a
-  // slow log.
+  // The record may still be in transit; a second one immediately would only add
+  // load to a slow log.
   if (join_asked_at_ &&
       now - *join_asked_at_ < options_.record_retry_interval) {
     return;
--- a/src/core/membership/membership_heartbeats.cc
+++ b/src/core/membership/membership_heartbeats.cc
@@ -2,7 +2,7 @@
 
 #include "plantainhead/core/membership/membership.h"
 
-// What a membership tells the others, and when.
+// Contents and timing of the heartbeats that an entry sends.
 namespace plantainhead::core {
 namespace {
 
@@ -12,7 +12,8 @@
   return !last || now - *last >= interval;
 }
 
-// Changes whenever a VM enters, leaves or moves: generations only grow.
+// Returns a sum that changes whenever a VM is added, removed or modified,
+// because generations only increase.
 generation SumOfVersions(const fleet_state& fleet) {
   generation sum = fleet.vms.size();
   for (const auto& [vm, state] : fleet.vms) {
@@ -62,9 +63,9 @@
                   last_broadcast_.suspected.begin(),
                   last_broadcast_.suspected.end());
   notify_all_ = notify_all_ || changed;
-  // The planner waits for each member's word that it has applied a drain and
-  // has nothing in flight; in turn alone this would come many seconds late in
-  // a large fleet.
+  // The planner waits until each member reports that it has applied a drain and
+  // has no requests in flight. With regular complete heartbeats alone, this
+  // would take many seconds in a large fleet.
   if (planner_ != fleet.lease.holder) {
     planner_ = fleet.lease.holder;
     notify_planner_ = true;
@@ -88,7 +89,8 @@
                            const heartbeat& small,
                            time_point now,
                            effects& out) {
-  // News don't wait for the interval, but a storm of them does.
+  // Changes are sent before the regular interval has passed, but frequent
+  // changes are rate-limited.
   const duration interval = notify_all_ ? options_.heartbeat_interval / 4
                                         : options_.heartbeat_interval;
   if (!IsDue(small_sent_at_, interval, now)) {
--- a/src/core/membership/membership_suspicion.cc
+++ b/src/core/membership/membership_suspicion.cc
@@ -2,11 +2,12 @@
 
 #include "plantainhead/core/membership/membership.h"
 
-// How a membership comes to suspect, accuse and trust the others.
+// Suspicion, accusation and recovery of other members.
 namespace plantainhead::core {
 namespace {
 
-// Withdrawals of a member that comes and goes wait at most 2^5 times as long.
+// The delay of withdrawals for a member that fails and recovers repeatedly
+// grows at most by a factor of 2^5.
 constexpr int kMaxDoublings = 5;
 
 }  // namespace
@@ -20,24 +21,25 @@
   for (member_entry& item : others_) {
     known_member& member = item.second;
     const bool silent = IsSilent(item, now);
-    // A suspicion ends only by hearing from the member: when the ring changes,
-    // its new watchers need their time to miss it, too.
+    // A suspicion ends only when the member is heard again: after a change of
+    // the ring, its new watchers need a full timeout to detect its absence.
     const bool not_heard_since =
         member.suspected && member.last_heard_at <= member.suspected_at;
     member.suspected = silent || not_heard_since;
     if (silent) {
       member.suspected_at = now;
     }
-    // What a watcher has missed itself it goes on telling, also when the ring
-    // has changed since; what it has by hearsay it doesn't tell, or a rumour
-    // would feed itself.
+    // A watcher continues to report what it has detected itself, even if the
+    // ring has changed since. It does not repeat the reports of others;
+    // otherwise a false report would keep itself alive.
     member.missed_directly =
         member.suspected && (member.missed_directly || IsWatched(member, now));
     if (member.missed_directly) {
       missed_members_.insert(item.first);
     }
-    // With the log out the view is frozen. What is still so when the log is
-    // back is said then; the rest would have been wrong.
+    // While the log is unreachable, the view does not change. Members that are
+    // still suspected when the log is back are accused then; accusing the
+    // others would have been wrong.
     if (contents.log_unreachable) {
       continue;
     }
@@ -74,7 +76,7 @@
 void membership::CountReports() {
   reports_.clear();
   for (const auto& [who, member] : others_) {
-    // A member that is gone itself can neither hear nor tell.
+    // A suspected member can neither receive heartbeats nor report.
     if (member.suspected || !member.status) {
       continue;
     }
@@ -84,9 +86,9 @@
   }
 }
 
-// Reports count also from those who watched before the ring changed: when a
-// zone is lost, the first expulsions change it, and the others' watchers would
-// have to miss them for a whole timeout anew.
+// Reports of members that were watchers before the ring changed also count.
+// When a zone is lost, the first expulsions change the ring, and the new
+// watchers of the other failed members would have to wait a full timeout.
 bool membership::MajorityOfWatchersSuspects(incarnation who) const {
   const auto reports = reports_.find(who);
   if (reports == reports_.end()) {
@@ -101,8 +103,8 @@
 
 bool membership::HasRecovered(const known_member& member,
                               time_point now) const {
-  // An entry that freezes again and again would cost a pair of records of each
-  // member each time; doubling bounds them.
+  // An entry that is suspended repeatedly would cost each member two records
+  // each time. Doubling the delay limits their number.
   const int doublings = std::clamp(member.accusations - 1, 0, kMaxDoublings);
   return !member.suspected && now - member.suspected_at >=
                                   options_.withdraw_after * (1 << doublings);
--- a/src/core/membership/watch_ring.cc
+++ b/src/core/membership/watch_ring.cc
@@ -7,14 +7,14 @@
 namespace {
 
 struct ring_position {
-  // How many members of the same zone come before this one.
+  // Number of members of the same zone that precede this one.
   std::size_t zone_rank = 0;
   zone_id zone;
   incarnation who = incarnation::kNone;
 };
 
-// Takes one member of each zone in turn. If a zone is lost as a whole, each of
-// its members still has watchers in other zones.
+// Orders the members by taking one of each zone in turn. If a whole zone is
+// lost, each of its members still has watchers in other zones.
 std::vector<ring_position> OrderMembers(const watch_ring::member_map& members) {
   std::map<zone_id, std::size_t> rounds;
   std::vector<ring_position> positions;
