--- a/include/plantainhead/core/membership/membership.h
+++ b/include/plantainhead/core/membership/membership.h
@@ -17,6 +17,7 @@
 
 namespace plantainhead::core {
 
+/// Intervals, timeouts and watcher count of `membership`.
 struct membership_options {
   /// Time between small heartbeats to the watchers of this entry.
   duration heartbeat_interval = std::chrono::milliseconds(200);
@@ -155,7 +156,7 @@
   void UpdateWatch(incarnation who, time_point now);
   void Join(const heartbeat_contents& contents, time_point now, effects& out);
 
-  // membership_judgement.cc
+  // membership_suspicion.cc
   void UpdateSuspicions(const fleet_state& fleet,
                         const heartbeat_contents& contents,
                         time_point now,
--- a/tests/core/fleet/capacity_test.cc
+++ b/tests/core/fleet/capacity_test.cc
@@ -8,14 +8,14 @@
 namespace plantainhead::core {
 namespace {
 
-TEST_CASE("Slots are worked out from load and patience") {
-  SECTION("by Erlang C, as its published tables have it") {
+TEST_CASE("The number of slots follows from load and maximum wait") {
+  SECTION("wait probabilities match published Erlang C tables") {
     CHECK(WaitProbability(2.0, 3) == Approx(4.0 / 9.0));
     CHECK(WaitProbability(0.5, 1) == Approx(0.5));
     CHECK(WaitProbability(3.0, 3) == 1.0);
   }
 
-  SECTION("as the fewest that keep the share of late requests") {
+  SECTION("the minimum that keeps the share of late requests is returned") {
     const std::uint32_t slots = RequiredSlots(40.0, 0.01, 9.0);
     const auto late = [](std::uint32_t n) {
       return WaitProbability(40.0, n) * std::exp(-(n - 40.0) * 9.0);
@@ -25,12 +25,12 @@
     CHECK(RequiredSlots(0.0, 0.01, 1.0) == 0);
   }
 
-  SECTION("with more of them the less patience there is") {
+  SECTION("a shorter maximum wait requires more slots") {
     CHECK(RequiredSlots(40.0, 0.01, 0.1) > RequiredSlots(40.0, 0.01, 9.0));
   }
 }
 
-TEST_CASE("The least spread survives the loss of a domain") {
+TEST_CASE("The minimum even spread survives the loss of a domain") {
   CHECK(MinEvenSpread(7, 7, 3) == 11);
   CHECK(MinEvenSpread(7, 6, 3) == 9);
   CHECK(MinEvenSpread(7, 0, 3) == 7);
@@ -38,7 +38,7 @@
   CHECK(MinEvenSpread(7, 7, 1) == 7);
 }
 
-TEST_CASE("A pool's capacity follows its classes") {
+TEST_CASE("The capacity of a pool follows the targets of its classes") {
   planner_harness harness;
   configuration targets;
   targets.pools = {{pool_id("casework"), team_id(), 0}};
@@ -70,34 +70,34 @@
   plan();
   harness.StepFor(std::chrono::seconds(5));
 
-  SECTION("a strict one keeps all of its need through a loss") {
+  SECTION("a strict class keeps all VMs that it needs after a loss") {
     const pool_capacity strict = plan();
     CHECK(strict.is_known);
     CHECK(strict.need == 6);
     CHECK(strict.min_after_loss == 6);
   }
 
-  SECTION("one that tolerates 20% keeps less") {
+  SECTION("a class that tolerates 20% keeps fewer") {
     work.unavailability = 0.2;
     const pool_capacity lenient = plan();
     CHECK(lenient.min_after_loss < lenient.need);
     CHECK(lenient.floor < lenient.need);
   }
 
-  SECTION("one that burns its budget gives nothing to maintenance") {
+  SECTION("a class that burns its budget too fast allows no maintenance") {
     work.unavailability = 0.2;
     harness.budgets[work.name] = {0.1, 1.5};
     const pool_capacity burning = plan();
     CHECK(burning.floor == burning.need);
   }
 
-  SECTION("one that can wait keeps no spare for a loss") {
+  SECTION("a class that can wait keeps no spare VMs") {
     work.can_wait = true;
     CHECK(plan().min_after_loss == 0);
   }
 }
 
-TEST_CASE("The learned load rises fast and falls slowly") {
+TEST_CASE("The estimated load rises fast and falls slowly") {
   const service_name service("intake");
   const std::chrono::milliseconds held(100);
   demand_estimator demand(std::chrono::seconds(15), std::chrono::minutes(15));
--- a/tests/core/fleet/error_budget_test.cc
+++ b/tests/core/fleet/error_budget_test.cc
@@ -23,23 +23,23 @@
   petitions.window = std::chrono::hours(24 * 30);
   class_ledger ledger;
 
-  SECTION("not at all while nobody asks") {
+  SECTION("nothing without requests") {
     CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == 0);
   }
 
-  SECTION("not by answers that were late but whole") {
+  SECTION("nothing by late but complete answers") {
     request_counts late = Counts(0, 0);
     late[request_fate::kLate] = 10;
     ledger.Add(kNoon, late);
     CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == 0);
   }
 
-  SECTION("in proportion to the requests that went unserved") {
+  SECTION("in proportion to the unserved requests") {
     ledger.Add(kNoon, Counts(995, 5));
     CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == Approx(0.5));
   }
 
-  SECTION("and what is past the window counts no more") {
+  SECTION("and requests before the window do not count") {
     ledger.Add(kNoon, Counts(0, 100));
     ledger.Add(kNoon + std::chrono::hours(24 * 31), Counts(100, 0));
     const budget_status later =
@@ -48,7 +48,7 @@
     CHECK(later.counts.Total() == 100);
   }
 
-  SECTION("and a short window shows what burns now") {
+  SECTION("and a short window shows the current burn rate") {
     ledger.Add(kNoon - std::chrono::hours(3), Counts(1000, 0));
     ledger.Add(kNoon, Counts(90, 10));
     const request_counts recent =
@@ -57,7 +57,7 @@
     CHECK(BurnRate(petitions, recent) == Approx(10));
   }
 
-  SECTION("and the ledger stays small over a year") {
+  SECTION("and the size of the ledger is bounded over a year") {
     for (int hour = 0; hour < 24 * 365; ++hour) {
       ledger.Add(kNoon + std::chrono::hours(hour), Counts(1, 0));
     }
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("Counts are folded only for classes that the targets name") {
+TEST_CASE("Counts are folded only for configured classes") {
   fleet_state state;
   configuration targets;
   work_class known;
--- a/tests/core/fleet/job_planner_test.cc
+++ b/tests/core/fleet/job_planner_test.cc
@@ -7,7 +7,8 @@
 namespace plantainhead::core {
 namespace {
 
-/// A pool of workers with 16 processors and 64 GB each, in three zones.
+/// Harness with one pool of workers in three zones; each worker has 16
+/// processors and 64 GB.
 class job_planner_harness : public planner_harness {
  public:
   explicit job_planner_harness(int workers = 6) {
@@ -57,20 +58,21 @@
   }
 };
 
-TEST_CASE("A job runs to its end") {
+TEST_CASE("A job runs until it finishes") {
   job_planner_harness harness;
   harness.Submit("map");
 
-  SECTION("started once, its lease renewed far beyond its length") {
+  SECTION("when it is started once and its lease is renewed many times") {
     harness.run_time = std::chrono::hours(1);
     REQUIRE(harness.ReachesState("map", job_state::kFinished,
                                  std::chrono::hours(2)));
     CHECK(harness.starts[job_id("map")] == 1);
   }
 
-  SECTION("also when its planner is lost before it started it") {
-    // The record that places the job is in the log, its planner dies before the
-    // start goes out. The next planner sends the start of the record.
+  SECTION("when the planner is lost between placement and start") {
+    // The record that places the job is in the log, but the planner fails
+    // before it sends the start. The next planner sends the start that the
+    // record names.
     harness.Step();
     REQUIRE(harness.Job("map").state == job_state::kPlaced);
     REQUIRE(harness.starts.empty());
@@ -79,10 +81,10 @@
     CHECK(harness.starts[job_id("map")] == 1);
   }
 
-  SECTION("on another worker when its own is lost, after the lease") {
-    // The worker vanishes from the list with the task on it. It may only be cut
-    // off, and still run the job; a start elsewhere before the lease has ended
-    // would run it twice at once.
+  SECTION("on another worker, after the lease of a lost one has expired") {
+    // The worker disappears from the list together with its task. It may only
+    // be unreachable and still run the job; a start elsewhere before the lease
+    // has expired would run the job twice at once.
     harness.run_time = std::chrono::hours(1);
     harness.StepFor(std::chrono::minutes(1));
     const vm_id first = harness.Job("map").vm;
@@ -106,15 +108,16 @@
     }));
     CHECK(harness.reboots.size() == 6);
     REQUIRE(harness.ReachesState("map", job_state::kFinished));
-    // The second placement prefers workers that the wave has visited.
+    // The second placement prefers workers that the wave has already rebooted.
     CHECK(harness.starts[job_id("map")] == 2);
     CHECK(harness.Job("map").failures == 0);
   }
 }
 
 TEST_CASE("A worker fails every task") {
-  // The worker with the least room is chosen first, fails at once and has room
-  // again: it would eat the whole queue.
+  // The worker with the least free capacity is chosen first. If it fails every
+  // task immediately, it is free again at once and would consume the whole
+  // queue.
   job_planner_harness harness;
   harness.bad_workers = {vm_id("w0")};
   for (int i = 0; i < 20; ++i) {
@@ -131,10 +134,10 @@
 }
 
 TEST_CASE("A start is sent again after the job's expected size changed") {
-  // The answer to a start is lost. Until it is sent again, other tasks show
-  // that the team's jobs use far less than they declare. The platform refuses
-  // an id that comes with other figures, and a refusal that is believed leaves
-  // a task running that nobody counts.
+  // The answer to a start is lost. Before the start is sent again, other tasks
+  // show that the jobs of the team use far less than they declare. The platform
+  // refuses a known id with a different content, and a planner that acts on
+  // this refusal leaves a running task that is not accounted for.
   job_planner_harness harness;
   harness.Submit("first");
   harness.StepFor(std::chrono::seconds(5));
@@ -152,9 +155,9 @@
 }
 
 TEST_CASE("All workers refuse a job for a while") {
-  // The list shows room that the platform no longer has. Each refusal ends the
-  // placement; taken for failures, ten of them within seconds would park a job
-  // that is sound.
+  // The list shows capacity that the platform no longer has. Each refusal ends
+  // a placement; if refusals counted as failures, ten within seconds would park
+  // a healthy job.
   job_planner_harness harness;
   for (const vm_listing& vm : harness.vms) {
     harness.refusing.insert(vm.vm);
@@ -169,7 +172,7 @@
 TEST_CASE("Some jobs can never run") {
   job_planner_harness harness;
 
-  SECTION("one that fails everywhere is parked, its workers are not blamed") {
+  SECTION("one that fails everywhere is parked without quarantining workers") {
     harness.bad_jobs = {job_id("broken")};
     harness.Submit("broken");
     harness.Submit("sound");
@@ -182,7 +185,7 @@
     }
   }
 
-  SECTION("one that no worker could hold is parked, with what it takes") {
+  SECTION("one that is too large for every worker is parked with its size") {
     harness.Submit("huge", 64);
     REQUIRE(harness.ReachesState("huge", job_state::kParked));
     CHECK(harness.Job("huge").reason.find("64 processors") !=
--- a/tests/core/fleet/planner_harness.h
+++ b/tests/core/fleet/planner_harness.h
@@ -16,9 +16,9 @@
 
 namespace plantainhead::core {
 
-/// The planner's loop closed in one place: its records go through the real
-/// fold, its operations to a platform of a few lines that acts once for each
-/// operation id. Time moves only by `Step`.
+/// Runs a planner against the real fold and a minimal simulated platform:
+/// records are applied at once, and the platform executes each operation id
+/// once. Time advances only in `Step`.
 class planner_harness {
  public:
   explicit planner_harness(planner_options options = {})
@@ -47,7 +47,8 @@
     return vms.emplace_back(vm);
   }
 
-  /// One plan, then its records and operations.
+  /// Advances the time, runs one plan and then executes its records and
+  /// operations.
   void Step(duration length = std::chrono::milliseconds(200)) {
     now += length;
     EndTasks();
@@ -75,7 +76,8 @@
     }
   }
 
-  /// Steps until `condition` holds; returns whether it did within `limit`.
+  /// Steps until `condition` holds. Returns false if it does not within
+  /// `limit`.
   bool StepUntil(const std::function<bool()>& condition,
                  duration limit = std::chrono::hours(3)) {
     const time_point end = now + limit;
@@ -89,7 +91,7 @@
     StepUntil([] { return false; }, time);
   }
 
-  /// Kills the planner with all that it remembers; the next has the fold.
+  /// Replaces the planner by a new one, which has only the folded state.
   void ReplacePlanner() {
     planner_ = planner(options_);
     pending_.clear();
@@ -143,27 +145,30 @@
   std::map<service_name, service_demand> demand;
   std::map<class_name, class_burn> budgets;
   bool log_is_out = false;
-  /// VMs whose drains and reboots never end.
+  /// VMs whose drains and reboots never complete.
   std::set<vm_id> stuck;
-  /// Workers on which, and jobs of which, every task fails.
+  /// Workers and jobs whose tasks always fail.
   std::set<vm_id> bad_workers;
   std::set<job_id> bad_jobs;
-  /// Operations whose id came again with another content.
+  /// Number of operations whose id was sent again with a different content.
   int changed_operations = 0;
   /// VMs that the platform refuses to reboot.
   std::set<vm_id> reboot_refusing;
   /// Workers that refuse every start.
   std::set<vm_id> refusing;
-  /// Operations that took effect, and how often those of each kind did.
+  /// Operations that took effect, and the number of reboots and starts.
   std::set<operation_id> executed;
   std::map<vm_id, int> reboots;
   std::map<job_id, int> starts;
-  /// Starts of jobs that may still have run elsewhere.
+  /// Number of starts of jobs while an earlier task might still have been
+  /// running.
   int overlaps = 0;
   duration operation_time = std::chrono::seconds(10);
-  /// Called with each plan, which it must run; for measurements.
+  /// Called with a function that runs one plan and must be called; used for
+  /// measurements.
   std::function<void(const std::function<void()>&)> around_plan;
-  /// How often the platform's list is read; what it shows is never old.
+  /// Interval at which the platform's list is read; its contents are always up
+  /// to date.
   duration list_interval{};
   duration run_time = std::chrono::minutes(5);
   std::function<void()> after_step;
--- a/tests/core/fleet/pool_planner_test.cc
+++ b/tests/core/fleet/pool_planner_test.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// Two services with a pool each, over three zones.
+/// Harness with two services that have one pool each, over three zones.
 class pool_planner_harness : public planner_harness {
  public:
   explicit pool_planner_harness(std::uint32_t quota = 0) {
@@ -61,13 +61,13 @@
   harness.SetDemand("appeals", 40);
   harness.SetDemand("intake", 40);
 
-  SECTION("the platform's, where the configuration knows it") {
+  SECTION("the pool of the platform's list if it is configured") {
     harness.AddVms("intake", 3);
     harness.Step();
     CHECK(harness.CountIn("intake") == 3);
   }
 
-  SECTION("else the one that lacks most") {
+  SECTION("otherwise the pool with the most urgent shortage") {
     harness.AddVms("intake", 6);
     harness.Step();
     harness.AddVms("somewhere", 6);
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("The load of one pool rises while another has VMs to spare") {
+TEST_CASE("The load of one pool rises while another has a surplus") {
   pool_planner_harness harness;
   harness.SetDemand("appeals", 12);
   harness.SetDemand("intake", 12);
@@ -87,7 +87,7 @@
   const std::uint64_t before = harness.Planner().figures().moves;
   CHECK(before == 0);
 
-  SECTION("so the fewest VMs move, drained, spread over the zones") {
+  SECTION("so the fewest VMs are drained and moved, spread over the zones") {
     harness.SetDemand("appeals", 40);
     REQUIRE(harness.StepUntil(
         [&] {
@@ -96,7 +96,7 @@
         },
         std::chrono::minutes(15)));
     harness.StepFor(std::chrono::minutes(30));
-    // 40 busy slots need six VMs, and nine leave six when a zone is lost.
+    // 40 busy slots require six VMs, and nine leave six when one zone is lost.
     CHECK(harness.CountIn("appeals") == 9);
     CHECK(harness.Planner().figures().moves == 4);
     CHECK(harness.drained_moves > 0);
@@ -110,9 +110,10 @@
     CHECK(moved->pool == pool_id("appeals"));
   }
 
-  SECTION("and the log is out, so no more are asked for than are lacking") {
-    // The planner's records don't come back for minutes. It must not take the
-    // silence for a lack and drain one VM after another once the log is back.
+  SECTION("and only the missing VMs are moved after the log was unavailable") {
+    // The records of the planner are not read back for minutes. The planner
+    // must not count the missing VMs repeatedly and drain one VM after another
+    // once the log is back.
     harness.SetDemand("appeals", 40);
     harness.log_is_out = true;
     harness.StepFor(std::chrono::minutes(5));
@@ -123,7 +124,7 @@
     CHECK(harness.Planner().figures().moves == 4);
   }
 
-  SECTION("and a load that swings moves nothing to and fro") {
+  SECTION("and an oscillating load does not move VMs back and forth") {
     for (int i = 0; i < 30; ++i) {
       harness.SetDemand("appeals", i % 2 == 0 ? 40 : 12);
       harness.StepFor(std::chrono::minutes(1));
@@ -131,7 +132,7 @@
     CHECK(harness.Planner().figures().moves <= 4);
   }
 
-  SECTION("but not beyond the quota of its team") {
+  SECTION("but the quota of its team limits the moves") {
     pool_planner_harness limited(7);
     limited.SetDemand("appeals", 40);
     limited.SetDemand("intake", 12);
@@ -142,10 +143,10 @@
   }
 }
 
-TEST_CASE("A zone goes out") {
-  // All VMs of zone-0 vanish. The spare VMs of both pools were held for this
-  // and carry the load. Moves now would take from the other pool what it needs,
-  // and would have to be undone an hour later.
+TEST_CASE("A zone fails") {
+  // All VMs of zone-0 disappear. The spare VMs of both pools carry the load, as
+  // intended. Moves at this time would take VMs that the other pool needs and
+  // would have to be reverted after the outage.
   pool_planner_harness harness;
   harness.SetDemand("appeals", 40);
   harness.SetDemand("intake", 40);
@@ -167,9 +168,10 @@
   CHECK(harness.Planner().figures().moves == 0);
 }
 
-TEST_CASE("The platform's list can't be read") {
-  // The list is as old as the outage of the store. VMs that are missing from an
-  // old list are not forgotten, and new ones are not assigned on its word.
+TEST_CASE("The platform's list cannot be read") {
+  // The list is not updated during an outage of the store. VMs that are missing
+  // from an old list must not be removed, and new VMs must not be assigned
+  // because of it.
   pool_planner_harness harness;
   harness.SetDemand("intake", 12);
   harness.AddVms("intake", 6);
--- a/tests/core/fleet/wave_planner_property_test.cc
+++ b/tests/core/fleet/wave_planner_property_test.cc
@@ -12,7 +12,8 @@
 constexpr int kZones = 3;
 constexpr int kVmsPerPool = 9;
 
-/// Two services with nine VMs each under a wave, and random faults.
+/// Harness with two services of nine VMs each, a wave over both pools, and
+/// random faults.
 class faulty_wave_harness : public planner_harness {
  public:
   explicit faulty_wave_harness(std::uint64_t seed) : random_(seed) {
@@ -38,7 +39,7 @@
     after_step = [this] { Check(); };
   }
 
-  /// One random fault, or the end of one.
+  /// Injects one random fault or ends all faults.
   void InjectFault() {
     switch (Random(8)) {
       case 0:
@@ -124,11 +125,12 @@
   std::set<vm_id> drained_;
 };
 
-TEST_CASE("A wave holds its promises under faults in any order") {
-  // Planners die, the log goes out, requests hang, VMs vanish and come back,
-  // budgets burn and entries lag, in random order and several at once. Callers
-  // must never see a request cut, nor two zones of a pool away, nor a VM
-  // rebooted twice; once the faults are over the wave ends.
+TEST_CASE("A wave keeps its guarantees under random faults") {
+  // Planners fail, the log becomes unavailable, requests hang, VMs disappear
+  // and return, budgets burn and entries lag, in random order and several at
+  // once. A VM must never be rebooted with requests in flight or more than
+  // once, and at most one zone of a pool may be out of service. Once the faults
+  // are over the wave must finish.
   const std::uint64_t seed = GENERATE(range(1, 21));
   CAPTURE(seed);
   faulty_wave_harness harness(seed);
@@ -140,7 +142,8 @@
   REQUIRE(harness.StepUntil([&] {
     return harness.state.waves.at(kWave).state == wave_state::kFinished;
   }));
-  // A VM that was forgotten while it was lost may get its pool after that.
+  // A VM that was removed while it was missing may be assigned to its pool only
+  // after that.
   CHECK(harness.StepUntil(
       [&] {
         return harness.CountPhase(vm_phase::kServing) == harness.vms.size();
--- a/tests/core/fleet/wave_planner_test.cc
+++ b/tests/core/fleet/wave_planner_test.cc
@@ -11,8 +11,8 @@
 const char* const kZones[] = {"goyang", "seongnam", "suwon"};
 constexpr std::size_t kVms = 12;
 
-/// One service on one pool with four VMs in each of three zones. 40 busy slots
-/// of 96 leave the wave room for some VMs at once.
+/// Harness with one service on one pool with four VMs in each of three zones.
+/// With 40 of 96 slots busy, the wave can take several VMs at once.
 class wave_planner_harness : public planner_harness {
  public:
   wave_planner_harness() {
@@ -91,10 +91,10 @@
 
 TEST_CASE("A wave reboots every VM of a pool") {
   wave_planner_harness harness;
-  // 40 busy slots need seven VMs; see capacity_test.
+  // 40 busy slots require seven VMs; see capacity_test.
   constexpr std::size_t kNeeded = 7;
 
-  SECTION("each exactly once, one zone at a time, with enough at work") {
+  SECTION("each exactly once, one zone at a time, with enough in service") {
     REQUIRE(harness.Finishes());
     harness.CheckEachRebootedOnce();
     CHECK(harness.most_zones_down == 1);
@@ -103,9 +103,9 @@
     CHECK(harness.CountPhase(vm_phase::kServing) == kVms);
   }
 
-  SECTION("but none while a request may be in flight at it") {
-    // A caller has a request at goyang-0 when the wave drains that VM. Its
-    // entry goes on reporting it. A reboot now would cut the request off.
+  SECTION("but not while a request may be in flight at it") {
+    // A request is in flight at goyang-0 when the wave drains that VM, and its
+    // entry continues to report it. A reboot now would abort the request.
     harness.in_flight[vm_id("goyang-0")] = 1;
     harness.StepFor(std::chrono::minutes(5));
     CHECK(harness.Vm("goyang-0").phase == vm_phase::kDraining);
@@ -116,10 +116,10 @@
     harness.CheckEachRebootedOnce();
   }
 
-  SECTION("but none while an entry has not applied the drain") {
-    // An entry lags behind in the log and still sends to the VM. Its
-    // heartbeats show nothing in flight, because it doesn't yet know that the
-    // VM drains and that it has to report.
+  SECTION("but not while an entry has not applied the drain") {
+    // An entry lags behind in the log and still sends requests to the VM. Its
+    // heartbeats show no requests in flight, because it does not yet know that
+    // the VM is draining.
     harness.reported_offset = harness.state.offset;
     harness.StepFor(std::chrono::minutes(5));
     CHECK(harness.reboots.empty());
@@ -128,10 +128,10 @@
     CHECK(harness.Finishes());
   }
 
-  SECTION("but none while a lost entry's requests may still run") {
-    // An entry dies with requests in flight at a draining VM. The others'
-    // heartbeats show zero at once, since it no longer counts. Its requests
-    // run on until their deadline.
+  SECTION("but not while requests of a lost entry may still run") {
+    // An entry fails with requests in flight at a draining VM. The heartbeats
+    // of the others show none at once, because the lost entry no longer counts.
+    // Its requests may run until their deadline.
     join_entry join;
     join.who = incarnation{2};
     join.name = entry_id("entry-2");
@@ -144,9 +144,10 @@
     CHECK(harness.now - lost >= planner_options().max_deadline);
   }
 
-  SECTION("except one that never drains, which serves on and is reported") {
-    // A request hangs at goyang-1 for hours. The wave must neither cut it off
-    // nor wait for ever with the rest.
+  SECTION(
+      "except one that never drains, which stays in service with a report") {
+    // A request at goyang-1 hangs for hours. The wave must neither abort it nor
+    // wait for it forever before it takes the remaining VMs.
     harness.stuck = {vm_id("goyang-1")};
     REQUIRE(
         harness.StepUntil([&] { return harness.reboots.size() == kVms - 1; }));
@@ -163,9 +164,9 @@
   }
 }
 
-TEST_CASE("A wave comes while nobody asks for a service") {
-  // It is night and the one zone of the pool is idle. A wave that takes all its
-  // VMs at once leaves the first caller of the morning with nobody to answer.
+TEST_CASE("A wave runs while a service has no load") {
+  // The only zone of the pool has no load. A wave that takes all its VMs at
+  // once leaves no VM for the next request.
   planner_harness harness;
   configuration targets;
   targets.pools = {{pool_id("casework"), team_id(), 0}};
@@ -188,14 +189,14 @@
   CHECK(least_serving == 3);
 }
 
-TEST_CASE("A failure takes the slack of a wave") {
+TEST_CASE("A failure uses up the spare capacity during a wave") {
   wave_planner_harness harness;
   REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
 
-  SECTION("by the loss of another zone") {
-    // Goyang is in maintenance when Suwon goes out with all its VMs. Four VMs
-    // are at work where seven are needed. Each further drain would make it
-    // worse, so the wave lets the drained go back to work and waits.
+  SECTION("when another zone is lost") {
+    // Goyang is in maintenance when Suwon fails with all its VMs. Four VMs are
+    // in service where seven are needed. Each further drain would make it
+    // worse, so the wave returns the drained VMs to service and waits.
     harness.LoseZone("suwon");
     REQUIRE(harness.StepUntil(
         [&] { return harness.WaveState() == wave_state::kPaused; },
@@ -214,8 +215,8 @@
 
 TEST_CASE("The platform refuses to reboot a VM") {
   // The VM is drained and will not be rebooted. It must not count as visited,
-  // and once the operator gives the wave up it has to work again; its runner
-  // still refuses work until it is told otherwise.
+  // and it has to return to service once the operator cancels the wave; its
+  // runner refuses work until it receives the operation.
   wave_planner_harness harness;
   harness.reboot_refusing = {vm_id("goyang-0")};
   REQUIRE(
@@ -233,9 +234,9 @@
   CHECK(harness.executed.contains(harness.Vm("goyang-0").operation));
 }
 
-TEST_CASE("A budget burns during a wave") {
-  // Callers of petitions are refused more often than their budget allows. The
-  // wave can't know if it is the cause; it stops taking VMs until that is over.
+TEST_CASE("A budget burns too fast during a wave") {
+  // Requests of petitions are refused more often than their budget allows. The
+  // wave may be the cause, so it takes no further VMs until this is over.
   wave_planner_harness harness;
   REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
   harness.budgets[class_name("petitions")] = {0.4, 3.0};
@@ -253,7 +254,7 @@
   harness.CheckEachRebootedOnce();
 }
 
-TEST_CASE("An operator steers a wave") {
+TEST_CASE("An operator controls a wave") {
   wave_planner_harness harness;
   REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
   const auto set_state = [&](wave_state to) {
@@ -271,7 +272,7 @@
     CHECK(begun < kVms);
   }
 
-  SECTION("and pauses it until told otherwise") {
+  SECTION("and pauses it until it is resumed") {
     set_state(wave_state::kPaused);
     harness.StepFor(std::chrono::minutes(10));
     const std::size_t begun = harness.reboots.size();
@@ -289,9 +290,9 @@
 TEST_CASE("A planner is lost during a wave") {
   wave_planner_harness harness;
 
-  SECTION("again and again, also between a record and its operation") {
-    // The planner writes that a VM reboots and dies before it sends the
-    // operation, or before it hears the end. The next one has only the fold; it
+  SECTION("repeatedly, also between a record and its operation") {
+    // The planner appends the record for a reboot and fails before it sends the
+    // operation or receives its result. The next planner has only the fold; it
     // sends the operation of the record again under the same id.
     std::set<operation_id> survived;
     harness.StepUntil([&] {
@@ -314,10 +315,11 @@
     CHECK(harness.most_zones_down == 1);
   }
 
-  SECTION("and wakes up after another has taken over") {
-    // It was frozen while it held the lease, and plans on before it reads that
-    // the lease is gone. Its records carry the old epoch and must change
-    // nothing, or two planners would drain VMs of two zones.
+  SECTION("and resumes after another has taken over") {
+    // The planner was suspended while it held the lease, and continues to plan
+    // before it reads that the lease is lost. Its records carry the old epoch
+    // and must be rejected; otherwise two planners would drain VMs of two
+    // zones.
     planner frozen;
     planner_inputs inputs = harness.Inputs();
     harness.ReplacePlanner();
--- a/tests/core/fleet/wave_start_test.cc
+++ b/tests/core/fleet/wave_start_test.cc
@@ -6,10 +6,10 @@
 namespace plantainhead::core {
 namespace {
 
-// An operator's script publishes targets and starts a wave right after. The
-// planner sees both before it has put any VM into a pool, so that the wave's
-// pool is still empty. The wave must not be taken for finished: its VMs are
-// listed, and would never be rebooted.
+// A wave may be started right after the first configuration is published,
+// before the planner has assigned any VM to a pool. The pool of the wave is
+// then empty, but the wave must not be finished: its listed VMs would never be
+// rebooted.
 TEST_CASE("A wave is started before the first VM has a pool") {
   planner_harness harness;
   configuration targets;
--- a/tests/core/membership/membership_test.cc
+++ b/tests/core/membership/membership_test.cc
@@ -61,7 +61,7 @@
   return options;
 }
 
-// One entry's membership with a fold that the test writes by hand.
+// Membership of entry 1 with a fold that the test controls.
 struct membership_harness {
   explicit membership_harness(std::size_t watchers = 99)
       : self(Member(1), OptionsWithWatchers(watchers)) {}
@@ -86,7 +86,8 @@
     self.OnFrame({incarnation{number}, fleet.view, beat}, now);
   }
 
-  // Lets time pass in ticks, hearing from `heard` at each.
+  // Advances the time in ticks; a heartbeat of each of `heard` is received at
+  // each tick.
   effects Run(duration time, const numbers& heard = {}) {
     effects out;
     const time_point end = now + time;
@@ -110,11 +111,11 @@
 TEST_CASE("An entry joins") {
   membership_harness entry;
 
-  SECTION("once while its record is on its way") {
+  SECTION("once while its record is pending") {
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(4))).size() == 1);
   }
 
-  SECTION("again when the record doesn't come back") {
+  SECTION("again when the record is not read back") {
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).size() == 2);
   }
 
@@ -123,7 +124,7 @@
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).empty());
   }
 
-  SECTION("not while it stops or the log is out") {
+  SECTION("not while it stops or the log is unreachable") {
     entry.contents.stopping = true;
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).empty());
     entry.contents.stopping = false;
@@ -131,7 +132,7 @@
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).empty());
   }
 
-  SECTION("and leaves, asking again until the fold has it") {
+  SECTION("and leaves, retrying until the fold has applied the record") {
     entry.Run(seconds(1));
     entry.SetMembers({1, 2});
     entry.Run(seconds(1), {2});
@@ -147,14 +148,14 @@
   }
 }
 
-TEST_CASE("An entry tells the others how it is") {
+TEST_CASE("An entry sends heartbeats to the others") {
   membership_harness entry(2);
   entry.contents.load = {{service_name("intake"), 8, 1, 0}};
   entry.SetMembers({1, 2, 3, 4, 5, 6});
   const numbers others{2, 3, 4, 5, 6};
   entry.Run(seconds(2), others);
 
-  SECTION("its watchers often, everybody else in turn") {
+  SECTION("often to its watchers, in turn to all others") {
     const effects out = entry.Run(seconds(2), others);
     std::size_t watchers = 0;
     for (const std::uint64_t other : others) {
@@ -166,7 +167,7 @@
     CHECK(watchers == 2);
   }
 
-  SECTION("everybody at once when it stops") {
+  SECTION("at once to all others when it stops") {
     entry.contents.stopping = true;
     const effects out = entry.Run(milliseconds(200), others);
     for (const std::uint64_t other : others) {
@@ -174,11 +175,11 @@
     }
   }
 
-  // The planner reboots a VM once every member has said, after the drain, that
-  // it has nothing in flight there. Each waits for its turn, and in a large
-  // fleet the drain takes many seconds though all are long done. So the word
-  // goes to the planner at once.
-  SECTION("the planner at once when a VM's phase changed") {
+  // The planner reboots a VM once every member has reported, after the drain,
+  // that it has no requests in flight there. If this waited for the regular
+  // complete heartbeats, a drain in a large fleet would take many seconds.
+  // Therefore the planner is notified at once.
+  SECTION("at once to the planner when the phase of a VM has changed") {
     entry.fleet.lease.holder = incarnation{5};
     entry.Run(seconds(1), others);
     entry.fleet.vms[vm_id("vm-1")].version = ++entry.fleet.offset;
@@ -198,7 +199,7 @@
   }
 }
 
-TEST_CASE("An entry remembers what the others say") {
+TEST_CASE("An entry stores the heartbeats of the others") {
   membership_harness entry;
   entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
@@ -208,9 +209,10 @@
   beat.in_flight = {{vm_id("vm-1"), 2}};
   entry.self.OnFrame({incarnation{2}, 1, beat}, entry.now);
 
-  // A small heartbeat has a newer offset and no requests in flight. Were both
-  // taken over, the planner would see a member that has applied the drain and
-  // has nothing in flight, and would reboot the VM under two requests.
+  // A small heartbeat has a newer offset and no requests in flight. If both
+  // were stored, it would seem that the member has applied the drain and has no
+  // requests in flight, and the planner would reboot the VM with two requests
+  // running.
   SECTION("the offset together with the requests in flight") {
     beat = heartbeat{};
     beat.sequence = 1001;
@@ -225,21 +227,21 @@
     CHECK(status->last.stopping);
   }
 
-  SECTION("but nothing older than what it knows") {
+  SECTION("but not older heartbeats than the latest") {
     beat.sequence = 999;
     beat.offset = 3;
     entry.self.OnFrame({incarnation{2}, 1, beat}, entry.now);
     CHECK(entry.self.StatusOf(incarnation{2})->last.offset == 7);
   }
 
-  SECTION("and nothing of those who aren't members") {
+  SECTION("and nothing from entries that are not members") {
     entry.self.OnFrame({incarnation{77}, 1, beat}, entry.now);
     CHECK(entry.self.StatusOf(incarnation{77}) == nullptr);
     CHECK(FrameStatusOf(entry.fleet, {incarnation{77}, 1, beat}) ==
           frame_status::kNotMember);
   }
 
-  SECTION("with the standing of its view") {
+  SECTION("with the status of its view") {
     entry.SetMembers({1, 2, 3, 4});
     const log_offset view = entry.fleet.view;
     CHECK(FrameStatusOf(entry.fleet, {incarnation{2}, view - 1, beat}) ==
@@ -251,7 +253,7 @@
   }
 }
 
-TEST_CASE("An entry accuses a member that it doesn't hear") {
+TEST_CASE("An entry accuses a member from which it hears nothing") {
   membership_harness entry;
   entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
@@ -267,7 +269,7 @@
     CHECK(entry.self.Suspects(silent));
   }
 
-  SECTION("and withdraws once it was heard for a while") {
+  SECTION("and withdraws once the member has recovered") {
     entry.Run(seconds(2), {2});
     entry.fleet.members[silent].accusers.insert(incarnation{1});
     CHECK(entry.Run(milliseconds(980), {2, 3}).records.empty());
@@ -276,7 +278,7 @@
     CHECK(RecordsOf<withdraw_accusation>(out).size() == 1);
   }
 
-  SECTION("waiting longer each time when it comes and goes") {
+  SECTION("with a longer delay each time the member fails again") {
     for (int times = 0; times < 2; ++times) {
       entry.Run(seconds(2), {2});
       entry.fleet.members[silent].accusers.insert(incarnation{1});
@@ -286,14 +288,14 @@
     }
   }
 
-  // The log is out and a member dies. Routing must avoid it at once, but the
-  // view can't change. When the log is back it is accused if it is still gone,
-  // and not if it has come back in the meantime.
-  SECTION("when the log is back, if it was out") {
+  // A member fails while the log is unreachable. Routing must avoid it at once,
+  // but the view cannot change. When the log is back, the member is accused if
+  // it is still silent, and not if it has returned.
+  SECTION("when the log is back, if it was unreachable") {
     entry.contents.log_unreachable = true;
     CHECK(entry.Run(seconds(20), {2}).records.empty());
     CHECK(entry.self.Suspects(silent));
-    SECTION("and the member is still gone") {
+    SECTION("and the member is still silent") {
       entry.contents.log_unreachable = false;
       CHECK(RecordsOf<accuse_entry>(entry.Run(seconds(1), {2})).size() == 1);
     }
@@ -305,29 +307,28 @@
   }
 }
 
-// The host of an entry stops for three seconds (SIGSTOP, a live migration).
-// When the entry wakes, its newest word from everyone is three seconds old. If
-// it believed that, it would accuse the whole fleet; it was the one that stood
-// still.
-TEST_CASE("An entry that was frozen accuses nobody when it wakes") {
+// The host of an entry is suspended for three seconds (SIGSTOP, a live
+// migration). When the entry resumes, its latest heartbeats from all others are
+// three seconds old; if it acted on them, it would accuse the whole fleet.
+TEST_CASE("An entry that was suspended accuses nobody when it resumes") {
   membership_harness entry;
   entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
   entry.now += seconds(3);
 
-  SECTION("while it hears them again") {
+  SECTION("while it receives heartbeats again") {
     const effects out = entry.Run(seconds(3), {2, 3});
     CHECK(out.records.empty());
     CHECK_FALSE(entry.self.Suspects(incarnation{2}));
     CHECK(CountFrames(out, 2, false) > 0);
   }
 
-  SECTION("but still one that stays silent for a whole timeout") {
+  SECTION("except a member that stays silent for a full timeout") {
     CHECK(entry.Run(milliseconds(960), {2}).records.empty());
     CHECK(RecordsOf<accuse_entry>(entry.Run(seconds(1), {2})).size() == 1);
   }
 
-  SECTION("and knows that it was expelled, once it reads so") {
+  SECTION("and detects its expulsion once the fold shows it") {
     entry.SetMembers({2, 3});
     const effects out = entry.Run(seconds(10), {2, 3});
     CHECK(entry.self.expelled());
@@ -336,9 +337,10 @@
   }
 }
 
-// On the ring an entry hears most others seldom. The watchers of a member miss
-// it first and say so; the others follow when most of its watchers agree.
-TEST_CASE("An entry follows the watchers of a member it doesn't watch") {
+// On the ring an entry receives heartbeats from most other members rarely. The
+// watchers of a failed member detect the failure first and report it; the
+// others follow when most of its watchers agree.
+TEST_CASE("An entry follows the watchers of a member that it does not watch") {
   membership_harness entry(3);
   entry.SetMembers({1, 2, 3, 4, 5, 6, 7, 8, 9});
   const watch_ring ring(entry.fleet.members, 3);
@@ -373,31 +375,32 @@
     return out;
   };
 
-  SECTION("not for long silence alone") {
+  SECTION("not because of long silence alone") {
     CHECK(say(0).records.empty());
     CHECK_FALSE(entry.self.Suspects(gone));
   }
 
-  // An asymmetric cut: one watcher can't hear the member, all others can.
-  SECTION("not for one watcher of three") {
+  // An asymmetric partition: one watcher cannot hear the member, all others
+  // can.
+  SECTION("not because of one watcher of three") {
     CHECK(say(1).records.empty());
     CHECK_FALSE(entry.self.Suspects(gone));
   }
 
-  SECTION("for two of three") {
+  SECTION("because of two of three") {
     const auto accusations = RecordsOf<accuse_entry>(say(2));
     REQUIRE(accusations.size() == 1);
     CHECK(accusations.front().accused == gone);
     CHECK(entry.self.Suspects(gone));
   }
 
-  SECTION("not against what it hears itself") {
+  SECTION("not while it hears the member itself") {
     alive.push_back(static_cast<std::uint64_t>(gone));
     CHECK(say(3).records.empty());
     CHECK_FALSE(entry.self.Suspects(gone));
   }
 
-  SECTION("and tells all members whom it misses itself") {
+  SECTION("and reports to all members whom it suspects as a watcher") {
     const incarnation watched = [&] {
       for (const auto& [who, member] : entry.fleet.members) {
         if (ring.Watches(incarnation{1}, who)) {
@@ -418,7 +421,7 @@
   }
 }
 
-// Who of the others entry 1 watches among these members.
+// Returns the members that entry 1 watches, given these members.
 std::set<std::uint64_t> WatchedBy1(const numbers& members) {
   membership_harness entry;
   entry.SetMembers(members);
@@ -432,8 +435,8 @@
   return watched;
 }
 
-// A member that is in the first view and the second, and that entry 1 watches
-// as asked for.
+// Returns a member of both views that entry 1 watches or does not watch in each
+// of them, as requested.
 std::uint64_t FindMember(const numbers& before,
                          const numbers& after,
                          bool watched_before,
@@ -450,11 +453,12 @@
   return 0;
 }
 
-// A zone is lost. The first of its entries are expelled while the others are
-// just about to be missed; the ring closes and many dead get new watchers. If
-// all began to wait anew, callers of the zone's endpoints would wait twice.
+// When a zone is lost, its first entries are expelled while the others are
+// about to be suspected, and many failed members get new watchers. If each new
+// watcher started its timeout again, failures would be detected after twice the
+// time.
 TEST_CASE(
-    "A change of the ring doesn't start the wait for a dead member anew") {
+    "A change of the ring does not restart the timeout of a failed member") {
   const numbers before{1, 2, 3, 4, 5, 6, 7, 8, 9};
   numbers after{1, 3, 4, 5, 6, 7, 8, 9};
   membership_harness entry(3);
@@ -466,7 +470,7 @@
     return heard;
   };
 
-  SECTION("for one who watched it before") {
+  SECTION("at an entry that watched it before") {
     const std::uint64_t dead = FindMember(before, after, true, false);
     entry.Run(milliseconds(700), heard_without(dead));
     entry.SetMembers(after);
@@ -480,7 +484,7 @@
     CHECK(std::any_of(out.actions.begin(), out.actions.end(), tells));
   }
 
-  SECTION("for one who learns of it from others and now is its watcher") {
+  SECTION("at an entry that learns of it from others and is its new watcher") {
     const std::uint64_t dead = FindMember(before, after, false, true);
     entry.Run(milliseconds(980), heard_without(dead));
     entry.SetMembers(after);
@@ -491,10 +495,10 @@
     CHECK(RecordsOf<accuse_entry>(out).size() == 1);
   }
 
-  SECTION("and misses nobody who lives") {
+  SECTION("and suspects no live member") {
     for (int i = 0; i < 10; ++i) {
       entry.SetMembers(i % 2 == 0 ? after : before);
-      // Not a watcher any more, it hears the others seldom.
+      // Entry 1 is no longer a watcher and hears the others rarely.
       CHECK(entry.Run(milliseconds(600), {3}).records.empty());
       entry.Run(kTickInterval, before);
     }
--- a/tests/core/membership/watch_ring_test.cc
+++ b/tests/core/membership/watch_ring_test.cc
@@ -18,8 +18,8 @@
   return members;
 }
 
-TEST_CASE("The members of a view stand on a ring") {
-  SECTION("each with as many watchers as asked for, never itself") {
+TEST_CASE("The members of a view are placed on a ring") {
+  SECTION("each with the configured number of watchers, excluding itself") {
     const auto members = Members(9, 3);
     const watch_ring ring(members, 3);
     std::map<incarnation, int> watch_counts;
@@ -36,8 +36,8 @@
     }
   }
 
-  // A zone loses power. If all watchers of a member stood in its own zone,
-  // nobody would be left to miss it.
+  // If all watchers of a member were in its own zone, a power loss of the zone
+  // would leave no member to detect its failure.
   SECTION("with the nearest two watchers in other zones") {
     const auto members = Members(9, 3);
     const watch_ring ring(members, 3);
