--- a/include/plantainhead/core/fleet/job_planner.h
+++ b/include/plantainhead/core/fleet/job_planner.h
@@ -71,15 +71,15 @@
   /// Places one job, or records the reason why it cannot be placed. Returns
   /// true if a record was appended.
   bool PlaceWaitingJob(const planner_context& context,
-                       job_placement& room,
+                       job_placement& placement,
                        const job_id& id,
                        const job_progress& job);
   bool PlaceUrgent(const planner_context& context,
-                   job_placement& room,
+                   job_placement& placement,
                    const job_id& id,
                    const job_progress& job);
   std::string ParkReason(const planner_context& context,
-                         const job_placement& room,
+                         const job_placement& placement,
                          const job_id& id,
                          const job_progress& job);
   const task_listing* FindTask(const job_id& id, const job_progress& job) const;
--- a/include/plantainhead/core/fleet/pool_balance.h
+++ b/include/plantainhead/core/fleet/pool_balance.h
@@ -27,7 +27,7 @@
   std::uint32_t size() const { return size_; }
   std::uint32_t need() const { return capacity_.need; }
   /// True if the shortage affects callers and not only jobs.
-  bool is_for_callers() const { return capacity_.is_known; }
+  bool affects_callers() const { return capacity_.is_known; }
   double tolerance() const { return capacity_.tolerance; }
   std::uint32_t CountIn(const zone_id& domain) const;
 
--- a/include/plantainhead/core/fleet/pool_planner.h
+++ b/include/plantainhead/core/fleet/pool_planner.h
@@ -45,7 +45,7 @@
   const pool_figures& figures() const { return figures_; }
 
  private:
-  using balances = std::map<pool_id, pool_balance>;
+  using pool_balances = std::map<pool_id, pool_balance>;
 
   /// Shortage, surplus and peak size of one pool, updated once per plan.
   struct pool_trend {
@@ -66,24 +66,24 @@
   };
 
   void ObserveZones(const planner_context& context);
-  balances Balance(const planner_context& context,
-                   const capacity_plan& capacity) const;
+  pool_balances ComputeBalances(const planner_context& context,
+                                const capacity_plan& capacity) const;
   void CountTeams(const planner_context& context);
-  void AssignNewVms(const planner_context& context, balances& pools);
+  void AssignNewVms(const planner_context& context, pool_balances& pools);
   void ForgetMissingVms(const planner_context& context);
   void SyncPlatformPools(const planner_context& context);
   void EndMoves(const planner_context& context,
                 const vm_lifecycle& lifecycle,
-                balances& pools);
+                pool_balances& pools);
   void StartMoves(const planner_context& context,
                   const vm_lifecycle& lifecycle,
-                  balances& pools);
-  void UpdateTrends(const planner_context& context, const balances& pools);
+                  pool_balances& pools);
+  void UpdateTrends(const planner_context& context, const pool_balances& pools);
   /// Returns the pool for a VM that no pool lacks: the pool furthest below its
   /// peak, or else the smallest pool.
-  pool_id PoolForSpareVm(const balances& pools) const;
+  pool_id PoolForSpareVm(const pool_balances& pools) const;
   void UpdateFigures(const planner_context& context,
-                     const balances& pools,
+                     const pool_balances& pools,
                      const capacity_plan& capacity);
   /// Returns true if the quota of the receiving pool's team allows it to
   /// receive a VM of pool `from`; `from` is empty for a new VM.
@@ -92,7 +92,7 @@
                        const pool_id& from) const;
   /// Adds VMs that are already draining for a move to the pools that will
   /// receive them.
-  void CountPendingMoves(const planner_context& context, balances& pools);
+  void CountPendingMoves(const planner_context& context, pool_balances& pools);
   /// Returns true while the drain record for a move has been appended but not
   /// read back.
   bool IsStarting(const vm_view& vm) const;
@@ -102,13 +102,13 @@
   /// Returns the pools whose shortage has not yet lasted long enough for a
   /// move.
   std::set<pool_id> PoolsWithRecentShortage(const planner_context& context,
-                                            const balances& pools) const;
+                                            const pool_balances& pools) const;
   /// Returns the pool with the most urgent shortage that is not in `excluded`,
   /// or nothing. If `from` is given, only pools whose quota allows a VM of that
   /// pool are considered.
   std::optional<pool_id> MostUrgentPool(
       const planner_context& context,
-      const balances& pools,
+      const pool_balances& pools,
       const std::optional<pool_id>& from,
       const std::set<pool_id>& excluded) const;
   /// Returns true if the pool may give any VM to the receiver.
@@ -118,7 +118,7 @@
                const pool_balance& to) const;
   std::optional<donor> BestDonor(const planner_context& context,
                                  const vm_lifecycle& lifecycle,
-                                 const balances& pools,
+                                 const pool_balances& pools,
                                  const pool_id& receiver,
                                  const std::set<vm_id>& taken) const;
   static bool HasLastingSurplus(const planner_context& context,
@@ -127,7 +127,7 @@
   /// for long enough. In a fully used fleet the search for a donor for each of
   /// them would find nothing.
   void ExcludeIfNoDonor(const planner_context& context,
-                        const balances& pools,
+                        const pool_balances& pools,
                         std::set<pool_id>& excluded) const;
   static void ReportNoDonor(const planner_context& context,
                             const pool_id& name,
@@ -141,7 +141,7 @@
   std::uint32_t domains_ = 0;
   bool by_rack_ = false;
   std::map<pool_id, pool_trend> trends_;
-  std::map<vm_id, generation> starting_;
+  std::map<vm_id, generation> starting_moves_;
   std::map<team_id, std::uint32_t> team_vms_;
   pool_figures figures_;
 };
--- a/include/plantainhead/core/fleet/vm_lifecycle.h
+++ b/include/plantainhead/core/fleet/vm_lifecycle.h
@@ -30,7 +30,7 @@
 class vm_lifecycle {
  public:
   /// The arguments must outlive this object.
-  vm_lifecycle(const planner_context& context, const phase_tracker& watch);
+  vm_lifecycle(const planner_context& context, const phase_tracker& tracker);
 
   /// Returns true if a drain of the VM may start: it is serving, is listed as
   /// live, and no earlier operation on it is in progress.
--- a/src/core/fleet/job_planner.cc
+++ b/src/core/fleet/job_planner.cc
@@ -13,7 +13,7 @@
 constexpr const char* kCheckpoint = "checkpoint";
 constexpr const char* kStop = "stop";
 
-constexpr const char* kNoRoom =
+constexpr const char* kNoCapacity =
     "no worker of the pool has enough free capacity";
 
 /// Maximum number of placement records appended in one plan; the log handles
@@ -174,56 +174,56 @@
     return;
   }
   std::sort(waiting.begin(), waiting.end());
-  job_placement room(context, history_);
+  job_placement placement(context, history_);
   std::size_t placed = 0;
   for (const auto& [key, job] : waiting) {
     if (placed >= kPlacementsPerPlan) {
       break;
     }
     const job_id& id = job->spec.name;
-    if (!job->spec.urgent && room.IsKnownFull(job->spec)) {
-      context.reasons.try_emplace(ObjectOf(id), kNoRoom);
+    if (!job->spec.urgent && placement.IsKnownFull(job->spec)) {
+      context.reasons.try_emplace(ObjectOf(id), kNoCapacity);
       continue;
     }
-    placed += PlaceWaitingJob(context, room, id, *job) ? 1 : 0;
+    placed += PlaceWaitingJob(context, placement, id, *job) ? 1 : 0;
   }
 }
 
 bool job_planner::PlaceWaitingJob(const planner_context& context,
-                                  job_placement& room,
+                                  job_placement& placement,
                                   const job_id& id,
                                   const job_progress& job) {
-  const std::string park = ParkReason(context, room, id, job);
+  const std::string park = ParkReason(context, placement, id, job);
   if (!park.empty()) {
     context.Report(note_level::kWarning, ObjectOf(id), park);
     SetState(context, id, job, job_state::kParked, vm_id(), "", park);
     return true;
   }
-  const std::string quota = room.QuotaExceededReason(job.spec);
+  const std::string quota = placement.QuotaExceededReason(job.spec);
   if (!quota.empty()) {
     context.reasons[ObjectOf(id)] = quota;
     return false;
   }
-  const std::optional<job_placement::choice> found = room.Find(job.spec);
+  const std::optional<job_placement::choice> found = placement.Find(job.spec);
   if (found) {
-    room.Place(job.spec, found->vm->id);
+    placement.Place(job.spec, found->vm->id);
     SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
              "worker " + found->vm->id.value() + " has enough free capacity");
     return true;
   }
-  if (job.spec.urgent && PlaceUrgent(context, room, id, job)) {
+  if (job.spec.urgent && PlaceUrgent(context, placement, id, job)) {
     return true;
   }
-  context.reasons[ObjectOf(id)] = kNoRoom;
+  context.reasons[ObjectOf(id)] = kNoCapacity;
   return false;
 }
 
 bool job_planner::PlaceUrgent(const planner_context& context,
-                              job_placement& room,
+                              job_placement& placement,
                               const job_id& id,
                               const job_progress& job) {
   const std::optional<job_placement::choice> found =
-      room.FindByPreemption(job.spec);
+      placement.FindByPreemption(job.spec);
   if (!found) {
     return false;
   }
@@ -238,7 +238,7 @@
   }
   // Reserves the capacity for the rest of this plan, so that no other job takes
   // it.
-  room.Place(job.spec, found->vm->id);
+  placement.Place(job.spec, found->vm->id);
   if (!found->can_start_now) {
     context.reasons[ObjectOf(id)] =
         "waiting for preempted jobs to leave worker " + found->vm->id.value();
@@ -251,7 +251,7 @@
 }
 
 std::string job_planner::ParkReason(const planner_context& context,
-                                    const job_placement& room,
+                                    const job_placement& placement,
                                     const job_id& id,
                                     const job_progress& job) {
   std::string workers;
@@ -276,7 +276,7 @@
     return "the job was started " + std::to_string(job.failures) +
            " times without finishing; " + job.reason;
   }
-  std::string never = room.UnplaceableReason(job.spec);
+  std::string never = placement.UnplaceableReason(job.spec);
   if (never.empty()) {
     unplaceable_since_.erase(id);
     return "";
--- a/src/core/fleet/pool_balance.cc
+++ b/src/core/fleet/pool_balance.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core {
 namespace {
 
-std::uint32_t Greatest(const std::map<zone_id, std::uint32_t>& counts) {
+std::uint32_t MaxCount(const std::map<zone_id, std::uint32_t>& counts) {
   std::uint32_t greatest = 0;
   for (const auto& [domain, count] : counts) {
     greatest = std::max(greatest, count);
@@ -94,7 +94,7 @@
 
 bool pool_balance::Satisfies(const spread& counts, std::uint32_t size) const {
   return size >= capacity_.need &&
-         (!NeedsSpare() || size - Greatest(counts) >= capacity_.min_after_loss);
+         (!NeedsSpare() || size - MaxCount(counts) >= capacity_.min_after_loss);
 }
 
 bool pool_balance::NeedsSpare() const {
--- a/src/core/fleet/pool_planner.cc
+++ b/src/core/fleet/pool_planner.cc
@@ -43,9 +43,9 @@
     return;
   }
   ObserveZones(context);
-  balances pools = Balance(context, capacity);
+  pool_balances pools = ComputeBalances(context, capacity);
   CountTeams(context);
-  std::erase_if(starting_, [&](const auto& item) {
+  std::erase_if(starting_moves_, [&](const auto& item) {
     const vm_view* vm = context.view.FindVm(item.first);
     return vm == nullptr || !IsStarting(*vm);
   });
@@ -77,10 +77,10 @@
                                                  : zone_last_seen_.size());
 }
 
-pool_planner::balances pool_planner::Balance(
+pool_planner::pool_balances pool_planner::ComputeBalances(
     const planner_context& context,
     const capacity_plan& capacity) const {
-  balances pools;
+  pool_balances pools;
   for (const auto& [name, item] : capacity) {
     pool_balance& balance =
         pools.try_emplace(name, item, domains_, !has_zone_outage_)
@@ -119,7 +119,7 @@
 }
 
 void pool_planner::AssignNewVms(const planner_context& context,
-                                balances& pools) {
+                                pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
     if (vm.state != nullptr || !vm.listed_live() ||
         context.gate.IsPending(ObjectOf(id), 0, context.now)) {
@@ -181,7 +181,7 @@
 }
 
 void pool_planner::UpdateTrends(const planner_context& context,
-                                const balances& pools) {
+                                const pool_balances& pools) {
   std::erase_if(trends_,
                 [&](const auto& item) { return !pools.contains(item.first); });
   const auto update_since = [&](std::optional<time_point>& since, bool holds) {
@@ -208,7 +208,7 @@
   }
 }
 
-pool_id pool_planner::PoolForSpareVm(const balances& pools) const {
+pool_id pool_planner::PoolForSpareVm(const pool_balances& pools) const {
   const auto key = [&](const auto& item) {
     const double size = item.second.size();
     return std::make_tuple(size - trends_.at(item.first).peak, size);
@@ -221,7 +221,7 @@
 }
 
 void pool_planner::UpdateFigures(const planner_context& context,
-                                 const balances& pools,
+                                 const pool_balances& pools,
                                  const capacity_plan& capacity) {
   const std::uint64_t moves = figures_.moves;
   figures_ = pool_figures();
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -26,7 +26,7 @@
 
 /// Returns true if the demand of callers cannot be served without more VMs.
 bool IsUrgent(const pool_balance& pool) {
-  return pool.DemandShortage() > 0 && pool.is_for_callers();
+  return pool.DemandShortage() > 0 && pool.affects_callers();
 }
 
 std::string Count(std::uint32_t count) {
@@ -37,7 +37,7 @@
 
 void pool_planner::EndMoves(const planner_context& context,
                             const vm_lifecycle& lifecycle,
-                            balances& pools) {
+                            pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
     if (!IsMoving(vm) || vm.is_pending ||
         vm.state->phase != vm_phase::kDrained) {
@@ -61,7 +61,7 @@
 
 void pool_planner::StartMoves(const planner_context& context,
                               const vm_lifecycle& lifecycle,
-                              balances& pools) {
+                              pool_balances& pools) {
   CountPendingMoves(context, pools);
   std::set<vm_id> taken;
   std::set<pool_id> excluded = PoolsWithRecentShortage(context, pools);
@@ -88,7 +88,7 @@
                              Count(pools.at(best->from).need()) + " of its " +
                              Count(pools.at(best->from).size()));
     taken.insert(best->vm->id);
-    starting_[best->vm->id] = best->vm->state->version;
+    starting_moves_[best->vm->id] = best->vm->state->version;
     pools.at(best->from).Remove(domain);
     to.Add(domain);
     UpdateTeamCounts(context, best->from, *receiver);
@@ -96,13 +96,13 @@
 }
 
 bool pool_planner::IsStarting(const vm_view& vm) const {
-  const auto found = starting_.find(vm.id);
-  return found != starting_.end() && vm.is_pending && vm.serving() &&
+  const auto found = starting_moves_.find(vm.id);
+  return found != starting_moves_.end() && vm.is_pending && vm.serving() &&
          vm.state->version == found->second;
 }
 
 void pool_planner::CountPendingMoves(const planner_context& context,
-                                     balances& pools) {
+                                     pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
     const bool is_leaving =
         IsMoving(vm) &&
@@ -130,7 +130,7 @@
 
 std::set<pool_id> pool_planner::PoolsWithRecentShortage(
     const planner_context& context,
-    const balances& pools) const {
+    const pool_balances& pools) const {
   std::set<pool_id> found;
   for (const auto& [name, trend] : trends_) {
     const bool is_base = pools.at(name).DemandShortage() > 0;
@@ -146,7 +146,7 @@
 
 std::optional<pool_id> pool_planner::MostUrgentPool(
     const planner_context& context,
-    const balances& pools,
+    const pool_balances& pools,
     const std::optional<pool_id>& from,
     const std::set<pool_id>& excluded) const {
   std::optional<pool_id> most_urgent;
@@ -174,7 +174,7 @@
 std::optional<pool_planner::donor> pool_planner::BestDonor(
     const planner_context& context,
     const vm_lifecycle& lifecycle,
-    const balances& pools,
+    const pool_balances& pools,
     const pool_id& receiver,
     const std::set<vm_id>& taken) const {
   const pool_balance& to = pools.at(receiver);
@@ -229,7 +229,7 @@
 }
 
 void pool_planner::ExcludeIfNoDonor(const planner_context& context,
-                                    const balances& pools,
+                                    const pool_balances& pools,
                                     std::set<pool_id>& excluded) const {
   for (const auto& [name, trend] : trends_) {
     if (HasLastingSurplus(context, trend)) {
--- a/src/core/fleet/vm_lifecycle.cc
+++ b/src/core/fleet/vm_lifecycle.cc
@@ -24,8 +24,8 @@
 }
 
 vm_lifecycle::vm_lifecycle(const planner_context& context,
-                           const phase_tracker& watch)
-    : context_(context), phase_tracker_(watch) {}
+                           const phase_tracker& tracker)
+    : context_(context), phase_tracker_(tracker) {}
 
 bool vm_lifecycle::CanDrain(const vm_view& vm) const {
   if (!vm.serving() || vm.is_pending || !vm.listed_live()) {
--- a/src/core/membership/membership_heartbeats.cc
+++ b/src/core/membership/membership_heartbeats.cc
@@ -122,10 +122,10 @@
     Send(fleet, planner, MakeHeartbeat(contents, true), out);
   }
 
-  const duration share =
+  const duration turn_interval =
       options_.complete_interval / static_cast<std::int64_t>(others_.size());
-  if (!IsDue(complete_sent_at_, std::max(share, options_.complete_spacing),
-             now)) {
+  if (!IsDue(complete_sent_at_,
+             std::max(turn_interval, options_.complete_spacing), now)) {
     return;
   }
   complete_sent_at_ = now;
--- a/tests/core/fleet/capacity_test.cc
+++ b/tests/core/fleet/capacity_test.cc
@@ -59,9 +59,9 @@
         publish_configuration{targets, harness.state.targets_version});
     harness.Step();
     const planner_inputs inputs = harness.Inputs();
-    const phase_tracker watch;
+    const phase_tracker tracker;
     const record_gate gate{std::chrono::seconds(1)};
-    const fleet_view view(inputs, watch, gate, harness.now);
+    const fleet_view view(inputs, tracker, gate, harness.now);
     demand_estimator demand(std::chrono::seconds(1), std::chrono::minutes(1));
     demand.Observe(harness.demand, harness.now);
     return PlanCapacity(inputs, view, demand, planner_options())
--- a/tests/core/fleet/wave_planner_test.cc
+++ b/tests/core/fleet/wave_planner_test.cc
@@ -70,8 +70,8 @@
     lost_.clear();
   }
 
-  std::size_t least_serving = kVms;
-  std::size_t most_zones_down = 0;
+  std::size_t min_serving = kVms;
+  std::size_t max_zones_down = 0;
 
  private:
   void RecordExtremes() {
@@ -82,8 +82,8 @@
         zones.insert(vm.zone);
       }
     }
-    most_zones_down = std::max(most_zones_down, zones.size());
-    least_serving = std::min(least_serving, Serving());
+    max_zones_down = std::max(max_zones_down, zones.size());
+    min_serving = std::min(min_serving, Serving());
   }
 
   std::vector<vm_listing> lost_;
@@ -97,9 +97,9 @@
   SECTION("each exactly once, one zone at a time, with enough in service") {
     REQUIRE(harness.Finishes());
     harness.CheckEachRebootedOnce();
-    CHECK(harness.most_zones_down == 1);
-    CHECK(harness.least_serving >= kNeeded);
-    CHECK(harness.least_serving <= kVms - 4);
+    CHECK(harness.max_zones_down == 1);
+    CHECK(harness.min_serving >= kNeeded);
+    CHECK(harness.min_serving <= kVms - 4);
     CHECK(harness.CountPhase(vm_phase::kServing) == kVms);
   }
 
@@ -160,7 +160,7 @@
     harness.stuck.clear();
     REQUIRE(harness.Finishes());
     harness.CheckEachRebootedOnce();
-    CHECK(harness.most_zones_down == 1);
+    CHECK(harness.max_zones_down == 1);
   }
 }
 
@@ -178,15 +178,14 @@
   }
   harness.StepFor(std::chrono::minutes(2));
   harness.Apply(start_wave{kWave, {pool_id("casework")}, {}});
-  std::size_t least_serving = 5;
+  std::size_t min_serving = 5;
   harness.after_step = [&] {
-    least_serving =
-        std::min(least_serving, harness.CountPhase(vm_phase::kServing));
+    min_serving = std::min(min_serving, harness.CountPhase(vm_phase::kServing));
   };
   REQUIRE(harness.StepUntil([&] {
     return harness.state.waves.at(kWave).state == wave_state::kFinished;
   }));
-  CHECK(least_serving == 3);
+  CHECK(min_serving == 3);
 }
 
 TEST_CASE("A failure uses up the spare capacity during a wave") {
@@ -312,7 +311,7 @@
     CHECK(survived.size() >= kVms);
     REQUIRE(harness.IsFinished());
     harness.CheckEachRebootedOnce();
-    CHECK(harness.most_zones_down == 1);
+    CHECK(harness.max_zones_down == 1);
   }
 
   SECTION("and resumes after another has taken over") {
