--- a/include/plantainhead/core/fleet/capacity.h
+++ b/include/plantainhead/core/fleet/capacity.h
@@ -30,6 +30,7 @@
   double tolerance = 1.0;
 };
 
+/// Required capacity by pool.
 using capacity_plan = std::map<pool_id, pool_capacity>;
 
 /// Computes the capacity that each configured pool requires. Thread safety:
--- a/include/plantainhead/core/fleet/phase_tracker.h
+++ b/include/plantainhead/core/fleet/phase_tracker.h
@@ -13,6 +13,7 @@
 /// over the planner lease does not restart all waits. Thread safety: none.
 class phase_tracker {
  public:
+  /// What this entry has observed of one VM.
   struct observation {
     vm_phase phase = vm_phase::kServing;
     operation_id operation;
--- a/include/plantainhead/core/fleet/pool_planner.h
+++ b/include/plantainhead/core/fleet/pool_planner.h
@@ -21,7 +21,7 @@
   /// Number of spare VMs that the planner keeps, and the minimum that survives
   /// the loss of one failure domain when spread evenly.
   std::uint32_t buffer = 0;
-  std::uint32_t buffer_bound = 0;
+  std::uint32_t min_buffer = 0;
   /// Number of VMs that no pool requires.
   std::uint32_t surplus = 0;
   /// Number of VMs that pools lack.
@@ -60,6 +60,7 @@
     std::optional<time_point> surplus_since;
   };
 
+  /// A VM that can be moved, and its current pool.
   struct donor {
     const vm_view* vm = nullptr;
     pool_id from;
--- a/include/plantainhead/core/membership/membership.h
+++ b/include/plantainhead/core/membership/membership.h
@@ -48,7 +48,8 @@
   /// The fold has applied all records up to the highest offset known to this
   /// entry.
   bool caught_up = false;
-  /// The log is unreachable. No records are appended.
+  /// The log is unreachable. No new records (joins, accusations and
+  /// withdrawals) are appended.
   bool log_unreachable = false;
   std::vector<service_load> load;
   std::vector<vm_in_flight> in_flight;
@@ -127,7 +128,7 @@
   const peer_status* StatusOf(incarnation peer) const;
 
   /// Returns true once the fold has removed this entry although it had not
-  /// left. The process must stop accepting work and restart as a new
+  /// asked to leave. The process must stop accepting work and restart as a new
   /// incarnation.
   bool expelled() const { return expelled_; }
 
--- a/src/core/fleet/pool_planner.cc
+++ b/src/core/fleet/pool_planner.cc
@@ -233,7 +233,7 @@
     figures_.need += item.need;
     const pool_trend& trend = trends_.at(name);
     figures_.buffer += trend.wanted - item.need;
-    figures_.buffer_bound +=
+    figures_.min_buffer +=
         MinEvenSpread(item.need, min_after_loss, domains_) - item.need;
     figures_.surplus += trend.surplus;
     figures_.shortage += trend.shortage;
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -134,10 +134,10 @@
   std::set<pool_id> found;
   for (const auto& [name, trend] : trends_) {
     const bool is_base = pools.at(name).DemandShortage() > 0;
-    const duration patience = is_base ? context.options.demand_shortage_delay
+    const duration min_time = is_base ? context.options.demand_shortage_delay
                                       : context.options.spare_shortage_delay;
     if (trend.shortage_since &&
-        context.now - *trend.shortage_since < patience) {
+        context.now - *trend.shortage_since < min_time) {
       found.insert(name);
     }
   }
