--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -249,7 +249,7 @@
                                  const pool_balance& pool) {
   context.Report(note_level::kWarning, ObjectOf(name),
                  "the pool is short of " + Count(pool.Shortage()) +
-                     " VMs and no other pool has a surplus");
+                     " VMs and no other pool can release any");
 }
 
 bool pool_planner::MayMove(const planner_context& context,
