--- a/include/plantainhead/core/jobs/arrival_meter.h
+++ b/include/plantainhead/core/jobs/arrival_rate_monitor.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
-#define PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
+#define PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
 
 #include <cstddef>
 #include <deque>
@@ -72,4 +72,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
--- a/include/plantainhead/core/jobs/host_order_queue.h
+++ b/include/plantainhead/core/jobs/host_order_queue.h
@@ -8,7 +8,7 @@
 
 #include "plantainhead/core/jobs/fleet_balancer.h"
 #include "plantainhead/core/jobs/maintenance.h"
-#include "plantainhead/core/jobs/wave_keeper.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 
 namespace plantainhead::core::jobs {
 
--- a/include/plantainhead/core/jobs/host_order_ledger.h
+++ b/include/plantainhead/core/jobs/host_order_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
-#define PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
+#define PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
 
 #include <map>
 #include <set>
@@ -74,4 +74,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "plantainhead/core/jobs/job_types.h"
-#include "plantainhead/core/jobs/wait_clock.h"
+#include "plantainhead/core/jobs/wait_time_tracker.h"
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
--- a/include/plantainhead/core/jobs/wave_keeper.h
+++ b/include/plantainhead/core/jobs/maintenance_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
-#define PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
+#define PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
 
 #include <cstdint>
 #include <map>
@@ -188,4 +188,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
--- a/include/plantainhead/core/jobs/owner_book.h
+++ b/include/plantainhead/core/jobs/owner_directory.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
-#define PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
+#define PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -65,4 +65,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
--- a/include/plantainhead/core/jobs/report_ages.h
+++ b/include/plantainhead/core/jobs/report_validity.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
-#define PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
+#define PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
 
 #include <map>
 #include <optional>
@@ -39,4 +39,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
--- a/include/plantainhead/core/jobs/vacancy_keeper.h
+++ b/include/plantainhead/core/jobs/vacancy_manager.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
-#define PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
+#define PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
 
 #include <array>
 #include <cstdint>
@@ -171,4 +171,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
--- a/include/plantainhead/core/jobs/wait_clock.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
-#define PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
+#define PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
 
 #include <array>
 #include <cstddef>
@@ -55,4 +55,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
--- a/src/core/jobs/arrival_meter.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/arrival_meter.h"
+#include "plantainhead/core/jobs/arrival_rate_monitor.h"
 
 #include <algorithm>
 #include <cstdint>
--- a/src/core/jobs/wait_clock.cc
+++ b/src/core/jobs/wait_time_tracker.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/wait_clock.h"
+#include "plantainhead/core/jobs/wait_time_tracker.h"
 
 #include <algorithm>
 #include <numeric>
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -12,10 +12,10 @@
 #include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
 #include "plantainhead/core/jobs/fleet_balancer.h"
-#include "plantainhead/core/jobs/host_order_ledger.h"
 #include "plantainhead/core/jobs/host_order_queue.h"
+#include "plantainhead/core/jobs/host_order_tracker.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 #include "plantainhead/core/jobs/vacancy_checker.h"
-#include "plantainhead/core/jobs/wave_keeper.h"
 #include "platform/store_client.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/job_world.h
+++ b/src/jobs/job_world.h
@@ -18,7 +18,7 @@
 #include "peers/owner_announcement.h"
 #include "plantainhead/core/jobs/job_directory.h"
 #include "plantainhead/core/jobs/maintenance.h"
-#include "plantainhead/core/jobs/report_ages.h"
+#include "plantainhead/core/jobs/report_validity.h"
 #include "plantainhead/core/jobs/routing.h"
 #include "plantainhead/core/jobs/vm_registry.h"
 #include "plantainhead/core/jobs/vm_reports.h"
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -12,11 +12,11 @@
 #include "jobs/job_meters.h"
 #include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
-#include "plantainhead/core/jobs/arrival_meter.h"
+#include "plantainhead/core/jobs/arrival_rate_monitor.h"
 #include "plantainhead/core/jobs/job_types.h"
 #include "plantainhead/core/jobs/pool_scheduler.h"
 #include "plantainhead/core/jobs/pool_sizer.h"
-#include "plantainhead/core/jobs/vacancy_keeper.h"
+#include "plantainhead/core/jobs/vacancy_manager.h"
 #include "platform/store_client.h"
 
 namespace plantainhead::jobs {
--- a/src/peers/owner_links.h
+++ b/src/peers/owner_links.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "net/http_message.h"
-#include "plantainhead/core/jobs/owner_book.h"
+#include "plantainhead/core/jobs/owner_directory.h"
 #include "plantainhead/core/time.h"
 
 namespace boost::asio {
--- a/tests/core/jobs/host_order_ledger_test.cc
+++ b/tests/core/jobs/host_order_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/host_order_ledger.h"
+#include "plantainhead/core/jobs/host_order_tracker.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/core/jobs/wave_keeper_test.cc
+++ b/tests/core/jobs/maintenance_scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/wave_keeper.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/core/jobs/owner_book_test.cc
+++ b/tests/core/jobs/owner_directory_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/owner_book.h"
+#include "plantainhead/core/jobs/owner_directory.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/core/jobs/report_ages_test.cc
+++ b/tests/core/jobs/report_validity_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/report_ages.h"
+#include "plantainhead/core/jobs/report_validity.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/core/jobs/vacancy_keeper_test.cc
+++ b/tests/core/jobs/vacancy_manager_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/vacancy_keeper.h"
+#include "plantainhead/core/jobs/vacancy_manager.h"
 
 #include <catch2/catch.hpp>
 #include <set>
