--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -23,7 +23,7 @@
 };
 
 /// How far hosts are on their way to the pools that want them.
-struct balance_figures {
+struct balancer_stats {
   /// VMs that pools want, and how many of these they neither have nor get.
   std::uint32_t wanted = 0;
   std::uint32_t missing = 0;
@@ -34,7 +34,7 @@
   /// Hosts whose move was accepted or is under way.
   std::uint32_t moving = 0;
 
-  bool operator==(const balance_figures&) const = default;
+  bool operator==(const balancer_stats&) const = default;
 };
 
 struct balancer_settings {
@@ -105,7 +105,7 @@
   /// when none is under way.
   std::optional<time_point> OrderedAt(const host_id& host) const;
   /// Returns how far hosts are; `busy` as for `Plan`.
-  balance_figures Figures(const std::set<host_id>& busy) const;
+  balancer_stats Stats(const std::set<host_id>& busy) const;
   /// Returns the moves to order now. `busy` are hosts that are being serviced.
   std::vector<move_host> Plan(const std::set<host_id>& busy, time_point now);
 
@@ -121,7 +121,7 @@
   };
 
   /// As what a host counts.
-  struct host_standing {
+  struct host_classification {
     /// Empty: none.
     pool_id pool;
     bool is_free = false;
@@ -134,10 +134,10 @@
   struct known_host {
     fleet_host host;
     /// In the list.
-    std::size_t place = 0;
+    std::size_t position = 0;
     /// Of the list that it was last in.
     std::uint64_t list = 0;
-    host_standing counts_as;
+    host_classification counted_as;
     /// Since when nobody has wanted it, though its pool gives it away.
     std::optional<time_point> unwanted_since;
   };
@@ -154,10 +154,10 @@
   std::uint32_t CountOf(const pool_id& pool) const;
   /// Returns the last one in the list that may go to the pool, or null.
   known_host* FindFree(const pool_id& pool, const std::set<host_id>& busy);
-  void PutAside(const std::set<host_id>& busy,
-                const std::set<pool_id>& wanting,
-                time_point now,
-                std::vector<move_host>* moves);
+  void MoveToSparePool(const std::set<host_id>& busy,
+                       const std::set<pool_id>& wanting,
+                       time_point now,
+                       std::vector<move_host>* moves);
   void Order(known_host* known,
              const pool_id& pool,
              time_point now,
--- a/include/plantainhead/core/jobs/host_order_tracker.h
+++ b/include/plantainhead/core/jobs/host_order_tracker.h
@@ -37,11 +37,11 @@
 /// with a queue in its turn is most of the turn: of what callers of 49 VMs
 /// asked in days that end so, 0.873 in place of 0.861 was earned (15 plays
 /// each). Pure and not thread-safe.
-class host_order_ledger {
+class host_order_tracker {
  public:
   /// `holder` names this process towards the platform, before and after a
   /// restart.
-  host_order_ledger(const host_order_settings& settings, std::string holder)
+  host_order_tracker(const host_order_settings& settings, std::string holder)
       : settings_(settings), holder_(std::move(holder)) {}
 
   /// Takes over the recorded orders by host, with the name of each holder; it
@@ -53,13 +53,13 @@
   /// Returns whether no other order for the host can be under way.
   bool MayOrder(const host_id& host, time_point now) const;
   /// Returns the hosts that may not be ordered yet.
-  std::set<host_id> Closed(time_point now) const;
+  std::set<host_id> BlockedHosts(time_point now) const;
   /// Returns the hosts whose records a new owner needn't know of any more, each
   /// once.
-  std::vector<host_id> TakeOutdated(time_point now);
+  std::vector<host_id> TakeExpired(time_point now);
 
  private:
-  duration ClosedTime() const {
+  duration BlockTime() const {
     return settings_.holder_lease + settings_.send_limit +
            settings_.arrival_reserve;
   }
@@ -69,7 +69,7 @@
   /// Hosts with a record, and the latest moment of its order.
   std::map<host_id, time_point> recorded_;
   /// Hosts for which an earlier owner may have given an order.
-  std::map<host_id, time_point> closed_until_;
+  std::map<host_id, time_point> blocked_until_;
 };
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -24,9 +24,9 @@
   /// When it should have ended.
   time_point deadline;
   /// The estimate of its longest chain of work.
-  duration chain = duration::zero();
+  duration critical_path = duration::zero();
   /// What its tasks waited for.
-  wait_clock waits;
+  wait_time_tracker waits;
   /// Runs that failed, lapsed, or were stopped to run elsewhere.
   std::uint32_t repeated_runs = 0;
   /// It was accepted under an earlier owner, whose waits and repeated runs
--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -196,7 +196,7 @@
   /// Takes one VM out of the list; see `UpdateVms`.
   void UnlistVm(const vm_id& vm);
   /// Takes in until when the VM's report of its capacity is trusted; see
-  /// `report_ages`. After that nothing starts there.
+  /// `report_validity`. After that nothing starts there.
   void NoteReport(const vm_id& vm, time_point trusted_until);
   /// The same for several VMs.
   void NoteReports(const std::map<vm_id, time_point>& trusted_until);
--- a/include/plantainhead/core/jobs/pool_sizer.h
+++ b/include/plantainhead/core/jobs/pool_sizer.h
@@ -31,7 +31,8 @@
   resources used;
   /// Of the tasks that may start but found no room.
   resources waiting;
-  /// What jobs that come at a rising rate will take; see `arrival_meter`.
+  /// What jobs that come at a rising rate will take; see
+  /// `arrival_rate_monitor`.
   resources rising;
   /// How many jobs told that rate.
   std::size_t rising_jobs = 0;
@@ -47,23 +48,23 @@
 
 struct sizer_settings {
   /// Share of a VM that tasks fill, as they don't divide its capacity evenly.
-  double fill = 0.85;
+  double fill_ratio = 0.85;
   /// VMs beyond what is needed now: for the first tasks of a rise, before more
   /// VMs come, and for the loss of one.
   std::uint32_t reserve = 2;
   /// A pool shrinks to the most that it needed in this time. A VM that is given
   /// away is missed for the time of two moves (1.5 s each) when the demand
   /// returns, and costs as much to move as 1.1 s of its use.
-  duration memory = std::chrono::milliseconds(2500);
+  duration demand_window = std::chrono::milliseconds(2500);
   /// The same while another pool lacks VMs. It outlasts the gaps between the
   /// bursts of a few jobs.
-  duration scarce_memory = std::chrono::milliseconds(400);
+  duration scarce_demand_window = std::chrono::milliseconds(400);
   /// A rise counts for this time after it was last seen, also while another
   /// pool lacks VMs: until its VMs are there, its tasks wait for them.
-  duration rise_memory = std::chrono::milliseconds(2500);
+  duration rise_hold_time = std::chrono::milliseconds(2500);
   /// A rate that fewer jobs tell is off by chance by more than a sixth. It
   /// counts for the moment only.
-  std::size_t least_remembered_jobs = 40;
+  std::size_t min_held_rise_jobs = 40;
 };
 
 /// Decides how many VMs a pool should have. Pure and not thread-safe.
@@ -84,15 +85,15 @@
  private:
   std::uint32_t Needed(const pool_load& load) const;
   /// Returns how many VMs the VMs' worth of tasks need.
-  std::uint32_t Filled(double vms) const;
+  std::uint32_t VmsToHold(double vms) const;
   void NoteRise(const pool_load& load, time_point now);
 
   sizer_settings settings_;
   std::optional<time_point> first_update_;
   /// What rises asked for, falling, the newest last.
-  std::deque<std::pair<time_point, std::uint32_t>> rises_;
+  std::deque<std::pair<time_point, std::uint32_t>> rise_peaks_;
   /// Falling needs, the newest last.
-  std::deque<std::pair<time_point, std::uint32_t>> needs_;
+  std::deque<std::pair<time_point, std::uint32_t>> need_peaks_;
 };
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/wait_time_tracker.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -34,7 +34,7 @@
 
 /// How long tasks of a job have waited, by cause. The time in which several of
 /// them wait counts once. Pure and not thread-safe.
-class wait_clock {
+class wait_time_tracker {
  public:
   /// Notes what tasks wait for from now on; nothing: none waits.
   /// Precondition: times don't fall.
@@ -44,7 +44,7 @@
   }
   duration total() const;
   /// Returns the cause of most of the time; room when nothing has waited.
-  wait_cause Main() const;
+  wait_cause MainCause() const;
 
  private:
   std::array<duration, kWaitCauseNames.size()> waited_{};
--- a/src/core/jobs/arrival_rate_monitor.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -12,8 +12,10 @@
 
 }  // namespace
 
-void arrival_meter::Note(const job_spec& job, time_point now, duration age) {
-  if (age > settings_.window + settings_.past) {
+void arrival_rate_monitor::Note(const job_spec& job,
+                                time_point now,
+                                duration age) {
+  if (age > settings_.window + settings_.baseline_window) {
     return;
   }
   arrival noted;
@@ -36,7 +38,7 @@
   }
 }
 
-double arrival_meter::RateNow(time_point now) const {
+double arrival_rate_monitor::RateNow(time_point now) const {
   const auto since = [this](time_point begin) {
     return static_cast<std::size_t>(
         std::count_if(arrivals_.begin(), arrivals_.end(),
@@ -47,15 +49,15 @@
                       Seconds(settings_.window);
   const double short_rate =
       static_cast<double>(in_short) / Seconds(settings_.short_window);
-  const bool is_steep = in_short >= settings_.least_short_jobs &&
-                        short_rate >= settings_.steepness * rate;
+  const bool is_steep = in_short >= settings_.min_short_window_jobs &&
+                        short_rate >= settings_.steep_ratio * rate;
   return is_steep ? short_rate : rate;
 }
 
-resources arrival_meter::RisingDemand(time_point now) {
+resources arrival_rate_monitor::RisingDemand(time_point now) {
   const time_point window_begin = now - settings_.window;
-  const time_point past_begin = window_begin - settings_.past;
-  while (!arrivals_.empty() && arrivals_.front().at < past_begin) {
+  const time_point baseline_begin = window_begin - settings_.baseline_window;
+  while (!arrivals_.empty() && arrivals_.front().at < baseline_begin) {
     arrivals_.pop_front();
   }
   arrival sum;
@@ -68,10 +70,10 @@
   }
   recent_jobs_ = recent;
   const double rate = RateNow(now);
-  const double past_rate =
-      static_cast<double>(arrivals_.size() - recent) / Seconds(settings_.past);
-  const bool is_rise =
-      recent >= settings_.least_jobs && rate >= settings_.rise * past_rate;
+  const double baseline_rate = static_cast<double>(arrivals_.size() - recent) /
+                               Seconds(settings_.baseline_window);
+  const bool is_rise = recent >= settings_.min_window_jobs &&
+                       rate >= settings_.rise_ratio * baseline_rate;
   if (!is_rise) {
     return {};
   }
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -20,12 +20,12 @@
   by_vm_.clear();
   ordered_ = 0;
   moving_ = 0;
-  for (std::size_t place = 0; place < hosts.size(); ++place) {
-    known_host& known = hosts_[hosts[place].host];
-    known.host = hosts[place];
-    known.place = place;
+  for (std::size_t position = 0; position < hosts.size(); ++position) {
+    known_host& known = hosts_[hosts[position].host];
+    known.host = hosts[position];
+    known.position = position;
     known.list = list_;
-    known.counts_as = {};
+    known.counted_as = {};
     if (!known.host.vm.empty()) {
       by_vm_[known.host.vm] = &known;
     }
@@ -56,7 +56,7 @@
   const bool is_usable =
       host.state == host_state::kUp && offers_.count(host.vm) == 0 &&
       closed_.count(host.vm) == 0 && leaving_.count(host.vm) == 0;
-  host_standing next;
+  host_classification next;
   if (has_move) {
     next.pool = move->second.pool;
   } else if (is_coming || is_usable) {
@@ -66,7 +66,7 @@
   next.is_ordered = has_move && !next.is_moving;
   next.is_free = !has_move && IsFree(host);
   next.is_spare = spare_.count(host.pool) != 0;
-  known->counts_as = next;
+  known->counted_as = next;
   if (!next.is_free || next.is_spare) {
     known->unwanted_since.reset();
   }
@@ -74,21 +74,21 @@
 }
 
 void fleet_balancer::Count(known_host* known, bool is_added) {
-  const host_standing& standing = known->counts_as;
+  const host_classification& classification = known->counted_as;
   const std::uint32_t one = is_added ? 1U : ~0U;
-  if (!standing.pool.empty()) {
-    counts_[standing.pool] += one;
+  if (!classification.pool.empty()) {
+    counts_[classification.pool] += one;
   }
-  ordered_ += standing.is_ordered ? one : 0U;
-  moving_ += standing.is_moving ? one : 0U;
-  if (!standing.is_free) {
+  ordered_ += classification.is_ordered ? one : 0U;
+  moving_ += classification.is_moving ? one : 0U;
+  if (!classification.is_free) {
     return;
   }
-  free_hosts& list = standing.is_spare ? free_spares_ : free_offers_;
+  free_hosts& list = classification.is_spare ? free_spares_ : free_offers_;
   if (is_added) {
-    list[known->place] = known;
+    list[known->position] = known;
   } else {
-    list.erase(known->place);
+    list.erase(known->position);
   }
 }
 
@@ -146,23 +146,23 @@
   return found == counts_.end() ? 0 : found->second;
 }
 
-balance_figures fleet_balancer::Figures(const std::set<host_id>& busy) const {
-  balance_figures figures;
+balancer_stats fleet_balancer::Stats(const std::set<host_id>& busy) const {
+  balancer_stats stats;
   for (const auto& [pool, wanted] : wanted_) {
-    figures.wanted += wanted;
-    figures.missing += wanted - std::min(wanted, CountOf(pool));
+    stats.wanted += wanted;
+    stats.missing += wanted - std::min(wanted, CountOf(pool));
   }
-  figures.moving = moving_;
-  figures.ordered = ordered_;
-  figures.free =
+  stats.moving = moving_;
+  stats.ordered = ordered_;
+  stats.free =
       static_cast<std::uint32_t>(free_spares_.size() + free_offers_.size());
   for (const host_id& host : busy) {
     const auto found = hosts_.find(host);
     const bool is_held =
-        found != hosts_.end() && found->second.counts_as.is_free;
-    figures.free -= is_held ? 1 : 0;
+        found != hosts_.end() && found->second.counted_as.is_free;
+    stats.free -= is_held ? 1 : 0;
   }
-  return figures;
+  return stats;
 }
 
 bool fleet_balancer::IsFree(const fleet_host& host) const {
@@ -197,7 +197,8 @@
       ++visited_hosts_;
       known_host* known = it->second;
       if (known->host.pool != pool && busy.count(known->host.host) == 0) {
-        const bool is_later = last == nullptr || known->place > last->place;
+        const bool is_later =
+            last == nullptr || known->position > last->position;
         last = is_later ? known : last;
         break;
       }
@@ -218,43 +219,43 @@
     }
   }
   // The pool that misses most goes first, VM by VM.
-  std::set<pool_id> unserved;
+  std::set<pool_id> unsatisfied;
   while (true) {
-    const pool_id* neediest = nullptr;
+    const pool_id* most_deficient = nullptr;
     std::int64_t most = 0;
     for (const auto& [pool, wanted] : wanted_) {
       const std::int64_t missing = std::int64_t{wanted} - CountOf(pool);
-      if (missing > most && unserved.count(pool) == 0) {
+      if (missing > most && unsatisfied.count(pool) == 0) {
         most = missing;
-        neediest = &pool;
+        most_deficient = &pool;
       }
     }
-    if (neediest == nullptr) {
+    if (most_deficient == nullptr) {
       break;
     }
-    if (known_host* chosen = FindFree(*neediest, busy)) {
-      Order(chosen, *neediest, now, &moves);
+    if (known_host* chosen = FindFree(*most_deficient, busy)) {
+      Order(chosen, *most_deficient, now, &moves);
     } else {
-      unserved.insert(*neediest);
+      unsatisfied.insert(*most_deficient);
     }
   }
-  PutAside(busy, unserved, now, &moves);
+  MoveToSparePool(busy, unsatisfied, now, &moves);
   return moves;
 }
 
 // Sends hosts that nobody has wanted for a while to the spare pool; at once
 // those that their own pools want back, since there is no other way.
-void fleet_balancer::PutAside(const std::set<host_id>& busy,
-                              const std::set<pool_id>& wanting,
-                              time_point now,
-                              std::vector<move_host>* moves) {
+void fleet_balancer::MoveToSparePool(const std::set<host_id>& busy,
+                                     const std::set<pool_id>& wanting,
+                                     time_point now,
+                                     std::vector<move_host>* moves) {
   if (spare_.empty()) {
     return;
   }
   const duration delay =
       is_scarce_ ? settings_.scarce_spare_delay : settings_.spare_delay;
   std::vector<known_host*> unwanted;
-  for (const auto& [place, known] : free_offers_) {
+  for (const auto& [position, known] : free_offers_) {
     unwanted.push_back(known);
   }
   visited_hosts_ += unwanted.size();
--- a/src/core/jobs/job_age.cc
+++ b/src/core/jobs/job_age.cc
@@ -8,7 +8,7 @@
   if (!job.handed_in_at) {
     return duration::zero();
   }
-  return std::clamp(wall_now - *job.handed_in_at, duration::zero(), kMostAge);
+  return std::clamp(wall_now - *job.handed_in_at, duration::zero(), kMaxAge);
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/job_state.cc
+++ b/src/core/jobs/job_state.cc
@@ -423,7 +423,7 @@
   result.arrived_at = handed_in_at_;
   result.started_at = started_at_;
   result.deadline = deadline_;
-  result.chain = LongestChain();
+  result.critical_path = LongestChain();
   result.waits = waits_;
   result.repeated_runs = repeated_runs_;
   result.is_inherited = is_inherited_;
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -189,7 +189,7 @@
   time_point deadline_;
   job_phase phase_ = job_phase::kQueued;
   std::optional<time_point> started_at_;
-  wait_clock waits_;
+  wait_time_tracker waits_;
   std::uint32_t repeated_runs_ = 0;
   bool is_inherited_ = false;
   bool is_given_up_ = false;
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -22,7 +22,7 @@
 
 struct fleet_settings {
   std::string address;
-  core::jobs::wave_settings waves;
+  core::jobs::maintenance_settings waves;
   core::jobs::balancer_settings balancer;
   core::jobs::vacancy_settings vacancies;
   writer_settings writer;
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -70,7 +70,7 @@
                         PoolPartitionOf(vm->pool) == partition_;
     if (is_own) {
       scheduler_->UpdateVm(*vm, BootTime());
-      if (const auto until = deps_.world->report_ages().TrustedUntil(id)) {
+      if (const auto until = deps_.world->report_validity().TrustedUntil(id)) {
         scheduler_->NoteReport(id, *until);
       }
     } else {
@@ -94,7 +94,7 @@
         return PoolPartitionOf(pool) == partition_;
       });
   scheduler_->UpdateVms(vms, BootTime());
-  scheduler_->NoteReports(deps_.world->report_ages().trusted_until());
+  scheduler_->NoteReports(deps_.world->report_validity().trusted_until());
   Kick();
 }
 
@@ -306,7 +306,7 @@
       {"verdict", std::string(core::NameOf(verdict))},
       {"ms", MillisOf(now - job.arrived_at)},
       {"allowed_ms", MillisOf(job.deadline - job.arrived_at)},
-      {"chain_ms", MillisOf(job.chain)},
+      {"chain_ms", MillisOf(job.critical_path)},
       {"repeated_runs", std::to_string(job.repeated_runs)}};
   if (job.started_at) {
     fields.emplace_back("first_start_ms",
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -62,10 +62,10 @@
  private:
   struct pool_size {
     pool_size(const core::jobs::sizer_settings& settings,
-              const core::jobs::arrival_settings& arrival_settings)
-        : sizer(settings), arrivals(arrival_settings) {}
+              const core::jobs::arrival_rate_settings& arrival_rate_settings)
+        : sizer(settings), arrivals(arrival_rate_settings) {}
     core::jobs::pool_sizer sizer;
-    core::jobs::arrival_meter arrivals;
+    core::jobs::arrival_rate_monitor arrivals;
     wanted_vms told;
     core::time_point told_at;
   };
@@ -192,7 +192,7 @@
   /// Pools that have fewer VMs than they want.
   std::set<core::jobs::pool_id> short_pools_;
   std::map<core::jobs::pool_id, pool_size> sizes_;
-  core::jobs::vacancy_keeper vacancies_;
+  core::jobs::vacancy_manager vacancies_;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -221,7 +221,7 @@
   owner_record owner;
   owner.epoch =
       static_cast<std::uint64_t>(record.At("epoch").Whole(1, kMostNumber));
-  owner.member = record.At("member").Text(core::jobs::kMostNameBytes);
+  owner.member = record.At("member").Text(core::jobs::kMaxNameBytes);
   const value_reader leases = record.At("leases");
   const auto* fields = leases.IsMissing() ? nullptr : leases.Fields();
   if (fields != nullptr) {
@@ -252,7 +252,7 @@
 // A mark is there or dropped; nothing else is written for it.
 std::optional<record_fault> FaultOfMark(const std::string& name,
                                         const adapter::keyed_record& record) {
-  if (!core::jobs::IsSoundName(name)) {
+  if (!core::jobs::IsValidName(name)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   if (record.value && *record.value != kMark) {
@@ -425,7 +425,7 @@
 
 decoded<pool_record> DecodeVmMark(const std::string& vm,
                                   const adapter::keyed_record& record) {
-  if (!core::jobs::IsSoundName(vm)) {
+  if (!core::jobs::IsValidName(vm)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   if (record.value && !net::IsAddress(*record.value)) {
@@ -454,11 +454,11 @@
     }
     return pool_record(order_record{host, "", !record.value.has_value()});
   }
-  if (!core::jobs::IsSoundName(host)) {
+  if (!core::jobs::IsValidName(host)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   const std::string holder = value.substr(kHolderPrefix.size());
-  if (!core::jobs::IsSoundName(holder)) {
+  if (!core::jobs::IsValidName(holder)) {
     return record_fault{fault_kind::kOutOfRange, ""};
   }
   return pool_record(order_record{host, holder, false});
--- a/tests/adapter/codec_test.cc
+++ b/tests/adapter/codec_test.cc
@@ -157,7 +157,7 @@
   REQUIRE(wave);
   CHECK(wave->hosts.size() == 2);
   CHECK(wave->time_limit == milliseconds(2500));
-  CHECK(wave->most_at_once == 3);
+  CHECK(wave->max_concurrent == 3);
 
   const auto vm = DecodeVm(
       "i-1",
--- a/tests/core/jobs/arrival_rate_monitor_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -30,7 +30,7 @@
 // job may wait about that long before it is late. What counts is how soon after
 // the first job the pool asks for all that the turn will take.
 TEST_CASE("A queue's turn is noticed by its first jobs") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   for (int i = 0; i < 5; ++i) {
     now += seconds(3);
@@ -95,7 +95,7 @@
 // Guards against a turn that isn't noticed: jobs that were handed in seconds
 // before count for the calm before it.
 TEST_CASE("A rise is noticed also after jobs that were read late") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   meter.Note(ShortJob(), now);
   for (int i = 0; i < 40; ++i) {
@@ -110,7 +110,7 @@
 }
 
 TEST_CASE("Jobs that come evenly, or two at once, are no rise") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
 
   SECTION("ten a second, for long") {
--- a/tests/core/jobs/job_age_test.cc
+++ b/tests/core/jobs/job_age_test.cc
@@ -36,9 +36,9 @@
   job.handed_in_at = now + seconds(5);
   CHECK(AgeOf(job, now) == duration::zero());
   job.handed_in_at = now - hours(1);
-  CHECK(AgeOf(job, now) == kMostAge);
+  CHECK(AgeOf(job, now) == kMaxAge);
   job.handed_in_at = time_point();
-  CHECK(AgeOf(job, now) == kMostAge);
+  CHECK(AgeOf(job, now) == kMaxAge);
 }
 
 // Guards against jobs whose deadlines begin anew with each takeover: those that
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -18,7 +18,7 @@
   result.arrived_at = begin;
   result.started_at = begin + milliseconds(100);
   result.deadline = begin + seconds(3);
-  result.chain = seconds(2);
+  result.critical_path = seconds(2);
   const time_point late = begin + seconds(4);
   CHECK(VerdictOf(result, result.deadline) == job_verdict::kInTime);
   CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -292,7 +292,7 @@
   CHECK(after.vm_capacity.cpu_millis == 6000);
 
   sizer_settings settings;
-  settings.fill = 1.0;
+  settings.fill_ratio = 1.0;
   settings.reserve = 0;
   CHECK(pool_sizer(settings).Update(before, false, driver.now) == 2);
   CHECK(pool_sizer(settings).Update(after, false, driver.now) == 3);
