--- a/include/plantainhead/core/jobs/arrival_rate_monitor.h
+++ b/include/plantainhead/core/jobs/arrival_rate_monitor.h
@@ -9,54 +9,60 @@
 
 namespace plantainhead::core::jobs {
 
+/// Windows and thresholds by which a rise in the job arrival rate is detected.
 struct arrival_rate_settings {
-  /// A rise is looked for in the jobs of this time. In its turn a queue brings
-  /// 9 to 36 jobs a second, so that this holds 4 to 14 of them.
+  /// The window in which a rise is looked for. During a burst a queue receives
+  /// 9 to 36 jobs per second, so the window holds 4 to 14 of them.
   duration window = std::chrono::milliseconds(400);
-  /// The end of the window, whose rate counts in place of the whole window's
-  /// while a rise is steep: one that has just begun fills little of the window.
+  /// The most recent part of the window. While a rise is steep, its rate is
+  /// used instead of the rate of the whole window, since a rise that has just
+  /// begun fills only a small part of the window.
   duration short_window = std::chrono::milliseconds(100);
-  /// With fewer jobs at its end no rise is steep.
+  /// With fewer jobs in the short window, no rise counts as steep.
   std::size_t min_short_window_jobs = 12;
-  /// Jobs must come this many times as fast there as in the whole window.
+  /// A rise is steep if the rate in the short window is at least this many
+  /// times the rate in the whole window.
   double steep_ratio = 2.0;
-  /// The rate is compared with that of this time before the window.
+  /// The time before the window whose rate is the baseline.
   duration baseline_window = std::chrono::milliseconds(2600);
-  /// Fewer jobs than this in the window are no rise.
+  /// With fewer jobs in the window, no rise is reported.
   std::size_t min_window_jobs = 3;
-  /// Jobs must come this many times as fast as before. At a constant rate of
-  /// eight in the window chance brings that in one of 200 windows.
+  /// A rise is reported if the rate is at least this many times the baseline.
+  /// At a constant rate of eight jobs per window, random variation exceeds this
+  /// in one of 200 windows.
   double rise_ratio = 2.0;
 };
 
-/// Notices when a queue's turn begins: its jobs come many times as fast as
-/// before. What waits then tells how many VMs are needed only when most of the
-/// jobs that will wait are there, and VMs come 1.5 s after they are asked for.
-/// The rate of the arrivals tells it within the first few jobs.
-/// Pure and not thread-safe.
+/// Detects the beginning of a queue's burst by its job arrival rate, so that
+/// VMs can be requested early. VMs arrive 1.5 s after they are requested, and
+/// the backlog shows how many are needed only once most of the jobs that will
+/// wait have arrived. The arrival rate shows it within the first few jobs. Pure
+/// and not thread-safe.
 class arrival_rate_monitor {
  public:
   explicit arrival_rate_monitor(const arrival_rate_settings& settings)
       : settings_(settings) {}
 
-  /// Notes a job that has just been read and was handed in `age` before; ages
-  /// may come in any order. Lasting steps count for nothing: they don't come at
-  /// a rate. Precondition: times don't fall.
+  /// Records a job that has just been read and was submitted `age` ago; ages
+  /// may come in any order. Long-running (lasting) steps are ignored, since
+  /// they do not arrive at a rate. Precondition: `now` never decreases.
   void Note(const job_spec& job,
             time_point now,
             duration age = duration::zero());
-  /// Returns what the tasks will take on average if jobs go on to come as they
-  /// do now; nothing while no rise is under way. By the callers' estimates, and
-  /// for jobs of average size: a single large one is no rise.
+  /// Returns the resources that tasks will use on average if jobs keep arriving
+  /// at the current rate; zero while no rise is in progress. The demand is
+  /// computed from the callers' estimates for jobs of average size, so a single
+  /// large job does not count as a rise.
   resources RisingDemand(time_point now);
-  /// Returns how many jobs the last `RisingDemand` told the rate by.
+  /// Returns the number of jobs from which the last call of `RisingDemand`
+  /// computed the rate.
   std::size_t recent_jobs() const { return recent_jobs_; }
 
  private:
-  /// Returns how many jobs a second come now.
+  /// Returns the current arrival rate in jobs per second.
   double RateNow(time_point now) const;
 
-  /// Resources x seconds.
+  /// One job; its demand is in resource units times seconds.
   struct arrival {
     time_point at;
     double cpu = 0;
@@ -65,7 +71,7 @@
   };
 
   arrival_rate_settings settings_;
-  /// By their times.
+  /// Ordered by time.
   std::deque<arrival> arrivals_;
   std::size_t recent_jobs_ = 0;
 };
--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -16,100 +16,106 @@
 
 namespace plantainhead::core::jobs {
 
-/// Bring the host into the pool; what runs on it ends.
+/// Order to move the host to the pool. Tasks that run on the host are
+/// terminated.
 struct move_host {
   host_id host;
   pool_id pool;
 };
 
-/// How far hosts are on their way to the pools that want them.
+/// Counters that show how far the fleet is from the distribution of hosts that
+/// the pools want.
 struct balancer_stats {
-  /// VMs that pools want, and how many of these they neither have nor get.
+  /// Number of VMs that pools want, and how many of these they neither have nor
+  /// are receiving.
   std::uint32_t wanted = 0;
   std::uint32_t missing = 0;
-  /// Hosts that could be moved now.
+  /// Hosts that can be moved now.
   std::uint32_t free = 0;
-  /// Hosts with an order to move that has no answer yet.
+  /// Hosts with a move order that has not been answered yet.
   std::uint32_t ordered = 0;
-  /// Hosts whose move was accepted or is under way.
+  /// Hosts whose move was accepted or is in progress.
   std::uint32_t moving = 0;
 
   bool operator==(const balancer_stats&) const = default;
 };
 
+/// Delays that the fleet balancer observes.
 struct balancer_settings {
-  /// An order that may not have arrived is sent again after this time; it has
-  /// no effect if it did.
+  /// A move order that may not have arrived is sent again after this time.
+  /// Orders are idempotent.
   duration order_retry = std::chrono::seconds(1);
-  /// How long a host that its pool gives away and nobody wants waits before it
-  /// goes to the spare pool. One queue's turn ends as the next one's begins: a
-  /// host that is already on its way to the spare pool comes 1.5 s later. Of
-  /// what callers asked 0.867 was earned with it, 0.860 without (30 plays
-  /// each).
+  /// How long a host that its pool has released and no other pool wants stays
+  /// in place before it moves to the spare pool. One queue's burst often ends
+  /// as another one's begins, and a host that is already moving to the spare
+  /// pool arrives 1.5 s later. With the delay 86.7% of the value that callers
+  /// asked for was earned, without it 86.0%.
   duration spare_delay = std::chrono::milliseconds(700);
-  /// The same while a pool has fewer VMs than it wants. What it wants grows
-  /// while its VMs are on their way, and a host that has gone to the spare pool
-  /// by then comes by two moves.
+  /// Like `spare_delay`, used while some pool has fewer VMs than it wants. Such
+  /// a pool's demand keeps growing while its VMs are being moved, and a host
+  /// that has gone to the spare pool by then needs two moves to reach it.
   duration scarce_spare_delay = std::chrono::milliseconds(2500);
 };
 
-/// Decides which hosts move between the pools and the spare pool: pools tell
-/// how many VMs they want and which they can do without. Pure and not
+/// Decides which hosts move between the pools and the spare pool, based on how
+/// many VMs each pool wants and which VMs it has released. Pure and not
 /// thread-safe.
 class fleet_balancer {
  public:
   explicit fleet_balancer(const balancer_settings& settings)
       : settings_(settings) {}
 
-  /// Replaces the list of the fleet's hosts, which was asked for at
-  /// `requested_at`. Looks at each of them.
+  /// Replaces the list of hosts, which was requested at `requested_at`. Visits
+  /// every host.
   void UpdateHosts(const std::vector<fleet_host>& hosts,
                    const std::set<pool_id>& spare,
                    time_point requested_at);
-  /// Replaces how many VMs each pool wants.
+  /// Replaces the number of VMs that each pool wants.
   void UpdateWanted(std::map<pool_id, std::uint32_t> wanted) {
     wanted_ = std::move(wanted);
   }
-  /// Takes in how many VMs the pool wants; nothing: it isn't known.
+  /// Sets the number of VMs that the pool wants; `nullopt` if it is unknown.
   void NoteWanted(const pool_id& pool, std::optional<std::uint32_t> wanted);
-  /// Tells whether a pool has fewer VMs than it wants, those on their way not
-  /// counted.
+  /// Sets whether some pool has fewer VMs than it wants, not counting those
+  /// that are being moved to it.
   void UpdateScarce(bool is_scarce) { is_scarce_ = is_scarce; }
-  /// Replaces the VMs that their pools have emptied and given away.
+  /// Replaces the set of VMs that their pools have drained and released.
   void UpdateOffers(const std::set<vm_id>& offers) {
     Replace(&offers_, offers);
   }
-  /// The same for one VM.
+  /// Like `UpdateOffers`, for one VM.
   void NoteOffer(const vm_id& vm, bool is_offered) {
     Put(&offers_, vm, is_offered);
   }
-  /// Replaces the VMs that take no tasks for other reasons.
+  /// Replaces the set of VMs that accept no tasks for other reasons.
   void UpdateClosed(const std::set<vm_id>& closed) {
     Replace(&closed_, closed);
   }
-  /// The same for one VM.
+  /// Like `UpdateClosed`, for one VM.
   void NoteClosed(const vm_id& vm, bool is_closed) {
     Put(&closed_, vm, is_closed);
   }
-  /// Replaces the VMs that have said that they leave.
+  /// Replaces the set of VMs that have announced their departure.
   void UpdateLeaving(const std::set<vm_id>& leaving) {
     Replace(&leaving_, leaving);
   }
-  /// `is_settled`: the order was carried out, or surely wasn't.
+  /// Handles the answer to a move order. `is_settled`: it is certain whether
+  /// the order was carried out.
   void OnMoveAnswer(const host_id& host,
                     bool is_accepted,
                     bool is_settled,
                     time_point now);
 
-  /// Returns when the move of the host was ordered, or ordered again; nothing
-  /// when none is under way.
+  /// Returns when the move of the host was last ordered; `nullopt` if no move
+  /// is in progress.
   std::optional<time_point> OrderedAt(const host_id& host) const;
-  /// Returns how far hosts are; `busy` as for `Plan`.
+  /// Returns the current counters; `busy` has the same meaning as for `Plan`.
   balancer_stats Stats(const std::set<host_id>& busy) const;
-  /// Returns the moves to order now. `busy` are hosts that are being serviced.
+  /// Returns the moves to order now. `busy` are the hosts that are being
+  /// serviced.
   std::vector<move_host> Plan(const std::set<host_id>& busy, time_point now);
 
-  /// Returns how many hosts were looked at.
+  /// Returns the total number of hosts visited.
   std::uint64_t visited_hosts() const { return visited_hosts_; }
 
  private:
@@ -120,9 +126,9 @@
     time_point changed_at;
   };
 
-  /// As what a host counts.
+  /// The categories in which a host is counted.
   struct host_classification {
-    /// Empty: none.
+    /// The pool that has or will receive the host; empty if there is none.
     pool_id pool;
     bool is_free = false;
     bool is_spare = false;
@@ -130,21 +136,22 @@
     bool is_moving = false;
   };
 
-  /// A host of the list.
+  /// A host of the current list.
   struct known_host {
     fleet_host host;
-    /// In the list.
+    /// Position in the list.
     std::size_t position = 0;
-    /// Of the list that it was last in.
+    /// Number of the last list that contained the host.
     std::uint64_t list = 0;
     host_classification counted_as;
-    /// Since when nobody has wanted it, though its pool gives it away.
+    /// Since when no pool has wanted the host although its pool has released
+    /// it.
     std::optional<time_point> unwanted_since;
   };
-  /// Hosts that may be moved unless they are busy, by their places.
+  /// Hosts that may be moved unless they are busy, by position in the list.
   using free_hosts = std::map<std::size_t, known_host*>;
 
-  /// Counts the host as what it is by now.
+  /// Classifies the host again and updates the counters.
   void Reassess(known_host* known);
   void Count(known_host* known, bool is_added);
   void ReassessHost(const host_id& host);
@@ -152,7 +159,8 @@
   void Replace(std::set<vm_id>* vms, const std::set<vm_id>& next);
   bool IsFree(const fleet_host& host) const;
   std::uint32_t CountOf(const pool_id& pool) const;
-  /// Returns the last one in the list that may go to the pool, or null.
+  /// Returns the host with the highest position in the list that may move to
+  /// the pool, or null.
   known_host* FindFree(const pool_id& pool, const std::set<host_id>& busy);
   void MoveToSparePool(const std::set<host_id>& busy,
                        const std::set<pool_id>& wanting,
@@ -167,8 +175,8 @@
   std::unordered_map<host_id, known_host> hosts_;
   std::unordered_map<vm_id, known_host*> by_vm_;
   std::uint64_t list_ = 0;
-  /// How many VMs each pool has or is getting, without those that take no
-  /// tasks.
+  /// The number of VMs that each pool has or is receiving, without those that
+  /// accept no tasks.
   std::map<pool_id, std::uint32_t> counts_;
   free_hosts free_spares_;
   free_hosts free_offers_;
--- a/include/plantainhead/core/jobs/fleet_list.h
+++ b/include/plantainhead/core/jobs/fleet_list.h
@@ -7,13 +7,14 @@
 
 namespace plantainhead::core::jobs {
 
-/// Returns the list with the hosts whose rows can't be read: they are there,
-/// and neither moved nor serviced. If they were left out, they would seem to
-/// have left the fleet, and a wave that names them would count as complete.
+/// Returns `readable` extended by the hosts whose rows in the fleet list could
+/// not be read. They are listed as down, so that they are neither moved nor
+/// serviced. If they were omitted, they would appear to have left the fleet,
+/// and a wave that includes them would count as complete.
 ///
-/// `unreadable` are the names in those rows; empty where that can't be read
-/// either. Then any host of `previous`, the list before this one, may be meant.
-/// Thread safety: safe from any thread.
+/// `unreadable` holds the host names of those rows; a name is empty if it
+/// cannot be read either. Such a row may stand for any host of `previous`, the
+/// preceding list. Thread safety: safe from any thread.
 std::vector<fleet_host> AddUnreadableHosts(
     std::vector<fleet_host> readable,
     const std::vector<host_id>& unreadable,
--- a/include/plantainhead/core/jobs/host_order_queue.h
+++ b/include/plantainhead/core/jobs/host_order_queue.h
@@ -14,21 +14,22 @@
 
 using host_order = std::variant<move_host, service_host>;
 
-/// Returns the host that the order is for.
-/// Thread safety: safe from any thread.
+/// Returns the host that the order refers to. Thread safety: safe from any
+/// thread.
 const host_id& HostOf(const host_order& order);
 
-/// How many orders may be recorded or sent and have no answer yet. Each is to
-/// be sent soon after its record, so that no more are recorded than the
-/// connections to the platform carry in that time.
+/// Limits on the orders that are recorded or sent and have not been answered.
+/// An order must be sent soon after it is recorded, so no more are recorded
+/// than the connections to the platform can carry in that time.
 struct order_queue_settings {
   std::size_t max_moves = 64;
   std::size_t max_services = 32;
 };
 
-/// Orders for hosts that wait to be recorded and sent. A wave orders hundreds
-/// of services together, and pools wait for each move: neither kind waits for
-/// the other. Pure and not thread-safe.
+/// Queue of orders for hosts that wait to be recorded and sent. A wave orders
+/// hundreds of services at once while pools wait for each move, so moves and
+/// services have separate lanes and do not block each other. Pure and not
+/// thread-safe.
 class host_order_queue {
  public:
   using host_predicate = std::function<bool(const host_id&)>;
@@ -37,13 +38,14 @@
       : moves_(settings.max_moves), services_(settings.max_services) {}
 
   void Add(host_order order);
-  /// Returns the orders to record and send now, of those whose hosts may be
-  /// ordered. They are under way until each is over or given back.
+  /// Returns the orders to record and send now, restricted to hosts for which
+  /// `may_order` is true. They are in flight until `NoteFinished` or `Requeue`
+  /// is called for them.
   std::vector<host_order> Take(const host_predicate& may_order);
-  /// Takes orders back that weren't sent.
+  /// Puts orders that were not sent back into the queue.
   void Requeue(const std::vector<host_order>& orders);
-  /// Notes that the order was answered, or got no answer.
-  /// Precondition: it is under way.
+  /// Notes that the order was answered, or failed without an answer.
+  /// Precondition: it is in flight.
   void NoteFinished(const host_order& order) { --LaneOf(order).in_flight; }
 
   std::size_t waiting() const {
--- a/include/plantainhead/core/jobs/job_age.h
+++ b/include/plantainhead/core/jobs/job_age.h
@@ -6,13 +6,15 @@
 
 namespace plantainhead::core::jobs {
 
-/// A job that is older has missed its target anyway, and a clock that has
-/// jumped tells no more than this.
+/// Upper bound for the age of a job. An older job has missed its deadline in
+/// any case, and a larger value is more likely caused by a clock that has
+/// jumped.
 inline constexpr duration kMaxAge = std::chrono::seconds(60);
 
-/// Returns how long before `wall_now` the job was handed in: at least zero and
-/// at most `kMaxAge`, since clocks differ and jump; zero when it isn't known.
-/// Thread safety: safe from any thread.
+/// Returns how long before `wall_now` the job was submitted. The result is
+/// clamped to the range from zero to `kMaxAge`, since clocks differ and jump;
+/// it is zero if the time of submission is unknown. Thread safety: safe from
+/// any thread.
 duration AgeOf(const job_spec& job, time_point wall_now);
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/job_directory.h
+++ b/include/plantainhead/core/jobs/job_directory.h
@@ -11,10 +11,10 @@
 
 namespace plantainhead::core::jobs {
 
-/// What an entry knows of one job from the store.
+/// What an entry process has read about one job from the store.
 struct directory_entry {
-  /// Kept until the job has ended. Null also while only a record of its
-  /// progress has been read.
+  /// Null once the job has ended, and while only a progress record has been
+  /// read.
   std::shared_ptr<const job_spec> spec;
   pool_id pool;
   queue_id queue;
@@ -22,29 +22,31 @@
   bool is_cancelled = false;
   job_progress progress;
 
-  /// Returns the phase to tell callers.
+  /// Returns the phase to report to callers.
   job_phase Phase() const;
 };
 
-/// All jobs, as an entry has read them from the store. Records may come in any
-/// order and more than once. Not thread-safe.
+/// Index of all jobs that an entry process has read from the store. Records may
+/// arrive in any order and more than once. Not thread-safe.
 class job_directory {
  public:
-  /// Returns true when the job is new; the first record of an id counts.
+  /// Adds a job and returns whether it is new. Only the first record of an id
+  /// counts.
   bool AddJob(std::shared_ptr<const job_spec> spec);
-  /// Notes a job that was accepted and has ended, and of which nothing else is
+  /// Adds an accepted job that has ended and of which only the final phase is
   /// kept. Precondition: the phase is final.
   void NoteEnded(const job_id& id, job_phase phase);
-  /// Returns true when it is news.
+  /// Marks the job as cancelled and returns whether it was not cancelled
+  /// before.
   bool NoteCancel(const job_id& id);
   void NoteProgress(const job_id& id, job_progress progress);
 
-  /// Returns the entry, or null when no submission of the id is known.
+  /// Returns the entry, or null if no submission with this id is known.
   const directory_entry* Find(const job_id& id) const;
-  /// Returns how many accepted jobs of the queue have not begun.
+  /// Returns the number of accepted jobs of the queue that have not started.
   std::size_t Pending(const queue_id& queue) const;
-  /// Returns how many jobs haven't ended, by the pool that each was accepted
-  /// for and its queue. None is 0.
+  /// Returns the number of jobs that have not ended, by the pool for which the
+  /// job was accepted and by queue. Entries are never 0.
   const std::map<std::pair<pool_id, queue_id>, std::size_t>& OpenJobs() const {
     return open_;
   }
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -11,32 +11,34 @@
 
 namespace plantainhead::core::jobs {
 
-/// How a job went, as its last owner saw it.
+/// Outcome of a job as observed by its last owner.
 struct job_result {
   job_id id;
   queue_id queue;
   job_phase phase = job_phase::kCompleted;
-  /// When its caller handed it in; where that isn't known, when this owner
+  /// When the caller submitted the job; if that is unknown, when this owner
   /// learned of it.
   time_point arrived_at;
-  /// When its first task was ordered to start; none if none was.
+  /// When the start of the first task was ordered; empty if none was ordered.
   std::optional<time_point> started_at;
-  /// When it should have ended.
+  /// When the job should have ended.
   time_point deadline;
-  /// The estimate of its longest chain of work.
+  /// Estimated duration of the longest chain of dependent steps.
   duration critical_path = duration::zero();
-  /// What its tasks waited for.
+  /// How long its tasks waited, by cause.
   wait_time_tracker waits;
-  /// Runs that failed, lapsed, or were stopped to run elsewhere.
+  /// Number of runs that failed, lapsed, or were stopped to run elsewhere.
   std::uint32_t repeated_runs = 0;
-  /// It was accepted under an earlier owner, whose waits and repeated runs
-  /// aren't told here.
+  /// The job was accepted under an earlier owner, whose wait times and repeated
+  /// runs are not included.
   bool is_inherited = false;
-  /// It failed since VMs were lost under one of its tasks again and again.
+  /// The job failed because VMs were repeatedly lost while running one of its
+  /// tasks.
   bool is_given_up = false;
 };
 
-/// What spent the time of a job that missed its target, or that it missed none.
+/// Why a job missed its deadline or did not complete, or that it completed in
+/// time.
 enum class job_verdict {
   kInTime,
   /// Its tasks used up their attempts.
@@ -44,17 +46,18 @@
   /// One of its tasks crashes the VMs that start it.
   kGivenUp,
   kCancelled,
-  /// It changed its owner on the way.
+  /// The ownership of the job changed while it was running.
   kOwnerChanged,
   /// Runs of it were lost or failed and were repeated.
   kRunsRepeated,
-  /// Without the waits of its tasks it would have been in time, or its first
-  /// task started too late for what its caller estimated; mostly no VM had
-  /// room.
+  /// It would have been in time without the wait times of its tasks, or its
+  /// first task started too late for the caller's estimate, and most of the
+  /// wait time was spent waiting for a VM with enough free capacity.
   kWaitedForRoom,
-  /// The same, but mostly the owner of its pool started nothing.
+  /// Like `kWaitedForRoom`, but most of the wait time was spent waiting for the
+  /// owner of its pool.
   kWaitedForOwner,
-  /// It took longer than its caller estimated, apart from what it waited.
+  /// It took longer than its caller estimated, not counting wait times.
   kRanLong,
 };
 
@@ -73,9 +76,10 @@
   return kJobVerdictNames;
 }
 
-/// Returns what became of the job's target, when it ended at `ended_at`. Of
-/// several causes the first in the order above counts, since it brings the
-/// others about. Thread safety: safe from any thread.
+/// Returns whether a job that ended at `ended_at` met its deadline, and
+/// otherwise the cause. If several causes apply, the first one in the order of
+/// the enumerators counts, since it brings about the others. Thread safety:
+/// safe from any thread.
 job_verdict VerdictOf(const job_result& result, time_point ended_at);
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/maintenance.h
+++ b/include/plantainhead/core/jobs/maintenance.h
@@ -12,21 +12,22 @@
 
 namespace plantainhead::core::jobs {
 
-/// A VM through all its lives.
+/// Identifies a host: a VM across all its incarnations.
 using host_id = std::string;
 
-/// What operators want serviced.
+/// A set of hosts that operators want serviced together.
 struct maintenance_wave {
   std::uint64_t number = 0;
   std::vector<host_id> hosts;
-  /// Within this time after the wave was published.
+  /// The wave should be complete within this time after it was published.
   duration time_limit = duration::zero();
-  /// None: at some time before this process began to read waves.
+  /// Empty if the wave was published before this process began to read waves.
   std::optional<time_point> published_at;
-  /// Hosts that may be down for it at once.
+  /// Maximum number of hosts that may be down for the wave at the same time.
   std::uint32_t max_concurrent = 1;
 };
 
+/// State of a host as reported by the platform.
 enum class host_state { kUp, kMoving, kInService, kDown };
 
 inline constexpr name_table<host_state, 4> kHostStateNames = {{
@@ -39,13 +40,13 @@
   return kHostStateNames;
 }
 
-/// A VM as the platform's list of the fleet shows it.
+/// A host as shown in the platform's fleet list.
 struct fleet_host {
   host_id host;
   pool_id pool;
   host_state state = host_state::kDown;
   std::vector<std::string> labels;
-  /// Its present life; empty when it has none.
+  /// Its current incarnation; empty if there is none.
   vm_id vm;
 };
 
--- a/include/plantainhead/core/jobs/maintenance_scheduler.h
+++ b/include/plantainhead/core/jobs/maintenance_scheduler.h
@@ -16,23 +16,24 @@
 
 namespace plantainhead::core::jobs {
 
-/// Ask the pool's owner to empty the VM.
+/// Action: ask the pool's owner to drain the VM and give it no new tasks.
 struct close_vm {
   vm_id vm;
 };
 
-/// The VM's life is over, or it isn't to be serviced: take `close_vm` back.
+/// Action: revoke `close_vm`, since the VM's incarnation has ended or it is not
+/// to be serviced.
 struct release_vm {
   vm_id vm;
 };
 
-/// Service the host now; what runs on it ends.
+/// Action: service the host now. Tasks that run on it are terminated.
 struct service_host {
   std::uint64_t wave = 0;
   host_id host;
 };
 
-/// All hosts of the wave have been taken down for service.
+/// Action: report that all hosts of the wave have been taken down for service.
 struct complete_wave {
   std::uint64_t wave = 0;
 };
@@ -40,65 +41,67 @@
 using wave_action =
     std::variant<close_vm, release_vm, service_host, complete_wave>;
 
-/// How an order to service a host went.
+/// Outcome of an order to service a host.
 enum class service_result {
-  /// Begun, or done before.
+  /// The service has begun, or was already done.
   kAccepted,
-  /// Surely not begun; try again later.
+  /// The service has certainly not begun; retry later.
   kTemporaryFailure,
-  /// It can't be serviced in this wave.
+  /// The host cannot be serviced in this wave.
   kPermanentFailure,
-  /// May have begun, or may begin yet.
+  /// The service may have begun, or may begin later.
   kUnknown,
 };
 
+/// Pace and time limits of maintenance waves.
 struct maintenance_settings {
-  /// Hosts that are emptied ahead of their turn, so that one is ready when
-  /// another returns. Each costs its pool a VM meanwhile.
+  /// Number of hosts that are drained ahead of time, so that one is ready as
+  /// soon as another returns. Each costs its pool one VM meanwhile.
   std::uint32_t drained_ahead = 1;
-  /// What a host takes from being closed to being back: up to 2 s until it is
-  /// empty, 2 s of service, and a list every 0.6 s to see it by.
+  /// Time from closing a host until it is seen to be back: up to 2 s to drain
+  /// it, 2 s of service, and a fleet list every 0.6 s.
   duration cycle = std::chrono::milliseconds(5000);
-  /// Share of a wave's time by which it is to be done.
+  /// Fraction of the wave's time limit within which the wave should be done.
   double deadline_share = 0.8;
-  /// An order that may not have arrived is sent again after this time; it has
-  /// no effect if it did.
+  /// An order that may not have arrived is sent again after this time. Orders
+  /// are idempotent.
   duration order_retry = std::chrono::seconds(1);
-  /// A host that lists leave out for this time, from the first of them to the
-  /// last, has left for good. Racks that go dark come back within 8 s.
+  /// A host is considered to have left for good if fleet lists have omitted it
+  /// for this time, measured from the first such list to the last. Racks that
+  /// lose power return within 8 s.
   duration missing_limit = std::chrono::seconds(10);
 };
 
-/// Decides which hosts are emptied and serviced when, for all waves.
-/// Pure and not thread-safe.
+/// Decides when hosts are drained and serviced, for all maintenance waves. Pure
+/// and not thread-safe.
 class maintenance_scheduler {
  public:
   explicit maintenance_scheduler(const maintenance_settings& settings)
       : settings_(settings) {}
 
-  /// Adds a wave; one that is known stays as it is. Returns whether it is new:
-  /// what was noted of it before that isn't kept.
+  /// Adds a wave; a known one is not changed. Returns whether it is new.
+  /// Progress that was noted for the wave before it was added has been ignored.
   bool AddWave(const maintenance_wave& wave);
-  /// Notes what an earlier keeper recorded. It counts also for a host that is
-  /// being emptied.
+  /// Notes progress that an earlier scheduler recorded. It is applied also to a
+  /// host that is already being drained.
   void NoteServiced(std::uint64_t wave, const host_id& host);
   void NoteCompleted(std::uint64_t wave);
-  /// Replaces the list of the fleet's hosts, which was asked for at
-  /// `requested_at`. `spare` are the pools whose VMs run nothing.
+  /// Replaces the list of hosts, which was requested at `requested_at`. `spare`
+  /// are the pools whose VMs run no tasks.
   void UpdateHosts(const std::vector<fleet_host>& hosts,
                    const std::set<pool_id>& spare,
                    time_point requested_at);
-  /// Replaces the pools that have fewer VMs than they want.
+  /// Replaces the set of pools that have fewer VMs than they want.
   void UpdateUndersized(std::set<pool_id> pools) {
     undersized_ = std::move(pools);
   }
-  /// Replaces the VMs that are closed for service, as recorded.
+  /// Replaces the set of VMs that are recorded as closed for service.
   void UpdateClosed(const std::set<vm_id>& vms);
-  /// The same for one VM.
+  /// Like `UpdateClosed`, for one VM.
   void NoteClosed(const vm_id& vm, bool is_closed);
-  /// Replaces the set of VMs that have been emptied.
+  /// Replaces the set of VMs that have been drained.
   void UpdateEmpty(std::set<vm_id> empty) { empty_ = std::move(empty); }
-  /// The same for one VM.
+  /// Like `UpdateEmpty`, for one VM.
   void NoteEmpty(const vm_id& vm, bool is_empty);
   void OnServiceAnswer(std::uint64_t wave,
                        const host_id& host,
@@ -106,9 +109,10 @@
                        time_point now);
 
   std::vector<wave_action> Plan(time_point now);
-  /// Returns the hosts that are being emptied or serviced.
+  /// Returns the hosts that are being drained or serviced.
   std::set<host_id> BusyHosts() const;
-  /// Returns whether a wave isn't complete, so that the list must be read.
+  /// Returns whether a wave is not complete or a host has not returned yet, so
+  /// that the fleet list must be read.
   bool HasWork() const;
 
  private:
@@ -116,13 +120,13 @@
   enum class host_phase { kDue, kClosing, kOrdered, kDown, kDone };
   struct host_progress {
     host_phase phase = host_phase::kDue;
-    /// The life that is emptied or was ended.
+    /// The incarnation that is being drained or was terminated.
     vm_id vm;
     bool is_order_in_flight = false;
     time_point next_order_at;
-    /// When the order to service it was accepted.
+    /// When the service order was accepted.
     time_point accepted_at;
-    /// A list that was asked for after that showed it in service.
+    /// A list requested after that time showed the host in service.
     bool was_seen_down = false;
     /// Null until the host is first found in a list.
     const listed_host* listed = nullptr;
@@ -135,14 +139,15 @@
   struct listed_host {
     fleet_host host;
     time_point last_listed;
-    /// The first list since then, which left it out.
+    /// Request time of the first list after `last_listed`, which omitted the
+    /// host.
     std::optional<time_point> unlisted_since;
   };
-  /// A host that is up and whose turn may come.
+  /// A host that is up and may be closed next.
   struct due_host {
     host_progress* progress = nullptr;
     const fleet_host* host = nullptr;
-    /// How many VMs of its pool are being emptied or are down.
+    /// Number of VMs of its pool that are being drained or are down.
     std::uint32_t* busy = nullptr;
   };
   using due_iterator = std::vector<due_host>::iterator;
@@ -169,20 +174,20 @@
   due_iterator FindClosed(std::vector<due_host>* due) const;
   bool IsReady(const host_progress& progress, const fleet_host& host) const;
   std::set<vm_id> NeededVms() const;
-  /// Returns whether the present list tells that the VM is needed.
+  /// Returns whether the current list shows that the VM is needed.
   bool IsSurelyNeeded(const vm_id& vm) const;
   void ReleaseUnneeded(std::vector<wave_action>* actions);
   void Release(const vm_id& vm, std::vector<wave_action>* actions);
 
   maintenance_settings settings_;
   std::map<std::uint64_t, wave_progress> waves_;
-  /// Its elements are pointed to, and stay.
+  /// Elements are referenced by pointer and never erased.
   std::map<host_id, listed_host> hosts_;
   std::unordered_map<vm_id, host_id> host_of_vm_;
   std::set<pool_id> spare_;
   std::set<pool_id> undersized_;
   std::set<vm_id> closed_;
-  /// VMs that were released, and are still recorded as closed.
+  /// VMs that were released but are still recorded as closed.
   std::set<vm_id> released_;
   std::set<vm_id> empty_;
   time_point first_requested_at_;
--- a/include/plantainhead/core/jobs/owner_directory.h
+++ b/include/plantainhead/core/jobs/owner_directory.h
@@ -11,51 +11,55 @@
 
 namespace plantainhead::core::jobs {
 
-/// Where the owner of a partition of pools answers other processes.
+/// Address at which the owner of a partition of pools serves other processes.
 struct owner_address {
   std::uint64_t epoch = 0;
-  /// "IP:PORT"
+  /// Formatted as "IP:PORT".
   std::string address;
 
   friend bool operator==(const owner_address&, const owner_address&) = default;
 };
 
+/// Settings of the circuit breakers.
 struct owner_directory_settings {
-  /// An owner that left a request without an answer gets no other for this
-  /// time, and then one at a time until it answers.
+  /// An owner that left a request unanswered receives no further request for
+  /// this time, and then one per interval until it answers.
   duration retry_interval = std::chrono::seconds(1);
 };
 
-/// Whom to ask about the pools of a partition: a circuit breaker for each
-/// owner.
+/// Keeps the latest known owner of each partition of pools, with a circuit
+/// breaker for each owner.
 ///
-/// An owner that was frozen or cut off answers nothing, and each request that
-/// is passed on to it costs its caller a timeout. With the breaker one caller
-/// in each `retry_interval` pays that, and all others go to the store at once.
+/// An owner that is frozen or partitioned from the network answers nothing, and
+/// each request forwarded to it costs the caller a time-out. With the circuit
+/// breaker only one caller per `retry_interval` waits for the time-out, and all
+/// others read the store immediately.
 ///
-/// Pure: it neither calls nor looks at a clock. Not thread-safe.
+/// Pure: it makes no calls and reads no clock. Not thread-safe.
 class owner_directory {
  public:
   explicit owner_directory(const owner_directory_settings& settings)
       : settings_(settings) {}
 
-  /// Notes what an owner has announced. Returns true when it is newer than what
-  /// was known; announcements may be read in any order.
+  /// Notes an owner's announcement. Returns whether it is newer than the known
+  /// one; announcements may be read in any order.
   bool Note(std::uint32_t partition, owner_address owner);
-  /// Returns the newest announcement of the partition; epoch 0: there is none.
+  /// Returns the latest announcement for the partition; its epoch is 0 if there
+  /// is none.
   owner_address Latest(std::uint32_t partition) const;
 
-  /// Returns the owner that a request may be sent to now, if there is one.
+  /// Returns the owner to which a request may be sent now, if any.
   std::optional<owner_address> Choose(std::uint32_t partition, time_point now);
-  /// Notes that the owner of this epoch has answered, or that it said that it
-  /// is the owner no more, or hasn't answered.
+  /// Notes that the owner of this epoch has answered (`NoteAnswered`), or that
+  /// it has not answered or has reported that it is no longer the owner
+  /// (`NoteFailed`).
   void NoteAnswered(std::uint32_t partition, std::uint64_t epoch);
   void NoteFailed(std::uint32_t partition, std::uint64_t epoch, time_point now);
 
  private:
   struct entry {
     owner_address owner;
-    /// Set while the owner is taken for unable to answer.
+    /// Set while the owner is considered unable to answer.
     std::optional<time_point> resume_at;
   };
 
--- a/include/plantainhead/core/jobs/pool_sizer.h
+++ b/include/plantainhead/core/jobs/pool_sizer.h
@@ -12,58 +12,62 @@
 
 namespace plantainhead::core::jobs {
 
-/// How far the VMs of a pool are on their way to taking tasks. Each counts in
-/// the first line that holds for it.
+/// Number of VMs of a pool that accept no tasks, by the reason. A VM is counted
+/// under the first reason that applies.
 struct vm_stages {
-  /// Emptied, to be given away or serviced, or about to leave.
+  /// Drained in order to be released or serviced, or about to leave.
   std::uint32_t closed = 0;
-  /// Hasn't listed what runs on it, or not since it fell silent.
+  /// Has not reported which tasks it runs, or not since contact with it was
+  /// lost.
   std::uint32_t unheard = 0;
-  /// The record that the pool uses it isn't stored.
+  /// The record that the pool uses it has not been stored.
   std::uint32_t unrecorded = 0;
-  /// What it told of its capacity is old, or it runs what isn't known.
+  /// Its reported capacity is out of date, or it runs unknown tasks.
   std::uint32_t untrusted = 0;
 };
 
-/// What a pool's tasks take and could take now.
+/// Current resource use and demand of a pool, and its available VMs.
 struct pool_load {
-  /// Of the runs on its VMs.
+  /// Used by the runs on its VMs.
   resources used;
-  /// Of the tasks that may start but found no room.
+  /// Demand of the tasks that are ready to start but do not fit on any VM.
   resources waiting;
-  /// What jobs that come at a rising rate will take; see
+  /// Predicted demand of jobs that arrive at a rising rate; see
   /// `arrival_rate_monitor`.
   resources rising;
-  /// How many jobs told that rate.
+  /// Number of jobs from which that rate was computed.
   std::size_t rising_jobs = 0;
-  /// VMs that take tasks.
+  /// VMs that accept tasks.
   std::uint32_t usable_vms = 0;
-  /// VMs that are listed and take none.
+  /// VMs that are listed and accept no tasks.
   vm_stages stages;
-  /// Of a VM of the pool, on average.
+  /// Average capacity of a VM of the pool.
   resources vm_capacity;
-  /// Most tasks of one step that must stand on different VMs.
+  /// Largest number of tasks of one step that must run on different VMs.
   std::uint32_t spread = 0;
 };
 
+/// Headroom and time windows used to size a pool.
 struct sizer_settings {
-  /// Share of a VM that tasks fill, as they don't divide its capacity evenly.
+  /// Fraction of a VM's capacity that tasks can use, since they do not divide
+  /// it evenly.
   double fill_ratio = 0.85;
-  /// VMs beyond what is needed now: for the first tasks of a rise, before more
-  /// VMs come, and for the loss of one.
+  /// VMs in addition to those needed now. They run the first tasks of a rise
+  /// until more VMs arrive, and cover the loss of one VM.
   std::uint32_t reserve = 2;
-  /// A pool shrinks to the most that it needed in this time. A VM that is given
-  /// away is missed for the time of two moves (1.5 s each) when the demand
-  /// returns, and costs as much to move as 1.1 s of its use.
+  /// A pool shrinks to the largest demand within this time. A VM that is
+  /// released is unavailable for two moves (1.5 s each) when the demand
+  /// returns, and moving it costs as much as 1.1 s of its use.
   duration demand_window = std::chrono::milliseconds(2500);
-  /// The same while another pool lacks VMs. It outlasts the gaps between the
-  /// bursts of a few jobs.
+  /// Like `demand_window`, used while another pool lacks VMs. It is longer than
+  /// the gaps between short bursts of a few jobs.
   duration scarce_demand_window = std::chrono::milliseconds(400);
-  /// A rise counts for this time after it was last seen, also while another
-  /// pool lacks VMs: until its VMs are there, its tasks wait for them.
+  /// A detected rise counts for this time after it was last observed, also
+  /// while another pool lacks VMs, because its tasks wait until its VMs have
+  /// arrived.
   duration rise_hold_time = std::chrono::milliseconds(2500);
-  /// A rate that fewer jobs tell is off by chance by more than a sixth. It
-  /// counts for the moment only.
+  /// A rate computed from fewer jobs has a random error of more than one sixth.
+  /// Such a rise is not held and affects only the current update.
   std::size_t min_held_rise_jobs = 40;
 };
 
@@ -72,27 +76,28 @@
  public:
   explicit pool_sizer(const sizer_settings& settings) : settings_(settings) {}
 
-  /// Returns how many VMs the pool should have, given its load now.
-  /// `is_scarce`: another pool has fewer than it wants.
+  /// Returns how many VMs the pool should have at its current load.
+  /// `is_scarce`: another pool has fewer VMs than it wants.
   std::uint32_t Update(const pool_load& load, bool is_scarce, time_point now);
-  /// Returns whether the load has been watched for long enough to shrink by it.
-  /// A new owner knows only what it has seen; but while another pool lacks VMs
-  /// it gives away what it can do without as soon as one that has been at work
-  /// for long would. When all processes start again in another queue's turn,
-  /// most spare hosts are in pools whose turn is over.
+  /// Returns whether the load has been observed for long enough to shrink the
+  /// pool. A new owner knows only the load that it has observed itself. While
+  /// another pool lacks VMs, the shorter `scarce_demand_window` applies: when
+  /// all processes restart during a queue's burst, most spare hosts are in
+  /// pools whose burst is over.
   bool MayShrink(bool is_scarce, time_point now) const;
 
  private:
   std::uint32_t Needed(const pool_load& load) const;
-  /// Returns how many VMs the VMs' worth of tasks need.
+  /// Returns how many VMs are needed to hold tasks that amount to the full
+  /// capacity of `vms` VMs.
   std::uint32_t VmsToHold(double vms) const;
   void NoteRise(const pool_load& load, time_point now);
 
   sizer_settings settings_;
   std::optional<time_point> first_update_;
-  /// What rises asked for, falling, the newest last.
+  /// VMs required by detected rises, in descending order, the newest last.
   std::deque<std::pair<time_point, std::uint32_t>> rise_peaks_;
-  /// Falling needs, the newest last.
+  /// VMs required, in descending order, the newest last.
   std::deque<std::pair<time_point, std::uint32_t>> need_peaks_;
 };
 
--- a/include/plantainhead/core/jobs/record_faults.h
+++ b/include/plantainhead/core/jobs/record_faults.h
@@ -11,25 +11,25 @@
 
 #include "plantainhead/core/names.h"
 
-/// Records of the store that can't be used as they are: another writer may
-/// have put anything under any key.
+/// Classification and counting of invalid records in the store. Any writer may
+/// have stored any value under any key.
 namespace plantainhead::core::jobs {
 
-/// What is wrong with a record.
+/// The kind of fault in a record.
 enum class fault_kind {
-  /// The frame, the key or the encoding around the value can't be read.
+  /// The frame, the key or the encoding around the value cannot be decoded.
   kUnreadable,
-  /// The value is empty, cut off, or isn't JSON in UTF-8.
+  /// The value is empty, truncated, or not JSON in UTF-8.
   kNotJson,
-  /// Lists and objects stand in one another deeper than any record of ours.
+  /// Arrays and objects are nested more deeply than in any valid record.
   kTooDeep,
-  /// An object has a field twice; readers differ in which one they take.
+  /// An object has a duplicate field; readers differ in which one they use.
   kDuplicate,
   kMissing,
   kWrongType,
   kOutOfRange,
   kTooLong,
-  /// A state, phase, pool or kind of record that has no meaning here.
+  /// A state, phase, pool or record type that is not known.
   kUnknownName,
 };
 
@@ -48,16 +48,18 @@
   return kFaultKindNames;
 }
 
-/// The first fault that was found in a record.
+/// The first fault found in a record.
 struct record_fault {
   fault_kind kind = fault_kind::kUnreadable;
-  /// Where in the record, as in "routes[2].name"; empty: all of it.
+  /// Path of the faulty field, such as "routes[2].name"; empty if the fault
+  /// concerns the whole record.
   std::string field;
 
   bool operator==(const record_fault&) const = default;
 };
 
-/// A record as a whole, or the fault that makes it none.
+/// Result of decoding a record: the value, or the fault that prevented
+/// decoding.
 template <typename T>
 class decoded {
  public:
@@ -77,7 +79,7 @@
   std::variant<T, record_fault> content_;
 };
 
-/// What a record that can't be read would have told.
+/// The purpose of a record, which determines the effect of a fault in it.
 enum class record_use {
   kConfiguration,
   kWave,
@@ -91,42 +93,44 @@
   kFleetNote,
 };
 
-/// What a fault does, beside being counted and logged.
+/// The effect of a fault, in addition to being counted and logged.
 enum class fault_effect {
-  /// What was read under the key before stays as it is; without that there is
-  /// nothing.
+  /// The value read earlier under the key stays in effect; if there is none,
+  /// the record is ignored.
   kKeepPrevious,
-  /// The VM gets no new task, and isn't gone.
+  /// The VM receives no new tasks, but is not considered gone.
   kNoNewTasks,
-  /// Somebody unknown may have claimed the partition and may give orders.
+  /// An unknown process may have claimed the partition and may issue orders.
   kClaimUnknown,
-  /// It counts as told that the VM or host is in use.
+  /// The VM or host is assumed to be in use.
   kAssumeInUse,
 };
 
-/// Returns the effect that does the least harm, whoever wrote the record.
+/// Returns the effect that is safest, whichever process wrote the record.
 /// Thread safety: safe from any thread.
 fault_effect EffectOf(record_use use);
 
-/// Counts faults, and says which of them are worth a line in the log.
-/// Thread safety: one thread at a time.
+/// Counts record faults and decides which of them are logged. Thread safety:
+/// one thread at a time.
 class record_fault_counter {
  public:
   using counts_by_fault =
       std::map<std::pair<std::string, fault_kind>, std::uint64_t>;
 
-  /// Notes a fault. Returns true for the first one of the topic's key, up to a
-  /// bound of keys in all: records are read again and again, and another writer
-  /// may make up keys without end.
+  /// Counts a fault. Returns whether it should be logged: true for the first
+  /// fault of each key of a topic, up to a maximum number of keys. Records are
+  /// read repeatedly, and another writer may create any number of keys.
   bool Note(const std::string& topic,
             const std::string& key,
             const record_fault& fault);
-  /// Notes that the key holds a sound record, so that its next fault is news.
+  /// Notes that the key holds a valid record, so that its next fault is logged
+  /// again.
   void NoteValid(const std::string& topic, const std::string& key);
 
-  /// Returns how many records were read with each fault, by topic.
+  /// Returns the number of times records were read with each fault, by topic.
   const counts_by_fault& counts() const { return counts_; }
-  /// Returns how many keys hold a record with a fault, up to the bound.
+  /// Returns the number of keys that hold a faulty record, up to the maximum
+  /// that is tracked.
   std::size_t FaultyKeys() const { return keys_.size(); }
 
  private:
@@ -134,12 +138,12 @@
   std::set<std::pair<std::string, std::string>> keys_;
 };
 
-/// Returns whether the text can serve as the name of a VM, host, pool or job:
-/// names become parts of keys, headers and log lines.
+/// Returns whether the text is valid as the name of a VM, host, pool or job.
+/// Names become parts of keys, headers and log lines.
 bool IsValidName(const std::string& text);
 
-/// Bytes of the longest name. The store's keys have 255 at most, and the
-/// longest of the prefixes before a name has 30.
+/// Maximum length of a name in bytes. The store limits keys to 255 bytes, and
+/// the longest prefix before a name has 30.
 inline constexpr std::size_t kMaxNameBytes = 200;
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/vacancy_checker.h
+++ b/include/plantainhead/core/jobs/vacancy_checker.h
@@ -14,87 +14,89 @@
 
 namespace plantainhead::core::jobs {
 
-/// What a VM was emptied for.
+/// Why a VM was drained.
 enum class vacancy_reason {
-  /// Its pool has no use for it.
+  /// Its pool does not need it.
   kOffered,
   /// Its host is to be serviced.
   kForService,
 };
 inline constexpr std::size_t kVacancyReasons = 2;
 
-/// An owner of a pool tells that it has emptied a VM and uses it no more.
+/// Hint from the owner of a pool that it has drained a VM and no longer uses
+/// it.
 struct vacancy_hint {
   vm_id vm;
   vacancy_reason reason = vacancy_reason::kOffered;
-  /// The partition of the pool, and the epoch of the owner that tells.
+  /// The partition of the pool, and the epoch of the owner that sent the hint.
   std::uint32_t partition = 0;
   std::uint64_t epoch = 0;
 
   bool operator==(const vacancy_hint&) const = default;
 };
 
+/// Settings of the vacancy checker.
 struct vacancy_settings {
   /// How long an offered VM must be missing before its offer is dropped. The
   /// registry is read up to 2 s late, and misses VMs for some seconds after the
-  /// store was away.
+  /// store was unavailable.
   duration missing_limit = std::chrono::seconds(10);
 };
 
-/// Whether a VM is surely vacant.
+/// Change in whether a VM is confirmed to be vacant.
 struct vacancy_change {
   vm_id vm;
   vacancy_reason reason = vacancy_reason::kOffered;
   bool is_confirmed = false;
 };
 
-/// Decides which hints the fleet's owner may act on.
+/// Decides on which vacancy hints the owner of the fleet may act.
 ///
-/// Hints are appended without a fence, so that one of an owner that was
-/// replaced may arrive late. The next owner may have started a task on the VM,
-/// which a move or a service of the host would end. What counts is the record
-/// in the pool's own partition, which the store refuses from a replaced owner,
-/// and which is stored before the hint is sent. A hint is acted on once a
-/// reading of that partition that began after the hint was read has shown the
-/// record, and for as long as no newer copy of the partition is without it: the
-/// record of a VM that the registry misses for long is dropped, and the VM may
-/// be used again.
-/// Not thread-safe.
+/// Hints are appended without a fencing token, so a hint from a replaced owner
+/// may arrive late. By then the next owner may have started a task on the VM,
+/// which a move or service of the host would terminate. The authoritative
+/// source is therefore the vacancy record in the pool's own partition: the
+/// store rejects such a record from a replaced owner, and the record is stored
+/// before the hint is sent. A hint is confirmed once a read of that partition
+/// that began after the hint was read has shown the record. It stays confirmed
+/// as long as no newer copy of the partition lacks the record: the owner drops
+/// the record of a VM that is missing from the registry for long, and may then
+/// use the VM again. Not thread-safe.
 class vacancy_checker {
  public:
   explicit vacancy_checker(const vacancy_settings& settings)
       : settings_(settings) {}
 
-  /// Replaces the hints.
+  /// Replaces all hints.
   void UpdateHints(const std::vector<vacancy_hint>& hints);
-  /// Takes in one hint.
+  /// Adds or replaces one hint.
   void NoteHint(const vacancy_hint& hint);
-  /// Forgets one hint.
+  /// Removes one hint.
   void DropHint(const vm_id& vm, vacancy_reason reason);
-  /// Returns the partitions that must be read, and takes their readings for
-  /// begun.
+  /// Returns the partitions that must be read, and marks their reads as begun.
   std::set<std::uint32_t> TakePartitionsToRead();
-  /// A reading has ended. `vacant` are the VMs whose records it has shown; it
-  /// is unused when the reading failed.
+  /// Handles the end of a partition read. `vacant` are the VMs whose vacancy
+  /// records it has shown; it is ignored if the read failed.
   void OnPartitionRead(std::uint32_t partition,
                        bool is_read,
                        const std::set<vm_id>& vacant);
-  /// Tells what the copy of the partition shows by now; it is at least as new
-  /// as the last reading that ended. It ends hints whose records are gone, and
-  /// has those read again whose records are back.
+  /// Updates the hints from the current copy of the partition, which is at
+  /// least as new as the last completed read. Hints whose records are gone are
+  /// refuted, and refuted hints whose records are back are read again.
   void UpdateVacant(std::uint32_t partition, const std::set<vm_id>& vacant);
-  /// The same for one VM.
+  /// Like `UpdateVacant`, for one VM.
   void NoteVacant(std::uint32_t partition, const vm_id& vm, bool is_vacant);
 
-  /// Returns the VMs that are surely vacant for this reason.
+  /// Returns the VMs that are confirmed to be vacant for this reason.
   std::set<vm_id> Confirmed(vacancy_reason reason) const;
-  /// Returns the VMs, with the reason, that are surely vacant or no longer so
-  /// since the last call. One may come twice.
+  /// Returns the VMs, with the reason, that have become confirmed or are no
+  /// longer confirmed since the last call. A VM may occur twice.
   std::vector<vacancy_change> TakeChanges();
-  /// Returns the offered VMs whose lives are over, once each, so that their
-  /// hints can be taken back. `present` are those that the list of the fleet or
-  /// the registry shows. A life that has just begun may be in neither yet: its
-  /// pool has given it away, and nobody would ever move it if its hint went.
+  /// Returns the offered VMs whose incarnations have ended, so that their hints
+  /// can be withdrawn. Each is returned once. `present` are the VMs that the
+  /// fleet list or the registry shows. An incarnation that has just begun may
+  /// be missing from both; if its hint were withdrawn, its pool would have
+  /// released it and no one would ever move it.
   std::vector<vm_id> TakeStaleOffers(const std::set<vm_id>& present,
                                      time_point now);
 
--- a/include/plantainhead/core/jobs/vacancy_manager.h
+++ b/include/plantainhead/core/jobs/vacancy_manager.h
@@ -18,23 +18,25 @@
 
 namespace plantainhead::core::jobs {
 
+/// Times for which the vacancy manager keeps records and waits for hints.
 struct vacancy_manager_settings {
-  /// How long after a vacant VM's end its record is kept. The registry misses
-  /// VMs for some seconds after the store was away.
+  /// How long the record of a vacant VM is kept after the VM has ended. The
+  /// registry misses VMs for some seconds after the store was unavailable.
   duration record_retention = std::chrono::seconds(20);
-  /// When a VM that was told of is told of again, if that isn't to be read. An
-  /// append takes 25 ms and its reading as long, 0.5 s while the store is slow.
+  /// A hint that cannot be read back from the store is sent again after this
+  /// time. An append takes 25 ms and reading it back takes as long, or 0.5 s
+  /// while the store is slow.
   duration hint_retry = std::chrono::seconds(2);
 };
 
-/// Records of vacant VMs that are to be stored together.
+/// Changes to the vacancy records that are stored together.
 struct vacancy_batch {
   std::vector<vm_id> vacant;
-  /// Lives that have been over for a while; their records are dropped.
+  /// VMs whose incarnations ended some time ago; their records are deleted.
   std::vector<vm_id> dropped;
 };
 
-/// A VM that the owner of the fleet may be told of.
+/// A VM of which the owner of the fleet may be notified.
 struct vacant_vm {
   vm_id vm;
   vacancy_reason reason = vacancy_reason::kOffered;
@@ -44,82 +46,84 @@
 
 /// Where a VM is still known.
 struct vm_presence {
-  /// The pool's owner has to do with it.
+  /// The pool's owner still manages the VM.
   bool is_held = true;
-  /// It is held, or the registry lists it.
+  /// The pool's owner manages the VM, or the registry lists it.
   bool is_listed = true;
 
   bool operator==(const vm_presence&) const = default;
 };
 
-/// Decides which VMs the owner of a pool closes, and takes each of them on its
-/// way from being closed to being handed to the owner of the fleet: closed,
-/// found empty, being recorded, recorded as vacant, told.
+/// Decides which VMs the owner of a pool closes to new tasks, and tracks each
+/// closed VM until it is handed over to the owner of the fleet. A VM is closed,
+/// found empty, being recorded, recorded as vacant, and then reported.
 ///
-/// A VM that is recorded as vacant is moved or serviced at any moment. A task
-/// that started there, after a change of owner or before this VM was known,
-/// would be ended by that. So it stays closed until its life ends, and nobody
-/// is told of it before its record is stored.
+/// A VM that is recorded as vacant may be moved or serviced at any moment,
+/// which would terminate a task that was started there after a change of owner
+/// or before the VM was known. It therefore stays closed until its incarnation
+/// ends, and it is not reported before its record is stored.
 ///
-/// It is told what has changed, and looks only at the VMs that this concerns.
-/// Pure and not thread-safe.
+/// Callers notify it of changes, and it visits only the VMs that a change
+/// concerns. Pure and not thread-safe.
 class vacancy_manager {
  public:
-  /// Returns the least used VMs of a pool that take tasks, at most `count`.
+  /// Returns the least used VMs of a pool that accept tasks, at most `count`.
   using vm_chooser = std::function<std::vector<vm_id>(std::uint32_t count)>;
 
   explicit vacancy_manager(const vacancy_manager_settings& settings)
       : settings_(settings) {}
 
-  /// Takes over what an earlier owner has recorded. Call it before all else.
+  /// Restores the VMs that an earlier owner recorded as vacant. Call it before
+  /// any other method.
   void Restore(const std::set<vm_id>& recorded);
-  /// Replaces the VMs that are to be emptied for the service of their hosts.
+  /// Replaces the set of VMs to drain because their hosts are to be serviced.
   void UpdateForService(const std::set<vm_id>& vms);
-  /// The same for one VM.
+  /// Like `UpdateForService`, for one VM.
   void NoteForService(const vm_id& vm, bool is_for_service);
-  /// Closes what the pool can do without, or takes back what it lacks; `wanted`
-  /// is how many VMs it should have. Returns whether other VMs are closed than
-  /// before.
+  /// Closes VMs that the pool does not need, or reclaims closed VMs if it has
+  /// too few; `wanted` is the number of VMs that it should have. Returns
+  /// whether the set of closed VMs has changed.
   bool Resize(const pool_id& pool,
               const pool_load& load,
               std::uint32_t wanted,
               const vm_chooser& least_used);
-  /// Returns whether the VM takes no tasks.
+  /// Returns whether the VM is closed to new tasks.
   bool IsClosed(const vm_id& vm) const { return entries_.count(vm) != 0; }
-  /// Returns the VMs that were closed or opened since the last call. One may
-  /// come twice.
+  /// Returns the VMs that were closed or reopened since the last call. A VM may
+  /// occur twice.
   std::vector<vm_id> TakeChanged();
 
-  /// Takes in that a closed VM has become empty. Returns whether that is news.
+  /// Notes that a closed VM has become empty. Returns whether this was not
+  /// known before.
   bool NoteEmpty(const vm_id& vm);
-  /// Takes in whether the VM is still known. Until it is called for a closed VM
-  /// that counts as present.
+  /// Notes where the VM is still known. A closed VM counts as present until
+  /// this is called for it.
   void NotePresence(const vm_id& vm,
                     const vm_presence& presence,
                     time_point now);
-  /// Takes in whether the store shows the hint. One that isn't shown for a
-  /// while after it was told has got lost: the owner of the fleet would take
-  /// the VM for one in use, and neither move it nor send another.
+  /// Notes whether the hint can be read from the store. A hint that does not
+  /// show up for some time after it was sent is lost: the owner of the fleet
+  /// would consider the VM in use, and neither move it nor send another one.
   void NoteHintShown(const vacant_vm& hint, bool is_shown);
-  /// Returns what is to be stored now. Precondition: what was returned before
-  /// is stored, and `NoteStored` was called.
+  /// Returns the changes to store now. Precondition: the previous batch is
+  /// stored, and `NoteStored` was called.
   vacancy_batch TakeBatch(time_point now);
-  /// The last batch is stored. Returns the VMs that are recorded as vacant
-  /// since.
+  /// Notes that the last batch is stored. Returns the VMs that are recorded as
+  /// vacant since then.
   std::vector<vacant_vm> NoteStored();
-  /// Returns the VMs of which the owner of the fleet is to be told. An earlier
-  /// owner may have recorded some without telling.
+  /// Returns the VMs of which the owner of the fleet must be notified. An
+  /// earlier owner may have recorded some without sending a hint.
   std::vector<vacant_vm> TakeHints(time_point now);
 
-  /// Returns how many VMs were looked at.
+  /// Returns the total number of VMs visited.
   std::uint64_t visited_vms() const { return visited_vms_; }
 
  private:
-  /// How far a closed VM is: being emptied, found empty, its record asked for,
-  /// recorded as vacant.
+  /// Progress of a closed VM: being drained, found empty, its record being
+  /// stored, recorded as vacant.
   enum class stage { kClosing, kEmpty, kRecording, kVacant };
 
-  /// What the owner of the fleet was told of a VM, for one reason.
+  /// State of the hint for one VM and one reason.
   struct hint_state {
     std::optional<time_point> sent_at;
     bool is_shown = false;
@@ -127,17 +131,17 @@
 
   struct closed_vm {
     bool is_for_service = false;
-    /// Its place among the released VMs, if the pool can do without it.
+    /// Key in `released_`, if the pool does not need the VM.
     std::optional<std::uint64_t> released;
     stage at = stage::kClosing;
     vm_presence presence;
     std::optional<time_point> gone_since;
     std::array<hint_state, kVacancyReasons> hints;
-    /// Its place among the hints that are due.
+    /// Time of its entry in `hints_due_`, if any.
     std::optional<time_point> hint_due;
   };
 
-  /// A VM that is emptied to be given away.
+  /// A VM that is drained in order to be released.
   struct released_vm {
     vm_id vm;
     pool_id pool;
@@ -148,7 +152,7 @@
   closed_vm* Find(const vm_id& vm);
   /// Returns the entry of the VM, which is closed from now on.
   closed_vm* Close(const vm_id& vm);
-  /// Opens the VM when nothing keeps it closed.
+  /// Reopens the VM if no reason to keep it closed remains.
   void ReopenIfUnused(const vm_id& vm);
   void DropRelease(closed_vm* entry);
   void ScheduleHint(const vm_id& vm, closed_vm* entry);
@@ -158,7 +162,8 @@
   vacancy_manager_settings settings_;
   std::unordered_map<vm_id, closed_vm> entries_;
   std::set<vm_id> for_service_;
-  /// Those whose records weren't asked for; the last one last.
+  /// Released VMs whose records have not been requested yet, in the order of
+  /// their release.
   std::map<std::uint64_t, released_vm> released_;
   std::uint64_t next_release_ = 0;
   std::set<vm_id> empty_;
--- a/include/plantainhead/core/jobs/wait_time_tracker.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -10,15 +10,17 @@
 
 namespace plantainhead::core::jobs {
 
-/// What keeps tasks from starting whose step is open.
+/// Why tasks whose step is ready do not start.
 enum class wait_cause {
-  /// No VM of the pool has room for them.
+  /// No VM of the pool has enough free capacity for them.
   kRoom,
-  /// What earlier runs of them did isn't known, or isn't stored, yet.
+  /// The outcome of their earlier runs is not yet known or not yet stored.
   kRecovery,
-  /// The job wasn't known to its owner, or isn't known not to be cancelled.
+  /// The owner has not read the job yet, or does not know yet whether it was
+  /// cancelled.
   kReading,
-  /// As many starts as the owner's link bears are without an answer.
+  /// The number of unanswered start orders has reached the limit of the owner's
+  /// connection.
   kAnswers,
 };
 
@@ -32,23 +34,24 @@
   return kWaitCauseNames;
 }
 
-/// How long tasks of a job have waited, by cause. The time in which several of
-/// them wait counts once. Pure and not thread-safe.
+/// Accumulates how long tasks of a job have waited, by cause. Time during which
+/// several tasks wait is counted once. Pure and not thread-safe.
 class wait_time_tracker {
  public:
-  /// Notes what tasks wait for from now on; nothing: none waits.
-  /// Precondition: times don't fall.
+  /// Sets the cause for which tasks wait from now on; `nullopt` if none waits.
+  /// Precondition: times never decrease.
   void Note(std::optional<wait_cause> cause, time_point now);
   duration waited(wait_cause cause) const {
     return waited_.at(static_cast<std::size_t>(cause));
   }
   duration total() const;
-  /// Returns the cause of most of the time; room when nothing has waited.
+  /// Returns the cause with the longest wait time; `kRoom` if nothing has
+  /// waited.
   wait_cause MainCause() const;
 
  private:
   std::array<duration, kWaitCauseNames.size()> waited_{};
-  /// What is waited for, and since when.
+  /// The current cause, and since when it applies.
   std::optional<wait_cause> cause_;
   time_point since_;
 };
--- a/src/core/jobs/arrival_rate_monitor.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -77,7 +77,7 @@
   if (!is_rise) {
     return {};
   }
-  // Of all jobs here, times their rate.
+  // Average demand per job over all recorded jobs, times the arrival rate.
   const double scale = rate / static_cast<double>(arrivals_.size());
   return {static_cast<std::int64_t>(sum.cpu * scale),
           static_cast<std::int64_t>(sum.memory * scale),
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -9,7 +9,8 @@
                                  const std::set<pool_id>& spare,
                                  time_point requested_at) {
   spare_ = spare;
-  // A list that was asked for after a move was accepted shows it.
+  // A list that was requested after the move was accepted already shows the
+  // move.
   std::erase_if(moves_, [requested_at](const auto& move) {
     return move.second.is_accepted && requested_at > move.second.changed_at;
   });
@@ -168,7 +169,7 @@
 bool fleet_balancer::IsFree(const fleet_host& host) const {
   const bool is_idle = spare_.count(host.pool) != 0 ||
                        (!host.vm.empty() && offers_.count(host.vm) != 0);
-  // The platform refuses to move a VM that leaves.
+  // The platform refuses to move a VM that is leaving.
   return host.state == host_state::kUp && is_idle &&
          leaving_.count(host.vm) == 0;
 }
@@ -186,8 +187,9 @@
   Reassess(known);
 }
 
-// A move to the pool that a host is in has no effect: the VM that was given
-// away there would never be used again. It goes by way of the spare pool.
+// A move to the pool that the host is already in has no effect, and the VM that
+// the pool released would never be used again. Such a host moves to the spare
+// pool first.
 fleet_balancer::known_host* fleet_balancer::FindFree(
     const pool_id& pool,
     const std::set<host_id>& busy) {
@@ -218,7 +220,7 @@
       moves.push_back({host, move.pool});
     }
   }
-  // The pool that misses most goes first, VM by VM.
+  // Serves the pool with the largest deficit first, one VM at a time.
   std::set<pool_id> unsatisfied;
   while (true) {
     const pool_id* most_deficient = nullptr;
@@ -243,8 +245,9 @@
   return moves;
 }
 
-// Sends hosts that nobody has wanted for a while to the spare pool; at once
-// those that their own pools want back, since there is no other way.
+// Moves released hosts that no pool has wanted for the configured delay to the
+// spare pool. Hosts that their own pool wants back move there immediately,
+// since they can return only by way of the spare pool.
 void fleet_balancer::MoveToSparePool(const std::set<host_id>& busy,
                                      const std::set<pool_id>& wanting,
                                      time_point now,
--- a/src/core/jobs/fleet_list.cc
+++ b/src/core/jobs/fleet_list.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// In this state a host is neither moved nor serviced.
+// A host that is down is neither moved nor serviced.
 fleet_host Unusable(const host_id& name) {
   fleet_host host;
   host.host = name;
--- a/src/core/jobs/job_directory.cc
+++ b/src/core/jobs/job_directory.cc
@@ -87,8 +87,8 @@
 
 void job_directory::NoteProgress(const job_id& id, job_progress progress) {
   Update(id, [&](directory_entry* entry) {
-    // Pages of the newest records aren't a snapshot: an older record of the job
-    // may be read after its final one.
+    // Pages of the newest records are not a consistent snapshot: an older
+    // record of the job may be read after its final one.
     if (!IsFinal(entry->progress.phase)) {
       entry->progress = std::move(progress);
     }
--- a/src/core/jobs/maintenance_scheduler.cc
+++ b/src/core/jobs/maintenance_scheduler.cc
@@ -17,12 +17,12 @@
   return true;
 }
 
-// The record of an earlier keeper may be read after this one has begun to empty
-// the host. Emptied on, it would be serviced a second time, and what runs there
-// would end once more. A host that is done isn't ordered, and its VM is
-// released as no longer needed. One that was ordered waits for the answer to
-// its order, and one that is down for its return: that is what its own record
-// tells of.
+// A record of an earlier scheduler may be read after this one has begun to
+// drain the host. If draining went on, the host would be serviced twice and its
+// tasks would be terminated again. A host that is done is not ordered, and its
+// VM is released as no longer needed. A host that was already ordered waits for
+// the answer to its order, and a host that is down waits for its return, since
+// the record read may be that of this scheduler's own order.
 void maintenance_scheduler::NoteServiced(std::uint64_t wave,
                                          const host_id& host) {
   const auto found = waves_.find(wave);
@@ -113,7 +113,7 @@
       progress.phase = host_phase::kDone;
       return;
     case service_result::kUnknown:
-      // It counts as down until an answer comes.
+      // The host counts as down until an answer arrives.
       return;
   }
 }
@@ -156,16 +156,17 @@
   return progress->listed;
 }
 
-// Only lists without the host tell that it left. Measured from the last list
-// that had it, a time in which no list can be read would count as absence: one
-// list without a host that is away for a moment would complete the wave.
+// Only lists that omit the host show that it has left. If absence were measured
+// from the last list that contained the host, a period in which no list can be
+// read would count as absence, and a single list without a briefly absent host
+// would complete the wave.
 bool maintenance_scheduler::IsMissing(const listed_host* listed) const {
   const std::optional<time_point> since =
       listed == nullptr ? first_requested_at_ : listed->unlisted_since;
   return since && requested_at_ - *since > settings_.missing_limit;
 }
 
-// Returns how many VMs of each pool are being emptied or are down.
+// Returns the number of VMs of each pool that are being drained or are down.
 std::map<pool_id, std::uint32_t> maintenance_scheduler::CountBusy() {
   std::map<pool_id, std::uint32_t> busy;
   for (auto& [number, wave] : waves_) {
@@ -181,10 +182,10 @@
   return busy;
 }
 
-// A host is back when it is up in another life, which may have the VM's id. A
-// list that was asked for before the host went down shows it as up, and a host
-// of a spare pool has no life to compare: taken for back, it would let one host
-// too many go down.
+// A host is back when it is up in another incarnation, which may have the same
+// VM id. A list that was requested before the host went down shows it as up,
+// and a host of a spare pool has no incarnation to compare. Such a list must
+// not count as a return, since one host too many would be taken down.
 void maintenance_scheduler::NoteReturns(wave_progress* wave,
                                         std::vector<wave_action>* actions) {
   for (auto& [host, progress] : wave->hosts) {
@@ -222,8 +223,9 @@
   return !host.vm.empty() && spare_.count(host.pool) == 0;
 }
 
-// Returns how many of the pools' hosts must be in hand for the wave to end in
-// time. All that it allows, if its time isn't known.
+// Returns how many hosts of the pools must be drained or in service at the same
+// time for the wave to finish in time. If the wave's publication time is
+// unknown, returns the maximum.
 std::uint32_t maintenance_scheduler::RequiredConcurrency(
     const wave_progress& wave,
     time_point now) const {
@@ -262,8 +264,9 @@
   return due;
 }
 
-// Returns a host whose VM an earlier keeper has closed. Its pool misses the VM
-// already; were other hosts closed first, it would miss both.
+// Returns a host whose VM an earlier scheduler has already closed. Its pool
+// already lacks this VM; if another host were closed first, the pool would lack
+// both.
 maintenance_scheduler::due_iterator maintenance_scheduler::FindClosed(
     std::vector<due_host>* due) const {
   return std::find_if(due->begin(), due->end(), [this](const due_host& next) {
@@ -271,8 +274,8 @@
   });
 }
 
-// Returns the next host, spread over the pools, so that none loses many VMs at
-// once.
+// Returns the next host to close. Hosts are chosen evenly across pools, so that
+// no pool loses many VMs at once.
 maintenance_scheduler::due_iterator maintenance_scheduler::FindNext(
     std::vector<due_host>* due,
     bool only_spare,
@@ -295,12 +298,13 @@
   return next;
 }
 
-// A host of the spare pool is missed by nobody while no pool lacks VMs, and
-// most hosts are there at one time or another. So those go first, as many as
-// the wave allows. While a pool lacks VMs it would wait for a host in service
-// as long as for two moves, so that only as many are in hand as the wave's time
-// demands. The same always holds for the pools' hosts, and none of a pool that
-// lacks VMs is taken before all that the wave allows are needed.
+// While no pool lacks VMs, no one needs the hosts of the spare pool, and most
+// hosts are spare at one time or another. These hosts are therefore serviced
+// first, as many as the wave allows. While a pool lacks VMs, a spare host in
+// service would delay that pool by the time of two moves, so only as many hosts
+// are taken as the wave's time limit requires. The same limit always applies to
+// hosts of the pools, and hosts of a pool that lacks VMs are not taken before
+// the time limit requires the maximum that the wave allows.
 void maintenance_scheduler::CloseNext(wave_progress* wave,
                                       time_point now,
                                       std::vector<wave_action>* actions) {
@@ -374,7 +378,7 @@
                              listed->host.state == host_state::kUp &&
                              listed->host.vm != progress.vm;
     if (is_new_life) {
-      // The life that was being emptied ended by itself.
+      // The incarnation that was being drained has ended on its own.
       if (!progress.vm.empty()) {
         Release(progress.vm, actions);
       }
@@ -395,7 +399,8 @@
   }
   if (is_complete) {
     wave->is_complete = true;
-    // Those that were being emptied have left. One that comes back is free.
+    // Hosts that were still being drained have left. If one returns, it is
+    // available again.
     for (auto& [host, progress] : wave->hosts) {
       if (progress.phase == host_phase::kClosing) {
         progress.phase = host_phase::kDone;
@@ -407,7 +412,7 @@
   CloseNext(wave, now, actions);
 }
 
-// Returns the VMs that are being emptied, or may be serviced, for a wave.
+// Returns the VMs that are being drained, or may be serviced, for a wave.
 std::set<vm_id> maintenance_scheduler::NeededVms() const {
   std::set<vm_id> needed;
   for (const auto& [number, wave] : waves_) {
@@ -444,10 +449,11 @@
   });
 }
 
-// A VM may be closed for a host that turns out not to be of its wave, that has
-// left while the wave ended, or by a keeper that was lost before it took that
-// back. It would take no tasks for the rest of its life, and its pool would
-// miss it. Released, it is used again, or given away if it is vacant already.
+// A VM may be closed for a host that turns out not to belong to the wave or
+// that had left when the wave ended, or by a scheduler that was lost before it
+// could revoke the closing. The VM would accept no tasks for the rest of its
+// incarnation although its pool needs it. Once released, it is used again, or
+// handed over to other pools if it is vacant already.
 void maintenance_scheduler::ReleaseUnneeded(std::vector<wave_action>* actions) {
   std::vector<vm_id> unreleased;
   std::set_difference(closed_.begin(), closed_.end(), released_.begin(),
--- a/src/core/jobs/pool_sizer.cc
+++ b/src/core/jobs/pool_sizer.cc
@@ -17,7 +17,8 @@
                    Ratio(demand.gpus, load.vm_capacity.gpus)});
 }
 
-// Adds a value to those of which only later ones that are greater count.
+// Adds a value to a list of peaks. Earlier values that are not greater are
+// removed, since they cannot be the maximum of any later window.
 void PushPeak(std::uint32_t value,
               time_point now,
               std::deque<std::pair<time_point, std::uint32_t>>* peaks) {
@@ -43,9 +44,11 @@
          settings_.reserve;
 }
 
-// A rise is noticed by the rate of the jobs, compared with that before. That
-// rate soon holds before as well, while the VMs are on their way. If less were
-// wanted then, the hosts would go elsewhere, and be asked for a second time.
+// A rise is detected by comparing the arrival rate with the rate before it.
+// Soon the higher rate fills the baseline as well, and the rise is no longer
+// detected while its VMs are still being moved. If the pool wanted fewer VMs
+// then, the hosts would go to other pools and would have to be requested a
+// second time.
 void pool_sizer::NoteRise(const pool_load& load, time_point now) {
   const std::uint32_t rise = VmsToHold(VmsFor(load.rising, load));
   if (rise > 0 && load.rising_jobs >= settings_.min_held_rise_jobs) {
--- a/src/core/jobs/record_faults.cc
+++ b/src/core/jobs/record_faults.cc
@@ -5,8 +5,8 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// Keys that are told apart. A thousand lines of 200 bytes are written at most
-// once, and the keys take some 300 KB at most.
+// Maximum number of keys that are tracked. At most a thousand log lines of 200
+// bytes are written, and the keys take about 300 KB.
 constexpr std::size_t kMaxFaultyKeys = 1000;
 
 bool IsValidNameByte(char byte) {
@@ -20,14 +20,14 @@
     case record_use::kVmEntry:
       return fault_effect::kNoNewTasks;
     case record_use::kOwnerClaim:
-      // Without the claim that it replaced, the next owner would take the
-      // partition for one that nobody has worked on, and would start again what
-      // runs. The wait for leases to run out is enough.
+      // If the claim were ignored, the next owner would take the partition for
+      // one that no process has worked on, and would start running tasks again.
+      // It is enough that the owner waits until the leases have expired.
       return fault_effect::kClaimUnknown;
     case record_use::kUsedVm:
-      // What may run there would be started a second time.
+      // A task that may be running there would be started a second time.
     case record_use::kHostOrder:
-      // Two orders for one host could follow each other.
+      // Two orders for the same host could be carried out one after the other.
       return fault_effect::kAssumeInUse;
     case record_use::kConfiguration:
     case record_use::kWave:
--- a/src/core/jobs/report_validity.cc
+++ b/src/core/jobs/report_validity.cc
@@ -5,13 +5,13 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-// The share of a new gap in the smoothed one.
+// A new interval has the weight 1 / kSmoothing in the average.
 constexpr int kSmoothing = 16;
-// A gap that is longer than this many usual ones comes from a store that was
-// away, and not from how often VMs report.
+// An interval longer than this many average ones is caused by an unavailable
+// store and not by how often VMs report, so it is capped.
 constexpr int kMaxIntervals = 2;
 constexpr int kTrustedIntervals = 2;
-// Reports are read somewhat later than they are made.
+// Reports are read some time after they are made.
 constexpr duration kReadDelay = std::chrono::milliseconds(200);
 constexpr duration kMinTrustedTime = std::chrono::milliseconds(3200);
 
--- a/src/core/jobs/routing.cc
+++ b/src/core/jobs/routing.cc
@@ -23,8 +23,8 @@
   if (prefixes == by_host_.end()) {
     return {};
   }
-  // The longest prefix sorts last among those that the path begins with, but
-  // others that it doesn't begin with may stand between.
+  // Among the prefixes that match the path, the longest one sorts last, but
+  // prefixes that do not match may lie between them.
   for (std::size_t length = path.size() + 1; length-- > 0;) {
     const auto found = prefixes->second.find(path.substr(0, length));
     if (found != prefixes->second.end()) {
--- a/src/core/jobs/vacancy_checker.cc
+++ b/src/core/jobs/vacancy_checker.cc
@@ -23,7 +23,8 @@
     if (known->second.hint == hint) {
       return;
     }
-    // A hint of another owner is news: the earlier one may have been refuted.
+    // A hint from another owner replaces the known one, which may have been
+    // refuted.
     DropHint(hint.vm, hint.reason);
   }
   tracked_hint& tracked = hints_[key];
@@ -110,11 +111,12 @@
   }
 }
 
-// The pool's owner drops the record of a VM that the registry misses for long,
-// and uses the VM again when it is back. The list of the fleet may have shown
-// it all the while, so that its hint stands; acted on, that would move the VM
-// with the tasks that run there. When the owner empties the VM once more the
-// hint is the same as before, so that a refuted one isn't refuted for good.
+// The pool's owner deletes the vacancy record of a VM that is missing from the
+// registry for long, and uses the VM again when it returns. The fleet list may
+// have shown the VM throughout, so that its hint still exists. Acting on that
+// hint would move the VM while tasks run on it. When the owner drains the VM
+// again, the hint is identical to the earlier one, so a refuted hint must be
+// checked again when its record returns.
 void vacancy_checker::NoteVacant(const hint_key& key,
                                  tracked_hint* tracked,
                                  bool is_vacant) {
--- a/src/core/jobs/vacancy_manager.cc
+++ b/src/core/jobs/vacancy_manager.cc
@@ -66,11 +66,12 @@
   return is_changed;
 }
 
-// The owner of the fleet isn't told of a VM that is still being emptied, takes
-// it for one in use, and sends no other one. Tasks would wait for as long as
-// its last task runs, though there is room for them. It is safe to use it again
-// as long as no record of its vacancy was asked for: the owner of the fleet
-// acts on nothing else. The last one goes first, as least of it is empty yet.
+// The owner of the fleet has not been notified of a VM that is still being
+// drained. It counts the VM as in use and sends no other VM, so tasks would
+// wait until the last task of the VM ends although it has free capacity. The VM
+// can safely be used again as long as no record of its vacancy has been
+// requested, since the owner of the fleet acts only on such records. The most
+// recently released VM is reclaimed first, as it has been drained least.
 bool vacancy_manager::Reclaim(const pool_id& pool, std::uint32_t count) {
   std::uint32_t taken = 0;
   for (auto it = released_.end(); it != released_.begin() && taken < count;) {
@@ -227,7 +228,8 @@
   return hints;
 }
 
-// Notes when the owner of the fleet is to be told of the VM next, if at all.
+// Schedules the next notification of the owner of the fleet about the VM, if
+// one is needed.
 void vacancy_manager::ScheduleHint(const vm_id& vm, closed_vm* entry) {
   if (entry->hint_due) {
     hints_due_.erase({*entry->hint_due, vm});
