--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -54,7 +54,7 @@
   /// Like `spare_delay`, used while some pool has fewer VMs than it wants. Such
   /// a pool's demand keeps growing while its VMs are being moved, and a host
   /// that has gone to the spare pool by then needs two moves to reach it.
-  duration scarce_spare_delay = std::chrono::milliseconds(2500);
+  duration shortage_spare_delay = std::chrono::milliseconds(2500);
 };
 
 /// Decides which hosts move between the pools and the spare pool, based on how
@@ -78,7 +78,7 @@
   void NoteWanted(const pool_id& pool, std::optional<std::uint32_t> wanted);
   /// Sets whether some pool has fewer VMs than it wants, not counting those
   /// that are being moved to it.
-  void UpdateScarce(bool is_scarce) { is_scarce_ = is_scarce; }
+  void UpdateShortage(bool has_shortage) { has_shortage_ = has_shortage; }
   /// Replaces the set of VMs that their pools have drained and released.
   void UpdateOffers(const std::set<vm_id>& offers) {
     Replace(&offers_, offers);
@@ -184,7 +184,7 @@
   std::uint32_t moving_ = 0;
   std::set<pool_id> spare_;
   std::map<pool_id, std::uint32_t> wanted_;
-  bool is_scarce_ = false;
+  bool has_shortage_ = false;
   std::set<vm_id> offers_;
   std::set<vm_id> closed_;
   std::set<vm_id> leaving_;
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -53,9 +53,9 @@
   /// It would have been in time without the wait times of its tasks, or its
   /// first task started too late for the caller's estimate, and most of the
   /// wait time was spent waiting for a VM with enough free capacity.
-  kWaitedForRoom,
-  /// Like `kWaitedForRoom`, but most of the wait time was spent waiting for the
-  /// owner of its pool.
+  kWaitedForCapacity,
+  /// Like `kWaitedForCapacity`, but most of the wait time was spent waiting for
+  /// the owner of its pool.
   kWaitedForOwner,
   /// It took longer than its caller estimated, not counting wait times.
   kRanLong,
@@ -68,7 +68,7 @@
     {job_verdict::kCancelled, "cancelled"},
     {job_verdict::kOwnerChanged, "late, owner changed"},
     {job_verdict::kRunsRepeated, "late, runs repeated"},
-    {job_verdict::kWaitedForRoom, "late, waited for room"},
+    {job_verdict::kWaitedForCapacity, "late, waited for room"},
     {job_verdict::kWaitedForOwner, "late, waited for its owner"},
     {job_verdict::kRanLong, "late, ran long"},
 }};
--- a/include/plantainhead/core/jobs/maintenance_scheduler.h
+++ b/include/plantainhead/core/jobs/maintenance_scheduler.h
@@ -175,7 +175,7 @@
   bool IsReady(const host_progress& progress, const fleet_host& host) const;
   std::set<vm_id> NeededVms() const;
   /// Returns whether the current list shows that the VM is needed.
-  bool IsSurelyNeeded(const vm_id& vm) const;
+  bool IsConfirmedNeeded(const vm_id& vm) const;
   void ReleaseUnneeded(std::vector<wave_action>* actions);
   void Release(const vm_id& vm, std::vector<wave_action>* actions);
 
--- a/include/plantainhead/core/jobs/pool_sizer.h
+++ b/include/plantainhead/core/jobs/pool_sizer.h
@@ -14,7 +14,7 @@
 
 /// Number of VMs of a pool that accept no tasks, by the reason. A VM is counted
 /// under the first reason that applies.
-struct vm_stages {
+struct vm_stage_counts {
   /// Drained in order to be released or serviced, or about to leave.
   std::uint32_t closed = 0;
   /// Has not reported which tasks it runs, or not since contact with it was
@@ -40,7 +40,7 @@
   /// VMs that accept tasks.
   std::uint32_t usable_vms = 0;
   /// VMs that are listed and accept no tasks.
-  vm_stages stages;
+  vm_stage_counts stages;
   /// Average capacity of a VM of the pool.
   resources vm_capacity;
   /// Largest number of tasks of one step that must run on different VMs.
@@ -61,7 +61,7 @@
   duration demand_window = std::chrono::milliseconds(2500);
   /// Like `demand_window`, used while another pool lacks VMs. It is longer than
   /// the gaps between short bursts of a few jobs.
-  duration scarce_demand_window = std::chrono::milliseconds(400);
+  duration shortage_demand_window = std::chrono::milliseconds(400);
   /// A detected rise counts for this time after it was last observed, also
   /// while another pool lacks VMs, because its tasks wait until its VMs have
   /// arrived.
@@ -77,14 +77,16 @@
   explicit pool_sizer(const sizer_settings& settings) : settings_(settings) {}
 
   /// Returns how many VMs the pool should have at its current load.
-  /// `is_scarce`: another pool has fewer VMs than it wants.
-  std::uint32_t Update(const pool_load& load, bool is_scarce, time_point now);
+  /// `has_shortage`: another pool has fewer VMs than it wants.
+  std::uint32_t Update(const pool_load& load,
+                       bool has_shortage,
+                       time_point now);
   /// Returns whether the load has been observed for long enough to shrink the
   /// pool. A new owner knows only the load that it has observed itself. While
-  /// another pool lacks VMs, the shorter `scarce_demand_window` applies: when
+  /// another pool lacks VMs, the shorter `shortage_demand_window` applies: when
   /// all processes restart during a queue's burst, most spare hosts are in
   /// pools whose burst is over.
-  bool MayShrink(bool is_scarce, time_point now) const;
+  bool MayShrink(bool has_shortage, time_point now) const;
 
  private:
   std::uint32_t Needed(const pool_load& load) const;
--- a/include/plantainhead/core/jobs/routing.h
+++ b/include/plantainhead/core/jobs/routing.h
@@ -44,7 +44,7 @@
 struct route_match {
   const queue_route* route = nullptr;
   /// The part of the path after the prefix.
-  std::string_view rest;
+  std::string_view path_suffix;
 };
 
 /// Finds the route of a request by host and longest path prefix. Not
--- a/include/plantainhead/core/jobs/wait_time_tracker.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -13,7 +13,7 @@
 /// Why tasks whose step is ready do not start.
 enum class wait_cause {
   /// No VM of the pool has enough free capacity for them.
-  kRoom,
+  kCapacity,
   /// The outcome of their earlier runs is not yet known or not yet stored.
   kRecovery,
   /// The owner has not read the job yet, or does not know yet whether it was
@@ -25,7 +25,7 @@
 };
 
 inline constexpr name_table<wait_cause, 4> kWaitCauseNames = {{
-    {wait_cause::kRoom, "room"},
+    {wait_cause::kCapacity, "room"},
     {wait_cause::kRecovery, "recovery"},
     {wait_cause::kReading, "reading"},
     {wait_cause::kAnswers, "answers"},
@@ -45,7 +45,7 @@
     return waited_.at(static_cast<std::size_t>(cause));
   }
   duration total() const;
-  /// Returns the cause with the longest wait time; `kRoom` if nothing has
+  /// Returns the cause with the longest wait time; `kCapacity` if nothing has
   /// waited.
   wait_cause MainCause() const;
 
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -256,7 +256,7 @@
     return;
   }
   const duration delay =
-      is_scarce_ ? settings_.scarce_spare_delay : settings_.spare_delay;
+      has_shortage_ ? settings_.shortage_spare_delay : settings_.spare_delay;
   std::vector<known_host*> unwanted;
   for (const auto& [position, known] : free_offers_) {
     unwanted.push_back(known);
--- a/src/core/jobs/job_result.cc
+++ b/src/core/jobs/job_result.cc
@@ -25,8 +25,8 @@
   if (!began_late && !has_waited) {
     return job_verdict::kRanLong;
   }
-  return result.waits.MainCause() == wait_cause::kRoom
-             ? job_verdict::kWaitedForRoom
+  return result.waits.MainCause() == wait_cause::kCapacity
+             ? job_verdict::kWaitedForCapacity
              : job_verdict::kWaitedForOwner;
 }
 
--- a/src/core/jobs/maintenance_scheduler.cc
+++ b/src/core/jobs/maintenance_scheduler.cc
@@ -433,7 +433,7 @@
   return needed;
 }
 
-bool maintenance_scheduler::IsSurelyNeeded(const vm_id& vm) const {
+bool maintenance_scheduler::IsConfirmedNeeded(const vm_id& vm) const {
   const auto host = host_of_vm_.find(vm);
   if (host == host_of_vm_.end()) {
     return false;
@@ -459,7 +459,7 @@
   std::set_difference(closed_.begin(), closed_.end(), released_.begin(),
                       released_.end(), std::back_inserter(unreleased));
   std::erase_if(unreleased,
-                [this](const vm_id& vm) { return IsSurelyNeeded(vm); });
+                [this](const vm_id& vm) { return IsConfirmedNeeded(vm); });
   if (unreleased.empty()) {
     return;
   }
--- a/src/core/jobs/pool_plan.cc
+++ b/src/core/jobs/pool_plan.cc
@@ -32,7 +32,7 @@
     for (const candidate& next : Candidates(now)) {
       PlaceJob(next.job, now, &orders);
       NoteWait(next.job,
-               starts_left_ == 0 ? wait_cause::kAnswers : wait_cause::kRoom,
+               starts_left_ == 0 ? wait_cause::kAnswers : wait_cause::kCapacity,
                now);
     }
   } else {
--- a/src/core/jobs/pool_sizer.cc
+++ b/src/core/jobs/pool_sizer.cc
@@ -61,7 +61,7 @@
 }
 
 std::uint32_t pool_sizer::Update(const pool_load& load,
-                                 bool is_scarce,
+                                 bool has_shortage,
                                  time_point now) {
   NoteRise(load, now);
   const std::uint32_t needed = Needed(load);
@@ -70,19 +70,19 @@
   while (now - need_peaks_.front().first > settings_.demand_window) {
     need_peaks_.pop_front();
   }
-  if (!is_scarce) {
+  if (!has_shortage) {
     return need_peaks_.front().second;
   }
   const auto recent = std::find_if(
       need_peaks_.begin(), need_peaks_.end(), [&](const auto& entry) {
-        return now - entry.first <= settings_.scarce_demand_window;
+        return now - entry.first <= settings_.shortage_demand_window;
       });
   return recent->second;
 }
 
-bool pool_sizer::MayShrink(bool is_scarce, time_point now) const {
+bool pool_sizer::MayShrink(bool has_shortage, time_point now) const {
   const duration demand_window =
-      is_scarce ? settings_.scarce_demand_window : settings_.demand_window;
+      has_shortage ? settings_.shortage_demand_window : settings_.demand_window;
   return first_update_ && now - *first_update_ > demand_window;
 }
 
--- a/src/core/jobs/vm_index.cc
+++ b/src/core/jobs/vm_index.cc
@@ -32,7 +32,7 @@
                                                : vm_stage::kTaking;
 }
 
-std::uint32_t* CountOf(vm_stage stage, vm_stages* stages) {
+std::uint32_t* CountOf(vm_stage stage, vm_stage_counts* stages) {
   switch (stage) {
     case vm_stage::kClosed:
       return &stages->closed;
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -73,7 +73,7 @@
   /// Of the usable VMs.
   resources capacity;
   resources used;
-  vm_stages stages;
+  vm_stage_counts stages;
   /// Usable VMs without a lasting task, the most free first.
   ranked_vms idle;
   /// Under the empty label all of them, and those with a label that was asked
--- a/src/core/jobs/vm_state.h
+++ b/src/core/jobs/vm_state.h
@@ -72,7 +72,7 @@
 class taker_list;
 struct pool_figures;
 
-/// How far a VM is on its way to taking tasks; see `vm_stages`.
+/// How far a VM is on its way to taking tasks; see `vm_stage_counts`.
 enum class vm_stage {
   /// The registry doesn't list it.
   kGone,
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -29,7 +29,7 @@
   for (const std::string& key : keys) {
     TakeRecord(key);
   }
-  balancer_.UpdateScarce(!short_pools_.empty());
+  balancer_.UpdateShortage(!short_pools_.empty());
   keeper_.UpdateUndersized(short_pools_);
   TakeVacancies();
 }
--- a/tests/core/jobs/fleet_size_test.cc
+++ b/tests/core/jobs/fleet_size_test.cc
@@ -271,7 +271,7 @@
   const time_point begin{std::chrono::hours(1)};
   balancer.UpdateHosts({Host("h1", "first", "vm-1")}, {"spare"}, begin);
   balancer.UpdateOffers({"vm-1"});
-  balancer.UpdateScarce(true);
+  balancer.UpdateShortage(true);
   CHECK(balancer.Plan({}, begin).empty());
   CHECK(balancer.Plan({}, begin + milliseconds(2000)).empty());
 
@@ -289,7 +289,7 @@
   }
 
   SECTION("nor when none lacks any more") {
-    balancer.UpdateScarce(false);
+    balancer.UpdateShortage(false);
     CHECK(balancer.Plan({}, begin + milliseconds(2100)).size() == 1);
   }
 }
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -25,16 +25,16 @@
 
   SECTION("it waited when its first task started later than its work allows") {
     result.started_at = begin + milliseconds(1001);
-    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     result.started_at.reset();
-    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
   }
 
   SECTION("it waited when later tasks of it did for as long as it was late") {
-    result.waits.Note(wait_cause::kRoom, begin + seconds(1));
+    result.waits.Note(wait_cause::kCapacity, begin + seconds(1));
     SECTION("for room") {
       result.waits.Note(std::nullopt, begin + seconds(2));
-      CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+      CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     }
     SECTION("mostly for the owner of its pool") {
       result.waits.Note(wait_cause::kRecovery, begin + milliseconds(1300));
@@ -94,8 +94,8 @@
       std::find_if(results.begin(), results.end(),
                    [](const job_result& result) { return result.id == "a"; });
   REQUIRE(ended != results.end());
-  CHECK(ended->waits.waited(wait_cause::kRoom) == seconds(2));
-  CHECK(VerdictOf(*ended, driver.now) == job_verdict::kWaitedForRoom);
+  CHECK(ended->waits.waited(wait_cause::kCapacity) == seconds(2));
+  CHECK(VerdictOf(*ended, driver.now) == job_verdict::kWaitedForCapacity);
 }
 
 }  // namespace
