--- a/include/plantainhead/core/jobs/arrival_rate_monitor.h
+++ b/include/plantainhead/core/jobs/arrival_rate_monitor.h
@@ -44,7 +44,7 @@
       : settings_(settings) {}
 
   /// Records a job that has just been read and was submitted `age` ago; ages
-  /// may come in any order. Long-running (lasting) steps are ignored, since
+  /// may come in any order. Long-running steps are ignored, since
   /// they do not arrive at a rate. Precondition: `now` never decreases.
   void Note(const job_spec& job,
             time_point now,
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -27,7 +27,8 @@
   duration critical_path = duration::zero();
   /// How long its tasks waited, by cause.
   wait_time_tracker waits;
-  /// Number of runs that failed, lapsed, or were stopped to run elsewhere.
+  /// Number of runs that failed, whose lease expired, or that were stopped to
+  /// run elsewhere.
   std::uint32_t repeated_runs = 0;
   /// The job was accepted under an earlier owner, whose wait times and repeated
   /// runs are not included.
--- a/tests/core/jobs/arrival_rate_monitor_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -24,12 +24,12 @@
   return job;
 }
 
-// The pattern: for some 14 s a queue brings a job every 3 s, and then, in its
-// turn, 30 a second for 5 s. Each takes 5.4 core-seconds, so that the turn
-// takes 162 cores; VMs have 16. They come 1.5 s after they are asked for, and a
-// job may wait about that long before it is late. What counts is how soon after
-// the first job the pool asks for all that the turn will take.
-TEST_CASE("A queue's turn is noticed by its first jobs") {
+// Load pattern: for about 14 s a queue receives one job every 3 s, and then 30
+// jobs per second for 5 s. Each job takes 5.4 core-seconds, so the burst needs
+// 162 cores; a VM has 16. VMs arrive 1.5 s after they are requested, and a job
+// can wait about that long before it is late. The test checks how soon after
+// the first job the full demand of the burst is requested.
+TEST_CASE("A queue's burst is detected from its first jobs") {
   arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   for (int i = 0; i < 5; ++i) {
@@ -45,17 +45,18 @@
     }
   };
 
-  SECTION("Within 0.2 s half of what it takes is asked for, in 0.4 s all") {
+  SECTION("Half of the demand is predicted within 0.2 s, all of it in 0.4 s") {
     pass_turn(milliseconds(200));
     CHECK(meter.RisingDemand(now).cpu_millis >= 81000);
     pass_turn(milliseconds(400));
     CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
 
-    SECTION("where what waits and runs would have asked for a quarter") {
+    SECTION("while used and waiting resources alone show a quarter") {
       pool_load load;
       load.vm_capacity = {kVmMillis, 64000, 0};
       load.usable_vms = 5;
-      // 12 jobs have come; 4 VMs' worth of tasks run, and hardly any waits yet.
+      // 12 jobs have arrived. Running tasks fill 4 VMs, and hardly any task
+      // waits yet.
       load.used = {65000, 0, 0};
       const std::uint32_t by_backlog =
           pool_sizer(sizer_settings()).Update(load, false, now);
@@ -67,9 +68,10 @@
     }
   }
 
-  // Guards against a large pool that asks for its VMs bit by bit, each part
-  // 1.5 s before it comes: its first jobs pass for a fraction of their rate.
-  SECTION("Where jobs come fast, all is asked for within 0.1 s") {
+  // Guards against a large pool that requests its VMs in small steps, each 1.5
+  // s before they arrive, because the rate is underestimated while the first
+  // jobs fill only part of the window.
+  SECTION("At a high arrival rate all is predicted within 0.1 s") {
     for (int i = 1; i <= 20; ++i) {
       now += milliseconds(5);
       meter.Note(ShortJob(), now);
@@ -77,12 +79,12 @@
     CHECK(meter.RisingDemand(now).cpu_millis >= 1'000'000);
   }
 
-  SECTION("Once it is under way, what waits tells enough") {
+  SECTION("No rise is reported late in the burst") {
     pass_turn(milliseconds(2500));
     CHECK(meter.RisingDemand(now) == resources());
   }
 
-  SECTION("Lasting steps bring no rate") {
+  SECTION("Long-running steps do not count towards the rate") {
     job_spec lasting = ShortJob();
     lasting.steps[0].lasting = true;
     for (int i = 0; i < 20; ++i) {
@@ -92,9 +94,9 @@
   }
 }
 
-// Guards against a turn that isn't noticed: jobs that were handed in seconds
-// before count for the calm before it.
-TEST_CASE("A rise is noticed also after jobs that were read late") {
+// Guards against a burst that is not detected because jobs that were submitted
+// seconds ago are counted in the baseline.
+TEST_CASE("A rise is detected after jobs that were read late") {
   arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   meter.Note(ShortJob(), now);
@@ -109,11 +111,11 @@
   CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
 }
 
-TEST_CASE("Jobs that come evenly, or two at once, are no rise") {
+TEST_CASE("A constant rate or two jobs at once are not a rise") {
   arrival_rate_monitor meter{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
 
-  SECTION("ten a second, for long") {
+  SECTION("ten jobs per second for a long time") {
     for (int i = 0; i < 60; ++i) {
       now += milliseconds(100);
       meter.Note(ShortJob(), now);
@@ -123,10 +125,10 @@
     }
   }
 
-  // In a turn of 20 jobs a second one of 40 is five times as large as the
-  // others. Taken for a rise, it drew 67 VMs to a pool whose turn was ending,
-  // and the next pool's turn found none.
-  SECTION("a few large ones among many") {
+  // In a burst of 20 jobs per second one job in 40 is five times as large as
+  // the others. When this was reported as a rise, a pool whose burst was ending
+  // received 67 VMs, and none were left for the next pool's burst.
+  SECTION("a few large jobs among many small ones") {
     job_spec large = ShortJob();
     large.steps[0].task_count = 32;
     for (int i = 0; i < 120; ++i) {
@@ -141,10 +143,10 @@
     }
   }
 
-  // An owner whose reading has hung, or that has just taken over, reads at once
-  // what has come in a second or more. Taken for a steep rise, that drew VMs
-  // for ten times the rate.
-  SECTION("ten a second that are read together") {
+  // An owner whose reads have stalled, or that has just taken over, reads the
+  // jobs of a second or more at once. When this was reported as a steep rise,
+  // VMs were requested for ten times the actual rate.
+  SECTION("ten jobs per second that are read together") {
     for (int i = 0; i < 40; ++i) {
       now += milliseconds(100);
       meter.Note(ShortJob(), now);
@@ -156,14 +158,14 @@
     CHECK(meter.RisingDemand(now) == resources());
   }
 
-  SECTION("many that are older than what it looks at") {
+  SECTION("many jobs that are older than the baseline window") {
     for (int i = 0; i < 40; ++i) {
       meter.Note(ShortJob(), now, seconds(4));
     }
     CHECK(meter.RisingDemand(now) == resources());
   }
 
-  SECTION("two after a calm") {
+  SECTION("two jobs after an idle period") {
     meter.Note(ShortJob(), now);
     meter.Note(ShortJob(), now);
     CHECK(meter.RisingDemand(now) == resources());
--- a/tests/core/jobs/fleet_size_test.cc
+++ b/tests/core/jobs/fleet_size_test.cc
@@ -22,7 +22,7 @@
   return load;
 }
 
-TEST_CASE("A pool wants VMs for what runs and what waits") {
+TEST_CASE("A pool wants VMs for running and waiting tasks") {
   sizer_settings settings;
   settings.fill_ratio = 1.0;
   settings.reserve = 1;
@@ -31,36 +31,36 @@
   CHECK(sizer.Update(Load(20000, 0), false, now) == 3);
   CHECK(sizer.Update(Load(20000, 15000), false, now) == 5);
 
-  SECTION("the scarcest resource counts") {
+  SECTION("the scarcest resource determines the size") {
     pool_load load = Load(0, 0);
     load.waiting.memory_mb = 60000;
     CHECK(sizer.Update(load, false, now) == 7);
   }
 
-  SECTION("lasting tasks that must be spread need as many VMs") {
+  SECTION("tasks that must run on different VMs need as many VMs") {
     pool_load load = Load(1000, 0);
     load.spread = 8;
     CHECK(sizer.Update(load, false, now) == 9);
   }
 
-  SECTION("it keeps for a while what it needed most") {
+  SECTION("it holds its peak demand for some time") {
     now += seconds(2);
     CHECK(sizer.Update(Load(1000, 0), false, now) == 5);
     now += seconds(1);
     CHECK(sizer.Update(Load(1000, 0), false, now) == 2);
   }
 
-  // Another queue has its turn and lacks VMs: what this pool keeps for later is
-  // missing there now.
-  SECTION("but gives away sooner while another pool lacks VMs") {
+  // During another queue's burst, VMs that this pool keeps in reserve are
+  // missing in the other pool.
+  SECTION("it releases VMs sooner while another pool lacks VMs") {
     now += seconds(1);
     CHECK(sizer.Update(Load(1000, 0), true, now) == 2);
   }
 }
 
-// Guards against a pool that asks for fewer VMs while those that a rise needs
-// are on their way to it.
-TEST_CASE("A rise counts until its VMs can be there") {
+// Guards against a pool that requests fewer VMs while those for a detected rise
+// are still being moved to it.
+TEST_CASE("A rise is held until its VMs can have arrived") {
   sizer_settings settings;
   settings.fill_ratio = 1.0;
   settings.reserve = 1;
@@ -73,25 +73,26 @@
   now += seconds(2);
   CHECK(sizer.Update(Load(1000, 2000), true, now) == 7);
 
-  SECTION("and no longer") {
+  SECTION("but not longer") {
     now += seconds(1);
     CHECK(sizer.Update(Load(1000, 2000), true, now) == 2);
   }
 
-  SECTION("also when a smaller one follows") {
+  SECTION("also if a smaller rise follows") {
     load.rising.cpu_millis = 20000;
     CHECK(sizer.Update(load, true, now) == 7);
     now += seconds(1);
     CHECK(sizer.Update(Load(1000, 2000), true, now) == 3);
   }
 
-  SECTION("and what waits beyond it counts") {
+  SECTION("a larger demand of waiting tasks takes precedence") {
     CHECK(sizer.Update(Load(1000, 90000), true, now) == 11);
   }
 }
 
-// Guards against a small pool that keeps to a chance rise, and to others' VMs.
-TEST_CASE("A rise that few jobs tell counts for the moment only") {
+// Guards against a small pool that holds on to a random rise and takes VMs from
+// other pools.
+TEST_CASE("A rise computed from few jobs is not held") {
   pool_sizer sizer{sizer_settings()};
   const time_point now{std::chrono::hours(1)};
   pool_load load = Load(1000, 2000);
@@ -101,22 +102,22 @@
   CHECK(sizer.Update(Load(1000, 2000), true, now + seconds(2)) < risen);
 }
 
-// All processes start again in a queue's turn. The pools of the queues whose
-// turn is over hold the hosts that it lacks, and their owners have seen nothing
-// yet. They must not shrink by a load that they haven't seen, nor keep the
-// hosts for the rest of the turn.
-TEST_CASE("A new owner of a pool watches it before it shrinks") {
+// All processes restart during a queue's burst. Pools whose burst is over hold
+// the hosts that this queue lacks, and their new owners have not observed any
+// load yet. They must neither shrink based on a load that they have not
+// observed nor keep the hosts for the rest of the burst.
+TEST_CASE("A new owner observes its pool before shrinking it") {
   pool_sizer sizer{sizer_settings()};
   time_point now{std::chrono::hours(1)};
   CHECK_FALSE(sizer.MayShrink(true, now));
   sizer.Update(Load(20000, 0), true, now);
   CHECK_FALSE(sizer.MayShrink(true, now + milliseconds(400)));
 
-  SECTION("for a moment while another pool lacks VMs") {
+  SECTION("for a short time while another pool lacks VMs") {
     CHECK(sizer.MayShrink(true, now + milliseconds(401)));
   }
 
-  SECTION("else for as long as it remembers") {
+  SECTION("otherwise for the full demand window") {
     CHECK_FALSE(sizer.MayShrink(false, now + milliseconds(2500)));
     CHECK(sizer.MayShrink(false, now + milliseconds(2501)));
   }
@@ -131,7 +132,7 @@
   return host;
 }
 
-TEST_CASE("Hosts move to the pool that misses most") {
+TEST_CASE("Hosts move to the pool with the largest deficit") {
   fleet_balancer balancer{balancer_settings()};
   time_point now{std::chrono::hours(1)};
   std::vector<fleet_host> hosts = {
@@ -140,13 +141,13 @@
   balancer.UpdateHosts(hosts, {"spare"}, now);
   balancer.UpdateWanted({{"a", 2}, {"b", 3}});
 
-  SECTION("VM by VM, and no more than are wanted") {
+  SECTION("one VM at a time, and no more than are wanted") {
     const auto moves = balancer.Plan({}, now);
     REQUIRE(moves.size() == 3);
     CHECK(moves[0].pool == "b");
     CHECK(balancer.Plan({}, now).empty());
 
-    SECTION("a move that may not have arrived is ordered again") {
+    SECTION("an order that may not have arrived is sent again") {
       balancer.OnMoveAnswer(moves[0].host, false, false, now);
       CHECK(balancer.Plan({}, now).empty());
       now += seconds(2);
@@ -155,39 +156,40 @@
       CHECK(again[0].host == moves[0].host);
     }
 
-    SECTION("a move that was refused frees the host for another") {
+    SECTION("a refused move frees the host for another one") {
       balancer.OnMoveAnswer(moves[0].host, false, true, now);
       CHECK(balancer.Plan({}, now).size() == 1);
     }
 
-    SECTION("a list from before the move doesn't bring it back") {
+    SECTION("a list from before the move does not revert it") {
       balancer.OnMoveAnswer(moves[0].host, true, true, now);
       balancer.UpdateHosts(hosts, {"spare"}, now - milliseconds(10));
       CHECK(balancer.Plan({}, now).empty());
     }
   }
 
-  SECTION("not those that are being serviced") {
+  SECTION("hosts in service are not moved") {
     CHECK(balancer.Plan({"s1", "s2"}, now).size() == 1);
   }
 
-  SECTION("a VM that is closed for service is missed by its pool") {
+  SECTION("a VM that is closed for service is replaced in its pool") {
     balancer.UpdateWanted({{"a", 1}});
     CHECK(balancer.Plan({}, now).empty());
     balancer.UpdateClosed({"vm-a1"});
     CHECK(balancer.Plan({}, now).size() == 1);
   }
 
-  // A VM says that it leaves, and goes many seconds later. The list shows it as
-  // up all the while. Counted as one that its pool uses, it would get no
-  // successor before it is gone: tasks that were moved off it wait as long.
-  SECTION("a VM that leaves by itself is missed by its pool") {
+  // A VM announces that it will leave, and leaves many seconds later. The fleet
+  // list shows it as up until then. If it were counted as in use by its pool,
+  // its replacement would arrive only after it is gone, and the tasks that were
+  // moved off it would wait until then.
+  SECTION("a VM that is leaving is replaced in its pool") {
     balancer.UpdateWanted({{"a", 1}});
     CHECK(balancer.Plan({}, now).empty());
     balancer.UpdateLeaving({"vm-a1"});
     CHECK(balancer.Plan({}, now).size() == 1);
 
-    SECTION("and isn't moved, even if it was given away") {
+    SECTION("and is not moved even if it was released") {
       balancer.UpdateHosts({Host("a1", "a", "vm-a1")}, {"spare"}, now);
       balancer.UpdateOffers({"vm-a1"});
       balancer.UpdateWanted({{"b", 1}});
@@ -195,7 +197,7 @@
     }
   }
 
-  SECTION("a VM that its pool gives away goes where it is wanted, else spare") {
+  SECTION("a released VM moves to a pool that wants it, else to spare") {
     balancer.UpdateHosts({Host("a1", "a", "vm-a1"), Host("b1", "b", "vm-b1")},
                          {"spare"}, now);
     balancer.UpdateOffers({"vm-a1"});
@@ -214,10 +216,10 @@
     CHECK(moves[0].pool == "spare");
   }
 
-  // A pool gives a VM away, and its demand rises before the VM was moved. An
-  // order to move it to the pool where it is changes nothing: the VM, which its
-  // pool never uses again, would stay idle there for good.
-  SECTION("a VM that its own pool wants again goes by way of the spare pool") {
+  // A pool releases a VM, and its demand rises before the VM is moved. An order
+  // to move the VM to the pool that it is in has no effect, and the VM, which
+  // its pool never uses again, would stay idle permanently.
+  SECTION("a VM that its own pool wants again moves to spare first") {
     const std::vector<fleet_host> present = {Host("a1", "a", "vm-a1"),
                                              Host("s1", "spare", "")};
     balancer.UpdateHosts(present, {"spare"}, now);
@@ -232,11 +234,12 @@
   }
 }
 
-// One queue's turn ends as the next one's begins, and every 0.2 s its pool
-// gives a VM away. The next pool asks for them 0.5 s after the first. On their
-// way to the spare pool they would be out of reach for a move's time (1.5 s),
-// and cost two moves in place of one: callers of the second queue wait longer.
-TEST_CASE("Hosts go straight from one queue's turn to the next one's") {
+// One queue's burst ends as the next one's begins. The first pool releases a VM
+// every 0.2 s, and the next pool requests them 0.5 s after the first release.
+// If the hosts went to the spare pool, they would be unavailable for the time
+// of a move (1.5 s) and would need two moves instead of one, and callers of the
+// second queue would wait longer.
+TEST_CASE("Hosts move directly from one queue's burst to the next one's") {
   fleet_balancer balancer{balancer_settings()};
   const time_point begin{std::chrono::hours(1)};
   std::vector<fleet_host> hosts;
@@ -264,9 +267,9 @@
   CHECK(moves == std::map<pool_id, int>{{"second", 8}});
 }
 
-// Guards against hosts that go to the spare pool while a pool's demand rises,
-// and come from there by a second move.
-TEST_CASE("Hosts that are given away stay while a pool lacks VMs") {
+// Guards against hosts that move to the spare pool while a pool's demand rises,
+// and need a second move from there.
+TEST_CASE("Released hosts stay in place while a pool lacks VMs") {
   fleet_balancer balancer{balancer_settings()};
   const time_point begin{std::chrono::hours(1)};
   balancer.UpdateHosts({Host("h1", "first", "vm-1")}, {"spare"}, begin);
@@ -275,27 +278,27 @@
   CHECK(balancer.Plan({}, begin).empty());
   CHECK(balancer.Plan({}, begin + milliseconds(2000)).empty());
 
-  SECTION("and go to it when it asks for more") {
+  SECTION("and move to it when it wants more") {
     balancer.UpdateWanted({{"second", 1}});
     const auto moves = balancer.Plan({}, begin + milliseconds(2100));
     REQUIRE(moves.size() == 1);
     CHECK(moves[0].pool == "second");
   }
 
-  SECTION("but not for ever") {
+  SECTION("but not indefinitely") {
     const auto moves = balancer.Plan({}, begin + milliseconds(2500));
     REQUIRE(moves.size() == 1);
     CHECK(moves[0].pool == "spare");
   }
 
-  SECTION("nor when none lacks any more") {
+  SECTION("and not once no pool lacks VMs") {
     balancer.UpdateShortage(false);
     CHECK(balancer.Plan({}, begin + milliseconds(2100)).size() == 1);
   }
 }
 
-/// Returns how many hosts are visited when a pool gives one VM away and another
-/// pool gets it, in a fleet with `count` more hosts in each of them.
+/// Returns how many hosts are visited when one pool releases a VM and another
+/// pool receives it, in a fleet with `count` more hosts in each pool.
 std::uint64_t CountVisitedHosts(int count) {
   fleet_balancer balancer{balancer_settings()};
   const time_point now{std::chrono::hours(1)};
@@ -318,17 +321,17 @@
   return balancer.visited_hosts() - before;
 }
 
-// Guards against an owner of the fleet that looks at all hosts for each one
-// that moves, and has no time left while many do.
-TEST_CASE("A move doesn't make the owner of the fleet look at all hosts") {
+// Guards against an owner of the fleet that visits all hosts for each host that
+// moves, and becomes overloaded when many hosts move.
+TEST_CASE("A move does not visit all hosts of the fleet") {
   const std::uint64_t in_small_fleet = CountVisitedHosts(25);
   CHECK(in_small_fleet > 0);
   CHECK(CountVisitedHosts(550) <= in_small_fleet);
 }
 
-// Guards against a host that counts for its former pool, or as free, after a
-// change of it alone.
-TEST_CASE("Changes told one by one come to the same as a list of them") {
+// Guards against a host that is still counted for its former pool, or as free,
+// after a change that concerns this host only.
+TEST_CASE("Single changes have the same effect as full lists") {
   const time_point now{std::chrono::hours(1)};
   const std::vector<fleet_host> hosts = {
       Host("a1", "a", "vm-a1"), Host("a2", "a", "vm-a2"),
@@ -347,7 +350,7 @@
   CHECK(by_one.Stats({}) == by_list.Stats({}));
   CHECK(by_one.Stats({}).free == 2);
 
-  SECTION("and so does taking them back") {
+  SECTION("also when they are revoked") {
     by_one.NoteOffer("vm-a1", false);
     by_one.NoteClosed("vm-a2", false);
     by_list.UpdateOffers({});
--- a/tests/core/jobs/host_order_queue_test.cc
+++ b/tests/core/jobs/host_order_queue_test.cc
@@ -19,10 +19,10 @@
   return true;
 }
 
-// Guards against orders that are recorded in vain: hundreds waited for their
-// connections together until they were too old to be sent, and were recorded
-// and given up again and again.
-TEST_CASE("No more orders are recorded than can be sent soon") {
+// Guards against orders that are recorded without effect: hundreds of orders
+// waited for a connection until they were too old to be sent, and were recorded
+// and abandoned repeatedly.
+TEST_CASE("The number of recorded but unanswered orders is limited") {
   host_order_queue queue({.max_moves = 10, .max_services = 4});
   for (int i = 0; i < 200; ++i) {
     queue.Add(service_host{7, "s" + std::to_string(i)});
@@ -36,7 +36,7 @@
   CHECK(queue.waiting() == 216);
   CHECK(queue.Take(Always).empty());
 
-  SECTION("as many follow of a kind as are over") {
+  SECTION("each finished order admits one order of its kind") {
     queue.NoteFinished(first.front());
     queue.NoteFinished(first.back());
     const std::vector<host_order> next = queue.Take(Always);
@@ -44,14 +44,14 @@
     CHECK(CountMoves(next) == 1);
   }
 
-  SECTION("those that are given back wait again") {
+  SECTION("requeued orders wait again") {
     queue.Requeue(first);
     CHECK(queue.waiting() == 230);
     CHECK(queue.Take(Always).size() == 14);
   }
 }
 
-TEST_CASE("An order for a host that is held back lets others go first") {
+TEST_CASE("An order for a blocked host does not block other orders") {
   host_order_queue queue({.max_moves = 1, .max_services = 1});
   queue.Add(move_host{"held", "pool"});
   queue.Add(move_host{"free", "pool"});
--- a/tests/core/jobs/host_order_tracker_test.cc
+++ b/tests/core/jobs/host_order_tracker_test.cc
@@ -7,31 +7,32 @@
 
 using std::chrono::milliseconds;
 
-// All processes of a site are started again at once, in a queue's turn. The
-// owner of the fleet is the same as before. What it ordered a moment ago are
-// the very hosts that the turn needs; were they left alone as those of a
-// stranger, the pool would run on the VMs of the calm for 3.3 s, and callers'
-// jobs would be late.
-TEST_CASE("An owner of the fleet that comes back goes on with its hosts") {
+// All processes of a site restart at once during a queue's burst, and the owner
+// of the fleet is the same as before. The hosts that it ordered just before are
+// those that the burst needs. If they were blocked like the hosts of another
+// holder, the pool would have only its few idle-time VMs for 3.3 s, and jobs
+// would be late.
+TEST_CASE("A restarted owner of the fleet continues with its hosts") {
   host_order_tracker tracker({}, "p1");
   time_point now{std::chrono::hours(1)};
   tracker.Inherit({{"own", "p1"}, {"other", "p2"}, {"unknown", ""}}, now);
 
-  SECTION("at first none that was ordered may be ordered again") {
+  SECTION("initially no ordered host may be ordered again") {
     CHECK(tracker.BlockedHosts(now) ==
           std::set<host_id>{"other", "own", "unknown"});
     CHECK(tracker.MayOrder("untouched", now));
   }
 
-  SECTION("an order of its earlier life has arrived after a moment") {
+  SECTION("its own earlier orders have arrived after a short time") {
     now += milliseconds(300);
     CHECK(tracker.MayOrder("own", now));
     CHECK(tracker.BlockedHosts(now) == std::set<host_id>{"other", "unknown"});
   }
 
-  // The earlier owner may be at work yet, cut off from this process alone. Two
-  // that order one host within the lease undo each other's moves.
-  SECTION("hosts of others stay closed for their lease") {
+  // The earlier owner may still be running, disconnected only from this
+  // process. Two owners that order one host within the lease would undo each
+  // other's moves.
+  SECTION("hosts of other holders stay blocked for the lease") {
     now += milliseconds(3299);
     CHECK_FALSE(tracker.MayOrder("other", now));
     CHECK_FALSE(tracker.MayOrder("unknown", now));
@@ -40,9 +41,9 @@
   }
 }
 
-// Guards against two holders that order one host within the lease: the earlier
-// one sent its order long after the record of it.
-TEST_CASE("Hosts of others stay closed for as long as orders may be late") {
+// Guards against two holders that order one host within the lease, when the
+// earlier one sent its order long after recording it.
+TEST_CASE("Hosts of other holders stay blocked while orders may be late") {
   host_order_tracker tracker({.send_limit = milliseconds(700)}, "p1");
   time_point now{std::chrono::hours(1)};
   tracker.Inherit({{"own", "p1"}, {"other", "p2"}}, now);
@@ -55,9 +56,9 @@
   CHECK(tracker.MayOrder("other", now));
 }
 
-// A record that was dropped too early would let a new owner order the host
-// within the lease; one that stays closes the host for each new owner.
-TEST_CASE("The record of an order lasts as long as it keeps others out") {
+// If a record were deleted too early, a new owner could order the host within
+// the lease; if it were kept too long, each new owner would block the host.
+TEST_CASE("The record of an order is kept while it excludes others") {
   host_order_tracker tracker({}, "p1");
   time_point now{std::chrono::hours(1)};
   tracker.Inherit({{"inherited", "p2"}}, now);
@@ -70,13 +71,13 @@
   CHECK(tracker.TakeExpired(now) == std::vector<host_id>{"inherited"});
   CHECK(tracker.TakeExpired(now).empty());
 
-  SECTION("an order that is repeated renews it") {
+  SECTION("a repeated order renews the record") {
     tracker.NoteOrder("ordered", now);
     now += milliseconds(3300);
     CHECK(tracker.TakeExpired(now).empty());
   }
 
-  SECTION("and then it goes") {
+  SECTION("the record expires after that") {
     now += milliseconds(1000);
     CHECK(tracker.TakeExpired(now) == std::vector<host_id>{"ordered"});
   }
--- a/tests/core/jobs/job_age_test.cc
+++ b/tests/core/jobs/job_age_test.cc
@@ -21,13 +21,13 @@
   return bounds;
 }
 
-// One task that takes the whole VM for 1 s, of 2 s that are allowed.
+// One task that takes the whole VM for 1 s, with a latency target of 2 s.
 std::shared_ptr<const job_spec> LargeJob(const job_id& id) {
   return Job(id, {Step(1, 8000)});
 }
 
-// Guards against clocks that jump: each job would be late, or none.
-TEST_CASE("A job's age is within bounds, whatever the clocks tell") {
+// Guards against clock jumps that would make every job late, or none.
+TEST_CASE("A job's age is within bounds whatever the clocks show") {
   const time_point now{hours(500'000)};
   job_spec job;
   CHECK(AgeOf(job, now) == duration::zero());
@@ -41,9 +41,9 @@
   CHECK(AgeOf(job, now) == kMaxAge);
 }
 
-// Guards against jobs whose deadlines begin anew with each takeover: those that
-// are late go before others that can be in time, and draw VMs.
-TEST_CASE("A new owner counts a job's time from when it was handed in") {
+// Guards against deadlines that restart with each takeover: late jobs would go
+// before others that can still be in time, and would request VMs.
+TEST_CASE("A new owner measures a job's time from its submission") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddJob(LargeJob("a-late"), Policy(), driver.now, seconds(5));
@@ -53,19 +53,19 @@
                           milliseconds(900));
   driver.scheduler.UpdateVms({Vm("vm-1")}, driver.now);
 
-  SECTION("what can be in time goes first, by its deadline") {
+  SECTION("jobs that can be in time go first, ordered by deadline") {
     driver.List("vm-1", {}, {});
     const auto starts = driver.Starts();
     REQUIRE(starts.size() == 1);
     CHECK(starts[0].target.task.job == "c-urgent");
   }
 
-  SECTION("what is late draws no VMs") {
+  SECTION("late jobs request no VMs") {
     CHECK(driver.scheduler.Load("pool", driver.now).waiting.cpu_millis ==
           2 * 8000);
   }
 
-  SECTION("also when its queue's policy changes") {
+  SECTION("also after a change of the queue's policy") {
     queue_policy longer = Policy();
     longer.latency_target = seconds(2);
     driver.scheduler.SetPolicy("queue", longer);
@@ -78,9 +78,10 @@
   }
 }
 
-// Guards against a start of what an earlier owner may have started, or a wait
-// for what it can't: when a job was handed in tells neither.
-TEST_CASE("A job's age doesn't tell whether an earlier owner started it") {
+// Guards against starting a task that an earlier owner may have started, or
+// waiting for one that it cannot have started. The time of submission
+// determines neither.
+TEST_CASE("A job's age does not show whether an earlier owner started it") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -91,7 +92,7 @@
   driver.List("vm-1", {}, {});
   driver.Store();
   driver.List("vm-1", {}, {});
-  // The second VM is silent and may run both.
+  // The second VM has not answered and may run both.
   CHECK(driver.Starts().empty());
 
   driver.Pass(seconds(3));
@@ -103,9 +104,9 @@
   CHECK(starts[0].target.task.job == "read-late");
 }
 
-// Guards against reports that call a job in time that its caller had to wait
-// for, since the time before its owner read it doesn't count.
-TEST_CASE("A job's result counts from when it was handed in") {
+// Guards against results that call a job in time although its caller had to
+// wait, because the time before its owner read the job was not counted.
+TEST_CASE("A job's result is measured from its submission") {
   scheduler_driver driver;
   driver.Bring({Vm("vm-1")});
   driver.scheduler.AddJob(Job("job", {Step(1)}), Policy(), driver.now,
--- a/tests/core/jobs/job_directory_test.cc
+++ b/tests/core/jobs/job_directory_test.cc
@@ -7,11 +7,11 @@
 namespace plantainhead::core::jobs {
 namespace {
 
-TEST_CASE("The directory tells a job's state from records in any order") {
+TEST_CASE("The directory accepts a job's records in any order") {
   job_directory directory;
   CHECK(directory.Find("job") == nullptr);
 
-  SECTION("progress that is read before the submission counts") {
+  SECTION("progress that is read before the submission is kept") {
     directory.NoteProgress("job", {job_phase::kRunning, {}});
     CHECK(directory.Find("job") == nullptr);
     CHECK(directory.AddJob(Job("job", {Step(1)})));
@@ -26,7 +26,7 @@
     CHECK(directory.Pending("queue") == 1);
   }
 
-  SECTION("an end stays, whatever is read later") {
+  SECTION("a final phase stays, whatever is read later") {
     directory.AddJob(Job("job", {Step(1)}));
     directory.NoteProgress("job", {job_phase::kCompleted, {}});
     directory.NoteProgress("job", {job_phase::kRunning, {}});
@@ -35,7 +35,7 @@
     CHECK(directory.Find("job")->spec == nullptr);
   }
 
-  SECTION("a job of which only its end is kept is known, and starts no more") {
+  SECTION("a job with only a final phase is known and does not start") {
     directory.NoteEnded("job", job_phase::kFailed);
     REQUIRE(directory.Find("job") != nullptr);
     CHECK(directory.Find("job")->Phase() == job_phase::kFailed);
@@ -44,7 +44,7 @@
     CHECK(directory.Pending("queue") == 0);
   }
 
-  SECTION("a cancelled job is shown so at once and pends no more") {
+  SECTION("a cancelled job is shown as cancelled and not pending") {
     directory.AddJob(Job("job", {Step(1)}));
     CHECK(directory.NoteCancel("job"));
     CHECK_FALSE(directory.NoteCancel("job"));
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("A job's result tells what spent its time") {
+TEST_CASE("A job's result shows why it was late") {
   const time_point begin{std::chrono::hours(1)};
   job_result result;
   result.arrived_at = begin;
@@ -23,16 +23,16 @@
   CHECK(VerdictOf(result, result.deadline) == job_verdict::kInTime);
   CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
 
-  SECTION("it waited when its first task started later than its work allows") {
+  SECTION("it waited if its first task started too late for its estimate") {
     result.started_at = begin + milliseconds(1001);
     CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     result.started_at.reset();
     CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
   }
 
-  SECTION("it waited when later tasks of it did for as long as it was late") {
+  SECTION("it waited if its tasks waited for as long as it was late") {
     result.waits.Note(wait_cause::kCapacity, begin + seconds(1));
-    SECTION("for room") {
+    SECTION("for capacity") {
       result.waits.Note(std::nullopt, begin + seconds(2));
       CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     }
@@ -41,13 +41,13 @@
       result.waits.Note(std::nullopt, begin + seconds(2));
       CHECK(VerdictOf(result, late) == job_verdict::kWaitedForOwner);
     }
-    SECTION("but not when it waited for less") {
+    SECTION("but not if it waited for less") {
       result.waits.Note(std::nullopt, begin + milliseconds(1900));
       CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
     }
   }
 
-  SECTION("what was repeated, or went through two owners, comes before that") {
+  SECTION("repeated runs and a change of owner take precedence") {
     result.started_at = begin + milliseconds(1001);
     result.repeated_runs = 1;
     CHECK(VerdictOf(result, late) == job_verdict::kRunsRepeated);
@@ -56,7 +56,7 @@
     CHECK(VerdictOf(result, result.deadline) == job_verdict::kInTime);
   }
 
-  SECTION("a job that failed or was cancelled missed no deadline") {
+  SECTION("a job that failed or was cancelled is not reported as late") {
     result.phase = job_phase::kFailed;
     CHECK(VerdictOf(result, late) == job_verdict::kFailed);
     result.phase = job_phase::kCancelled;
@@ -64,9 +64,9 @@
   }
 }
 
-// Guards against a job that is said to have run long, though only its first
-// task found room at once.
-TEST_CASE("A job whose second step finds no room waited for room") {
+// Guards against a job that is reported to have run long although only its
+// first task found capacity immediately.
+TEST_CASE("A job whose second step finds no capacity waited for capacity") {
   scheduler_driver driver;
   step_spec second = Step(1, 8000);
   second.depends_on = {0};
--- a/tests/core/jobs/maintenance_scheduler_test.cc
+++ b/tests/core/jobs/maintenance_scheduler_test.cc
@@ -40,7 +40,7 @@
   return found;
 }
 
-TEST_CASE("A wave empties a host, services it and ends") {
+TEST_CASE("A wave drains a host, services it and completes") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1", "h2", "h3"}, 1));
@@ -53,7 +53,7 @@
   CHECK(closed[0].vm == "a1");
   CHECK(closed[1].vm == "a3");
 
-  SECTION("a host that still runs something isn't serviced") {
+  SECTION("a host that still runs tasks is not serviced") {
     now += seconds(5);
     scheduler.UpdateHosts(hosts, {}, now);
     CHECK(Of<service_host>(scheduler.Plan(now)).empty());
@@ -64,7 +64,8 @@
   REQUIRE(ordered.size() == 1);
   CHECK(ordered[0].host == "h1");
 
-  SECTION("an order without an answer counts as down and is sent again") {
+  SECTION(
+      "a host with an unanswered order counts as down and is ordered again") {
     scheduler.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
     CHECK(Of<service_host>(scheduler.Plan(now)).empty());
     now += seconds(2);
@@ -73,8 +74,9 @@
     CHECK(again[0].host == "h1");
   }
 
-  // Guards against a wave that stands still since a VM comes back under its id.
-  SECTION("also when its VM begins again under the same id") {
+  // Guards against a wave that never continues because a VM returns under the
+  // same id.
+  SECTION("a host returns also if its VM has the same id as before") {
     scheduler.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
     now += milliseconds(100);
     hosts[0].state = host_state::kInService;
@@ -88,7 +90,7 @@
     CHECK(Of<service_host>(actions).size() == 1);
   }
 
-  SECTION("the next host goes down when the first is up in another life") {
+  SECTION("the next host goes down when the first is up again") {
     scheduler.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
     now += milliseconds(100);
     scheduler.UpdateHosts(hosts, {}, now);
@@ -102,7 +104,7 @@
     CHECK(Of<service_host>(actions)[0].host == "h3");
     CHECK(Of<complete_wave>(actions).empty());
 
-    SECTION("and the wave is complete when all have been taken down") {
+    SECTION("and the wave is complete when all hosts have been taken down") {
       scheduler.OnServiceAnswer(7, "h3", service_result::kAccepted, now);
       now += seconds(2);
       hosts[2].vm = "b3";
@@ -118,10 +120,11 @@
   }
 }
 
-// The list of the fleet was asked for before a host of a spare pool went down,
-// and is read after. It shows the host as up, and a host that runs nothing has
-// no life to compare. Taken for back, it would let one too many go down.
-TEST_CASE("A list from before the order doesn't bring a host back") {
+// The fleet list was requested before a host of a spare pool went down, and is
+// read after that. It shows the host as up, and a host that runs nothing has no
+// incarnation to compare. If this counted as a return, one host too many would
+// go down.
+TEST_CASE("A list from before the order does not count as a return") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1", "h2"}, 1));
@@ -140,7 +143,7 @@
   CHECK(Of<service_host>(scheduler.Plan(now)).size() == 1);
 }
 
-TEST_CASE("A new keeper goes on where the earlier one was") {
+TEST_CASE("A new scheduler continues where the earlier one stopped") {
   maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1", "h2"}, 5));
@@ -151,16 +154,17 @@
   REQUIRE(closed.size() == 1);
   CHECK(closed[0].vm == "a2");
 
-  SECTION("and has nothing to do for a wave that is complete") {
+  SECTION("and has no work for a complete wave") {
     scheduler.NoteCompleted(7);
     CHECK_FALSE(scheduler.HasWork());
   }
 }
 
-// The owner of the fleet has closed VMs for a wave and is lost. Its successor
-// begins with other hosts, and the closed VMs stand idle until their turn
-// comes: lasting tasks of their pool wait, although there is room for them.
-TEST_CASE("A new keeper goes on with the VMs that are closed already") {
+// The owner of the fleet has closed VMs for a wave and is lost. If its
+// successor began with other hosts, the closed VMs would be idle until it
+// reaches them: long-running tasks of their pool would wait although there is
+// free capacity.
+TEST_CASE("A new scheduler continues with VMs that are already closed") {
   maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1", "h2", "h3", "h4"}, 1));
@@ -175,9 +179,9 @@
 }
 
 // The owner of the fleet is lost, and the next one plans before it has read
-// that hosts of the wave were serviced already. It begins with one of them;
-// what it reads then must end that, or the host is serviced a second time.
-TEST_CASE("A service that is read of after its host was begun counts") {
+// that hosts of the wave were already serviced. It begins to drain one of them.
+// What it reads then must stop this, or the host is serviced twice.
+TEST_CASE("A service record that is read after draining began is applied") {
   maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1"}, 1));
@@ -191,10 +195,10 @@
   CHECK(Of<release_vm>(actions).size() == 1);
 }
 
-// A VM that is closed for service takes no tasks. When its service is off, and
-// nobody takes that back, it stands idle for good with room for the tasks of
-// its pool.
-TEST_CASE("A VM that is closed for no wave is released") {
+// A VM that is closed for service accepts no tasks. If its service is cancelled
+// and the closing is not revoked, it stays idle permanently although its pool
+// needs it.
+TEST_CASE("A VM that is not closed for any wave is released") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1"}, 1));
@@ -204,7 +208,7 @@
   scheduler.UpdateClosed({"a1"});
   CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
 
-  SECTION("when its host proves not to be of the wave") {
+  SECTION("when its host turns out not to belong to the wave") {
     scheduler.UpdateEmpty({"a1"});
     REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
     scheduler.OnServiceAnswer(7, "h1", service_result::kPermanentFailure, now);
@@ -212,12 +216,12 @@
     REQUIRE(released.size() == 1);
     CHECK(released[0].vm == "a1");
 
-    SECTION("once") {
+    SECTION("only once") {
       CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
     }
   }
 
-  SECTION("when the wave has ended without its host, which comes back") {
+  SECTION("when the wave has completed without its host, which returns") {
     for (int i = 0; i < 12; ++i) {
       now += seconds(1);
       scheduler.UpdateHosts({hosts[1]}, {}, now);
@@ -230,14 +234,14 @@
     CHECK(scheduler.BusyHosts().empty());
   }
 
-  SECTION("when an earlier keeper closed it and it isn't due any more") {
+  SECTION("when an earlier scheduler closed it and it is no longer due") {
     scheduler.UpdateClosed({"a1", "a2"});
     const auto released = Of<release_vm>(scheduler.Plan(now));
     REQUIRE(released.size() == 1);
     CHECK(released[0].vm == "a2");
   }
 
-  SECTION("not while its order may be carried out") {
+  SECTION("not while its order may still be carried out") {
     scheduler.UpdateEmpty({"a1"});
     REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
     scheduler.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
@@ -250,7 +254,7 @@
   }
 }
 
-TEST_CASE("A host that has left for good doesn't hold its wave up") {
+TEST_CASE("A host that has left permanently does not block its wave") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1", "gone"}, 2));
@@ -266,9 +270,10 @@
   CHECK(Of<complete_wave>(scheduler.Plan(now)).size() == 1);
 }
 
-// The list of the fleet can't be read for a while. No host may pass for gone:
-// operators would be told that a wave is complete whose hosts weren't serviced.
-TEST_CASE("A wave isn't complete because no list can be read") {
+// The fleet list cannot be read for some time. No host may be considered gone:
+// operators would be told that a wave is complete although its hosts were not
+// serviced.
+TEST_CASE("A wave does not complete because no list can be read") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   scheduler.AddWave(Wave({"h1"}, 1));
@@ -278,8 +283,9 @@
   CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
 }
 
-// Guards against a wave reported complete after a single list without a host.
-TEST_CASE("One list after a time without lists doesn't tell that a host left") {
+// Guards against a wave that is reported complete after a single list without a
+// host.
+TEST_CASE("One list after a period without lists does not show a departure") {
   maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   const std::vector<fleet_host> both = {Host("h1", "p", "a1"),
@@ -298,7 +304,7 @@
     CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
   }
 
-  SECTION("after an outage of 5 s, when it is absent for 7 s") {
+  SECTION("after an outage of 5 s, when the host is absent for 6 s") {
     now += seconds(5);
     scheduler.UpdateHosts({both[0]}, {}, now);
     now += seconds(6);
@@ -307,12 +313,14 @@
   }
 }
 
-// The pattern: a wave of 24 of 49 hosts in 27 s, 10 at once, while the queues
-// have their turns and each pool wants every VM in its own. Taken as fast as
-// the wave allows, a fifth of the fleet is away in its first turn, and jobs
-// there are late; spread over the wave's time it is an eighth. Each turn is
-// another pool's, so that most hosts are spare at some time.
-TEST_CASE("A wave takes VMs from pools no faster than its time demands") {
+// Load pattern: a wave of 24 of 49 hosts with a time limit of 27 s, at most 10
+// hosts at once, while each pool in turn has a burst and wants every VM. At the
+// fastest rate that the wave allows, a fifth of the fleet is unavailable during
+// the first burst, and jobs are late; spread over the time limit it is an
+// eighth. Bursts alternate between the pools, so most hosts are spare at some
+// time.
+TEST_CASE(
+    "A wave takes VMs from pools no faster than its time limit requires") {
   maintenance_scheduler scheduler{maintenance_settings()};
   const time_point begin{std::chrono::hours(1)};
   std::vector<fleet_host> hosts;
@@ -325,26 +333,26 @@
   maintenance_wave wave = Wave(due, 10);
   wave.time_limit = seconds(27);
 
-  SECTION("six of ten, when its time is known") {
+  SECTION("six of ten, if its publication time is known") {
     wave.published_at = begin;
     scheduler.AddWave(wave);
     scheduler.UpdateHosts(hosts, {"spare"}, begin);
     CHECK(Of<close_vm>(scheduler.Plan(begin)).size() == 6);
 
-    SECTION("and all that it allows when it gets late") {
+    SECTION("and the maximum when little time is left") {
       const time_point late = begin + seconds(17);
       scheduler.UpdateHosts(hosts, {"spare"}, late);
       CHECK(Of<close_vm>(scheduler.Plan(late)).size() == 5);
     }
   }
 
-  SECTION("all that it allows, when an earlier owner may have begun it") {
+  SECTION("the maximum, if its publication time is unknown") {
     scheduler.AddWave(wave);
     scheduler.UpdateHosts(hosts, {"spare"}, begin);
     CHECK(Of<close_vm>(scheduler.Plan(begin)).size() == 11);
   }
 
-  SECTION("hosts of the spare pool go first, as many as it allows") {
+  SECTION("hosts of the spare pool go first, up to the maximum") {
     for (int i = 0; i < 8; ++i) {
       hosts[20 - i].pool = "spare";
       hosts[20 - i].vm = "";
@@ -358,8 +366,9 @@
           8);
   }
 
-  // Guards against a wave that takes the idle hosts for which a pool waits.
-  SECTION("no more of the spare pool either, while a pool lacks VMs") {
+  // Guards against a wave that takes the idle hosts for which a pool is
+  // waiting.
+  SECTION("hosts of the spare pool are limited too while a pool lacks VMs") {
     for (int i = 0; i < 8; ++i) {
       hosts[20 - i].pool = "spare";
       hosts[20 - i].vm = "";
@@ -373,7 +382,7 @@
           6);
   }
 
-  SECTION("none of a pool that lacks VMs, while there is time") {
+  SECTION("no host of a pool that lacks VMs while there is time") {
     wave.published_at = begin;
     scheduler.AddWave(wave);
     scheduler.UpdateHosts(hosts, {"spare"}, begin);
--- a/tests/core/jobs/owner_directory_test.cc
+++ b/tests/core/jobs/owner_directory_test.cc
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kPartition = 7;
 const time_point kStart{seconds(100)};
 
-TEST_CASE("The newest announcement of a partition's owner counts") {
+TEST_CASE("The latest announcement of a partition's owner is used") {
   owner_directory directory({seconds(1)});
   CHECK_FALSE(directory.Choose(kPartition, kStart));
   CHECK(directory.Note(kPartition, {5, "10.0.0.5:7060"}));
@@ -20,16 +20,16 @@
   CHECK_FALSE(directory.Choose(kPartition + 1, kStart));
 }
 
-// An owner is frozen. Callers of all kinds ask this process about its jobs, and
-// each that is passed on waits for a timeout before the store is tried. With a
-// circuit breaker one caller a second does.
-TEST_CASE("An owner that doesn't answer is left alone") {
+// The owner is frozen. Each request that is forwarded to it waits for a
+// time-out before the store is read. With the circuit breaker only one caller
+// per second waits.
+TEST_CASE("An owner that does not answer receives no requests") {
   owner_directory directory({seconds(1)});
   directory.Note(kPartition, {5, "10.0.0.5:7060"});
   directory.NoteFailed(kPartition, 5, kStart);
   CHECK_FALSE(directory.Choose(kPartition, kStart + milliseconds(999)));
 
-  SECTION("but for one request in a while") {
+  SECTION("except one request per interval") {
     CHECK(directory.Choose(kPartition, kStart + seconds(1)));
     CHECK_FALSE(directory.Choose(kPartition, kStart + milliseconds(1001)));
     CHECK_FALSE(directory.Choose(kPartition, kStart + milliseconds(1999)));
@@ -42,11 +42,11 @@
     }
   }
 
-  SECTION("until another one is the owner") {
+  SECTION("until another process is the owner") {
     directory.Note(kPartition, {6, "10.0.0.6:7060"});
     CHECK(directory.Choose(kPartition, kStart)->epoch == 6);
 
-    SECTION("of which a late failure of the first one tells nothing") {
+    SECTION("a late failure of the former owner does not affect it") {
       directory.NoteFailed(kPartition, 5, kStart);
       CHECK(directory.Choose(kPartition, kStart));
     }
--- a/tests/core/jobs/record_faults_test.cc
+++ b/tests/core/jobs/record_faults_test.cc
@@ -18,7 +18,7 @@
   return vm;
 }
 
-TEST_CASE("A fault is counted each time and told once a key") {
+TEST_CASE("A fault is counted each time and reported once per key") {
   record_fault_counter counter;
   CHECK(counter.Note("t", "a", kFault));
   CHECK_FALSE(counter.Note("t", "a", kFault));
@@ -28,13 +28,13 @@
   CHECK(counter.counts().at({"u", fault_kind::kNotJson}) == 1);
   CHECK(counter.FaultyKeys() == 3);
 
-  SECTION("and again after a sound record of the key") {
+  SECTION("and again after a valid record of the key") {
     counter.NoteValid("t", "a");
     CHECK(counter.FaultyKeys() == 2);
     CHECK(counter.Note("t", "a", kFault));
   }
 
-  SECTION("of keys without end some are told, and all are counted") {
+  SECTION("with very many keys some are reported and all are counted") {
     constexpr int kKeys = 5000;
     int reported = 0;
     for (int i = 0; i < kKeys; ++i) {
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("A fault does what harms least, whoever wrote the record") {
+TEST_CASE("A fault has the safest effect, whoever wrote the record") {
   CHECK(EffectOf(record_use::kConfiguration) == fault_effect::kKeepPrevious);
   CHECK(EffectOf(record_use::kWave) == fault_effect::kKeepPrevious);
   CHECK(EffectOf(record_use::kVmEntry) == fault_effect::kNoNewTasks);
@@ -70,7 +70,7 @@
   CHECK_FALSE(IsValidName(std::string(kMaxNameBytes + 1, 'a')));
 }
 
-TEST_CASE("A VM whose record can't be read takes no work and isn't gone") {
+TEST_CASE("A VM whose record is unreadable is listed but not usable") {
   routing_configuration configuration;
   configuration.pools = {{"pool", false}};
   const routing_table routes(configuration);
@@ -85,12 +85,12 @@
   CHECK(registry.IsListed("a"));
   CHECK(registry.Listed() == std::set<vm_id>{"a", "b"});
 
-  SECTION("until a sound record of it is read") {
+  SECTION("until a valid record of it is read") {
     registry.Put(VmOf("a", "pool"));
     CHECK(registry.Usable(routes).size() == 2);
   }
 
-  SECTION("whether it drains isn't known") {
+  SECTION("it is not known whether it is draining") {
     vm_description leaving = VmOf("b", "pool");
     leaving.draining = true;
     registry.Put(leaving);
@@ -99,18 +99,18 @@
     CHECK(registry.Leaving().empty());
   }
 
-  SECTION("until its key is dropped") {
+  SECTION("until its key is deleted") {
     registry.Drop("a");
     CHECK_FALSE(registry.IsListed("a"));
   }
 
-  SECTION("one that was never read sound is no VM to use either") {
+  SECTION("a VM without any valid record is not usable either") {
     registry.PutUnreadable("c");
     CHECK(registry.Usable(routes).size() == 1);
     CHECK(registry.IsListed("c"));
   }
 
-  SECTION("a pool that the configuration doesn't name has none to use") {
+  SECTION("a pool that is not configured has no usable VMs") {
     registry.Put(VmOf("d", "other"));
     CHECK(registry.Usable(routes).size() == 1);
     configuration.pools.push_back({"other", false});
@@ -118,9 +118,10 @@
   }
 }
 
-// A row of the fleet's list can't be read. If its host were left out, it would
-// count as one that has left the fleet, and a wave that names it as complete.
-TEST_CASE("A host whose row can't be read is there and isn't used") {
+// A row of the fleet list cannot be read. If its host were omitted, it would
+// count as having left the fleet, and a wave that includes it would count as
+// complete.
+TEST_CASE("A host whose row is unreadable is listed as down") {
   fleet_host up;
   up.host = "a";
   up.state = host_state::kUp;
@@ -135,18 +136,18 @@
   CHECK(kept[1].state == host_state::kDown);
   CHECK(kept[1].vm.empty());
 
-  SECTION("a row without a name may be any host of before") {
+  SECTION("a row without a name may be any host of the previous list") {
     const auto all = AddUnreadableHosts({up}, {""}, before);
     REQUIRE(all.size() == 2);
     CHECK(all[1].host == "b");
     CHECK(all[1].state == host_state::kDown);
   }
 
-  SECTION("a host that has a sound row, too, has just that") {
+  SECTION("a host that also has a valid row keeps that row") {
     CHECK(AddUnreadableHosts({up}, {"a"}, before).size() == 1);
   }
 
-  SECTION("without faults a host that isn't listed has left") {
+  SECTION("without faults a host that is not listed has left") {
     CHECK(AddUnreadableHosts({up}, {}, before).size() == 1);
   }
 }
--- a/tests/core/jobs/report_validity_test.cc
+++ b/tests/core/jobs/report_validity_test.cc
@@ -8,34 +8,35 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Guards against starts by a capacity that a VM had before its reports stopped,
-// and against pools that start nothing since their VMs report rarely.
-TEST_CASE("How long a VM's report is trusted follows how often it reports") {
+// Guards against starts based on a capacity from before the VM's reports
+// stopped, and against pools that start nothing because their VMs report
+// rarely.
+TEST_CASE("A VM's report is trusted in proportion to the report interval") {
   report_validity ages;
   const time_point first(seconds(100));
   ages.Note("vm", first);
   CHECK(ages.trusted_until().empty());
 
-  SECTION("often") {
+  SECTION("short interval") {
     ages.Note("vm", first + milliseconds(1500));
     CHECK(ages.trusted_until().at("vm") ==
           first + milliseconds(1500) + milliseconds(3200));
   }
 
-  SECTION("rarely") {
+  SECTION("long interval") {
     ages.Note("vm", first + seconds(10));
     CHECK(ages.trusted_until().at("vm") ==
           first + seconds(10) + milliseconds(20'200));
   }
 
-  SECTION("also of one that has reported once, when others have oftener") {
+  SECTION("a VM that reported once uses the interval of the others") {
     ages.Note("vm", first + milliseconds(1500));
     ages.Note("new", first + seconds(2));
     CHECK(ages.trusted_until().at("new") ==
           first + seconds(2) + milliseconds(3200));
   }
 
-  SECTION("and a store that was away for once changes little") {
+  SECTION("a single unavailability of the store has little effect") {
     for (int i = 1; i <= 10; ++i) {
       ages.Note("vm", first + i * seconds(2));
     }
@@ -44,12 +45,12 @@
           first + seconds(80) + milliseconds(4500));
   }
 
-  SECTION("never again") {
+  SECTION("a repeated report does not count") {
     ages.Note("vm", first);
     CHECK(ages.trusted_until().empty());
   }
 
-  SECTION("and it is forgotten with the VM") {
+  SECTION("it is forgotten with the VM") {
     ages.Note("vm", first + seconds(1));
     ages.Drop("vm");
     CHECK(ages.trusted_until().empty());
--- a/tests/core/jobs/routing_test.cc
+++ b/tests/core/jobs/routing_test.cc
@@ -15,7 +15,7 @@
   return route;
 }
 
-TEST_CASE("A request belongs to the longest prefix of its host") {
+TEST_CASE("A request is routed by the longest prefix of its host") {
   routing_configuration configuration;
   configuration.routes = {Route("short", "a.example", "/x/"),
                           Route("long", "a.example", "/x/y/"),
--- a/tests/core/jobs/vacancy_checker_test.cc
+++ b/tests/core/jobs/vacancy_checker_test.cc
@@ -13,22 +13,22 @@
   return {vm, vacancy_reason::kOffered, kPartition, epoch};
 }
 
-// A pool's owner is suspended while its offer of a VM is on the way. Another
-// owner takes the pool over, starts a lasting task on the VM, and then the
-// offer arrives. If the fleet's owner acted on it, the move would end the task
-// and users would miss it. The offer alone proves nothing; the record that the
-// store refused does.
-TEST_CASE("A late offer of a replaced owner moves no VM") {
+// A pool's owner is suspended while its offer of a VM is in transit. Another
+// owner takes the pool over and starts a long-running task on the VM, and then
+// the offer arrives. If the fleet's owner acted on the offer, the move would
+// terminate the task. The offer alone proves nothing; only the record does,
+// which the store rejects from the replaced owner.
+TEST_CASE("A late offer from a replaced owner moves no VM") {
   vacancy_checker checker{vacancy_settings()};
   checker.UpdateHints({Offer("vm-1")});
 
-  SECTION("An offer counts for nothing before its partition was read") {
+  SECTION("An offer is not confirmed before its partition is read") {
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
     CHECK(checker.TakePartitionsToRead() ==
           std::set<std::uint32_t>{kPartition});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
 
-    SECTION("and then when the record was there") {
+    SECTION("it is confirmed if the record exists") {
       checker.OnPartitionRead(kPartition, true, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
             std::set<vm_id>{"vm-1"});
@@ -36,12 +36,12 @@
       CHECK(checker.TakePartitionsToRead().empty());
     }
 
-    SECTION("but not when the record wasn't, and it isn't asked for again") {
+    SECTION("it is refuted and not read again if there is no record") {
       checker.OnPartitionRead(kPartition, true, {"vm-2"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
       CHECK(checker.TakePartitionsToRead().empty());
 
-      SECTION("until an owner of a later epoch offers the VM too") {
+      SECTION("until an owner of a later epoch offers the VM") {
         checker.UpdateHints({Offer("vm-1", kEpoch + 1)});
         CHECK(checker.TakePartitionsToRead() ==
               std::set<std::uint32_t>{kPartition});
@@ -51,7 +51,7 @@
       }
     }
 
-    SECTION("and is asked for again when the reading failed") {
+    SECTION("the partition is read again if the read failed") {
       checker.OnPartitionRead(kPartition, false, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
       CHECK(checker.TakePartitionsToRead() ==
@@ -59,7 +59,7 @@
     }
   }
 
-  SECTION("A reading that began before the offer was read says nothing of it") {
+  SECTION("A read that began before the offer arrived does not confirm it") {
     REQUIRE(checker.TakePartitionsToRead().size() == 1);
     checker.UpdateHints({Offer("vm-1"), Offer("vm-2")});
     CHECK(checker.TakePartitionsToRead().empty());
@@ -70,7 +70,7 @@
           std::set<std::uint32_t>{kPartition});
   }
 
-  SECTION("A hint that was taken back counts no more") {
+  SECTION("A withdrawn hint is no longer confirmed") {
     checker.TakePartitionsToRead();
     checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateHints({});
@@ -78,12 +78,12 @@
   }
 }
 
-// The registry misses a VM for so long that its pool's owner drops the record
-// of its vacancy. The VM comes back and the pool uses it again, but the list of
-// the fleet has shown it all the while, so that its old offer stands. A newer
-// reading of the partition shows that the record is gone; acted on, the offer
-// would move the VM with what runs there.
-TEST_CASE("An offer counts no longer than its record is there") {
+// The registry misses a VM for so long that its pool's owner deletes the
+// vacancy record. The VM returns and the pool uses it again, but the fleet list
+// has shown it throughout, so its old offer still exists. A newer read of the
+// partition shows that the record is gone; acting on the offer would move the
+// VM with its tasks.
+TEST_CASE("An offer is confirmed only as long as its record exists") {
   vacancy_checker checker{vacancy_settings()};
   checker.UpdateHints({Offer("vm-1")});
   checker.TakePartitionsToRead();
@@ -95,34 +95,36 @@
   CHECK(checker.Confirmed(vacancy_reason::kOffered) == std::set<vm_id>{"vm-2"});
 }
 
-// The pool's owner drops the record of a VM and uses it again. No hint is new,
-// so that no reading is due; the copy that is followed shows it all the same.
-// Later the same owner empties the VM once more, and its hint is the one that
-// was refuted: were that for good, the VM would stand idle and never move.
-TEST_CASE("An offer ends with its record and counts again with the next one") {
+// The pool's owner deletes the record of a VM and uses it again. There is no
+// new hint, so no read is due, but the followed copy of the partition shows the
+// change. Later the same owner drains the VM again, and its hint equals the
+// refuted one. If that hint stayed refuted, the VM would be idle and never be
+// moved.
+TEST_CASE(
+    "An offer is refuted without its record and confirmed with the next") {
   vacancy_checker checker{vacancy_settings()};
   checker.UpdateHints({Offer("vm-1")});
   checker.TakePartitionsToRead();
 
-  SECTION("A copy says nothing of an offer whose reading is under way") {
+  SECTION("A copy does not confirm an offer whose read is in progress") {
     checker.UpdateVacant(kPartition, {"vm-1"});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
   }
 
-  SECTION("The copy of another partition doesn't end it") {
+  SECTION("The copy of another partition does not refute it") {
     checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateVacant(kPartition + 1, {});
     CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
           std::set<vm_id>{"vm-1"});
   }
 
-  SECTION("A copy of its partition without the record ends it") {
+  SECTION("A copy of its partition without the record refutes it") {
     checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateVacant(kPartition, {});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
     CHECK(checker.TakePartitionsToRead().empty());
 
-    SECTION("and one with the record has the partition read again") {
+    SECTION("and a copy with the record triggers another read") {
       checker.UpdateVacant(kPartition, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
       CHECK(checker.TakePartitionsToRead() ==
@@ -133,7 +135,7 @@
     }
   }
 
-  SECTION("A reading that failed doesn't end an offer that was confirmed") {
+  SECTION("A failed read does not refute a confirmed offer") {
     checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateHints({Offer("vm-1"), Offer("vm-2")});
     checker.TakePartitionsToRead();
@@ -143,13 +145,13 @@
   }
 }
 
-// A VM begins its life in a pool, is found to be one too many, and is given
-// away within two seconds. The last list of the fleet was asked for before, and
-// the registry is read up to 2 s late, so that neither shows it. Were its offer
-// taken back as that of a dead one, its pool would use it no more and nobody
-// would move it: after 25 s of such moves 10 of 49 VMs stood idle for good, and
-// jobs were late for want of them.
-TEST_CASE("An offered VM that isn't listed yet stays offered") {
+// A new VM of a pool is found to be surplus and is released within two seconds.
+// The last fleet list was requested before, and the registry is read up to 2 s
+// late, so neither shows the VM. If its offer were withdrawn as that of an
+// ended VM, its pool would not use it and no one would move it: after 25 s of
+// such moves 10 of 49 VMs were idle permanently, and jobs were late for lack of
+// them.
+TEST_CASE("An offered VM that is not listed yet stays offered") {
   vacancy_checker checker{vacancy_settings()};
   time_point now{std::chrono::hours(1)};
   checker.UpdateHints({Offer("vm-1")});
@@ -160,7 +162,7 @@
   CHECK(checker.TakeStaleOffers({}, now).empty());
   CHECK(checker.TakeStaleOffers({"vm-1"}, now).empty());
 
-  SECTION("and is dropped, once, some time after it was moved") {
+  SECTION("and is dropped once, some time after it was moved") {
     now += std::chrono::seconds(9);
     CHECK(checker.TakeStaleOffers({}, now).empty());
     now += std::chrono::seconds(11);
@@ -169,9 +171,9 @@
   }
 }
 
-// Guards against a VM that is moved though its vacancy was refuted, or isn't
-// moved though it was confirmed, because nobody was told.
-TEST_CASE("Each change of what is surely vacant is told once") {
+// Guards against a VM that is moved although its vacancy was refuted, or not
+// moved although it was confirmed, because a change was not reported.
+TEST_CASE("Each change of a confirmed vacancy is reported once") {
   vacancy_checker checker{vacancy_settings()};
   checker.NoteHint(Offer("vm-1"));
   CHECK(checker.TakeChanges().empty());
@@ -183,7 +185,7 @@
   CHECK(changes[0].is_confirmed);
   CHECK(checker.TakeChanges().empty());
 
-  SECTION("also when the record is dropped") {
+  SECTION("also when the record is deleted") {
     checker.NoteVacant(kPartition + 1, "vm-1", false);
     CHECK(checker.TakeChanges().empty());
     checker.NoteVacant(kPartition, "vm-1", false);
@@ -193,7 +195,7 @@
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
   }
 
-  SECTION("and when the hint is") {
+  SECTION("and when the hint is dropped") {
     checker.DropHint("vm-1", vacancy_reason::kOffered);
     changes = checker.TakeChanges();
     REQUIRE(changes.size() == 1);
--- a/tests/core/jobs/vacancy_manager_test.cc
+++ b/tests/core/jobs/vacancy_manager_test.cc
@@ -16,10 +16,10 @@
   return load;
 }
 
-/// A pool's owner with VMs that are empty when a test says so.
+/// Simulates a pool's owner whose VMs are empty when a test says so.
 class vacancy_manager_fixture {
  protected:
-  /// The pool has one VM too many, and `vm` is the least used.
+  /// Resizes a pool that has one VM too many, of which `vm` is the least used.
   void ReleaseVm(const vm_id& vm) {
     REQUIRE(manager_.Resize("pool", Load(kWanted + 1), kWanted,
                             [&](std::uint32_t count) {
@@ -28,7 +28,7 @@
                             }));
   }
 
-  /// The pool has `usable_vms` VMs that take tasks.
+  /// Resizes a pool that has `usable_vms` VMs that accept tasks.
   bool Resize(std::uint32_t usable_vms) {
     return manager_.Resize("pool", Load(usable_vms), kWanted,
                            [](std::uint32_t) { return std::vector<vm_id>(); });
@@ -70,25 +70,25 @@
   const std::set<vm_id> vms_ = {"vm-1", "vm-2"};
   std::set<vm_id> present_ = vms_;
   std::set<vm_id> empty_;
-  /// VMs whose hints are to be read in the store.
+  /// VMs whose hints can be read from the store.
   std::set<vm_id> shown_;
   time_point now_{std::chrono::hours(1)};
 };
 
 const vacant_vm kOfferedVm = {"vm-1", vacancy_reason::kOffered};
 
-// The owner of the fleet moves a VM that it is told of, and what runs there
-// ends. Told before the record of the vacancy is stored, it would move a VM on
-// which the next owner of the pool, which knows of no vacancy, has started a
-// task.
+// The owner of the fleet moves a VM that is reported to it, which terminates
+// tasks on the VM. If the VM were reported before its vacancy record is stored,
+// the next owner of the pool, which does not know of the vacancy, might already
+// have started a task on it.
 TEST_CASE_METHOD(vacancy_manager_fixture,
-                 "Nobody is told of a vacancy before it is stored") {
+                 "No vacancy is reported before it is stored") {
   ReleaseVm("vm-1");
   CHECK(IsClosed("vm-1"));
   CHECK_FALSE(NoteEmptyVms());
   CHECK(TakeHints().empty());
 
-  SECTION("found empty, it is to be recorded first") {
+  SECTION("an empty VM is recorded first") {
     empty_ = {"vm-1"};
     CHECK(NoteEmptyVms());
     CHECK(TakeHints().empty());
@@ -96,14 +96,14 @@
     CHECK_FALSE(NoteEmptyVms());
     CHECK(TakeHints().empty());
 
-    SECTION("and told once when the record is stored") {
+    SECTION("and reported once when the record is stored") {
       CHECK(manager_.NoteStored() == std::vector<vacant_vm>{kOfferedVm});
       CHECK(TakeBatch().vacant.empty());
       CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
       CHECK(TakeHints().empty());
       CHECK(IsClosed("vm-1"));
 
-      SECTION("and again when its host is to be serviced") {
+      SECTION("and again if its host is to be serviced") {
         manager_.UpdateForService({"vm-1"});
         CHECK(TakeHints() ==
               std::vector<vacant_vm>{{"vm-1", vacancy_reason::kForService}});
@@ -113,11 +113,11 @@
 }
 
 TEST_CASE_METHOD(vacancy_manager_fixture,
-                 "A VM is emptied for the service of its host") {
+                 "A VM is drained for the service of its host") {
   manager_.UpdateForService({"vm-1"});
   CHECK(IsClosed("vm-1"));
 
-  SECTION("and is used again when the service is off before it was empty") {
+  SECTION("and reopened if the service is cancelled before it is empty") {
     manager_.UpdateForService({});
     CHECK_FALSE(IsClosed("vm-1"));
   }
@@ -131,13 +131,13 @@
 }
 
 TEST_CASE_METHOD(vacancy_manager_fixture,
-                 "What an earlier owner recorded stays closed") {
+                 "A VM that an earlier owner recorded stays closed") {
   manager_.Restore({"vm-1"});
   CHECK(IsClosed("vm-1"));
   CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
 
-  // The registry misses VMs for some seconds after the store was away.
-  SECTION("also while the VM is missing for a moment") {
+  // The registry misses VMs for some seconds after the store was unavailable.
+  SECTION("also while the VM is briefly missing") {
     present_ = {};
     CHECK(TakeBatch().dropped.empty());
     now_ += seconds(15);
@@ -149,16 +149,16 @@
     CHECK(IsClosed("vm-1"));
   }
 
-  SECTION("and is forgotten some time after its life") {
+  SECTION("and is forgotten some time after its incarnation has ended") {
     present_ = {};
     CHECK(TakeBatch().dropped.empty());
     now_ += seconds(21);
     CHECK(TakeBatch().dropped == std::vector<vm_id>{"vm-1"});
     CHECK_FALSE(IsClosed("vm-1"));
 
-    // The store was away for long, and the VM wasn't gone. Its hint was taken
-    // back meanwhile.
-    SECTION("so that it is told again if it is back after all") {
+    // The store was unavailable for long, and the VM still exists. Its hint was
+    // withdrawn meanwhile.
+    SECTION("so it is reported again if it returns after all") {
       present_ = {"vm-1"};
       CHECK(TakeHints().empty());
       ReleaseVm("vm-1");
@@ -171,33 +171,32 @@
   }
 }
 
-// A pool gives a VM away while its queue is calm, and the VM still runs a task.
-// Then the queue's turn begins: lasting tasks of the pool have to wait,
-// although there is room for them on that VM. The owner of the fleet hasn't
-// been told of it, takes it for a VM that the pool uses, and sends no other
-// one.
+// A pool releases a VM while its queue is idle, and the VM still runs a task.
+// Then the queue's burst begins, and long-running tasks of the pool have to
+// wait although the VM has free capacity. The owner of the fleet has not been
+// notified of the VM, counts it as used by the pool, and sends no other one.
 TEST_CASE_METHOD(vacancy_manager_fixture,
-                 "A pool that lacks VMs takes back what it gives away") {
+                 "A pool that lacks VMs reclaims the VMs that it releases") {
   ReleaseVm("vm-1");
 
-  SECTION("not while it has as many as it wants") {
+  SECTION("not while it has as many VMs as it wants") {
     CHECK_FALSE(Resize(kWanted));
     CHECK(IsClosed("vm-1"));
   }
 
-  SECTION("while a task still runs there") {
+  SECTION("while a task still runs on the VM") {
     CHECK_FALSE(NoteEmptyVms());
     CHECK(Resize(kWanted - 1));
     CHECK_FALSE(IsClosed("vm-1"));
 
-    SECTION("so that it isn't recorded as vacant when the task has ended") {
+    SECTION("so it is not recorded as vacant after the task has ended") {
       empty_ = {"vm-1"};
       CHECK_FALSE(NoteEmptyVms());
       CHECK(TakeBatch().vacant.empty());
     }
   }
 
-  SECTION("when it is empty and its record wasn't asked for yet") {
+  SECTION("when it is empty and its record is not requested yet") {
     empty_ = {"vm-1"};
     CHECK(NoteEmptyVms());
     CHECK(Resize(kWanted - 1));
@@ -205,28 +204,28 @@
     CHECK(TakeBatch().vacant.empty());
   }
 
-  SECTION("no more than it lacks, the last one first") {
+  SECTION("no more than it lacks, the most recently released one first") {
     ReleaseVm("vm-2");
     CHECK(Resize(kWanted - 1));
     CHECK(IsClosed("vm-1"));
     CHECK_FALSE(IsClosed("vm-2"));
   }
 
-  SECTION("not what is closed for service as well") {
+  SECTION("not VMs that are also closed for service") {
     manager_.UpdateForService({"vm-1"});
     Resize(kWanted - 1);
     CHECK(IsClosed("vm-1"));
   }
 
-  SECTION("not those of another pool") {
+  SECTION("not VMs of another pool") {
     CHECK_FALSE(
         manager_.Resize("other", Load(kWanted - 1), kWanted,
                         [](std::uint32_t) { return std::vector<vm_id>(); }));
     CHECK(IsClosed("vm-1"));
   }
 
-  // From the moment that the store may have the record, the owner of the fleet
-  // may read it and order the move.
+  // Once the store may have the record, the owner of the fleet may read it and
+  // order the move.
   SECTION("never once the record may be stored") {
     empty_ = {"vm-1"};
     CHECK(NoteEmptyVms());
@@ -239,19 +238,18 @@
   }
 }
 
-// The hint of a vacant VM gets lost: the store rejects the append that holds
-// it, or the owner of the fleet takes the VM for gone and drops it. The VM
-// would be closed for good with nobody to move it, and the owner of the fleet
-// would count it as one that its pool uses: lasting tasks wait beside an idle
-// VM.
-TEST_CASE_METHOD(vacancy_manager_fixture,
-                 "A hint that got lost is told again") {
+// The hint of a vacant VM is lost: the store rejects the append that contains
+// it, or the owner of the fleet considers the VM gone and drops the hint. The
+// VM would stay closed permanently and never be moved, and the owner of the
+// fleet would count it as used by its pool, so that long-running tasks wait
+// although a VM is idle.
+TEST_CASE_METHOD(vacancy_manager_fixture, "A lost hint is sent again") {
   manager_.Restore({"vm-1"});
   CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
   now_ += seconds(1);
   CHECK(TakeHints().empty());
 
-  SECTION("some time after it was told") {
+  SECTION("some time after it was sent") {
     now_ += seconds(1);
     CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
     CHECK(TakeHints().empty());
@@ -259,12 +257,12 @@
     CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
   }
 
-  SECTION("not while the store shows it") {
+  SECTION("not while it can be read from the store") {
     shown_ = {"vm-1"};
     now_ += seconds(60);
     CHECK(TakeHints().empty());
 
-    SECTION("but when it was dropped later") {
+    SECTION("but when it is dropped later") {
       shown_ = {};
       CHECK(TakeHints() == std::vector<vacant_vm>{kOfferedVm});
     }
@@ -277,8 +275,8 @@
   }
 }
 
-/// Returns how many VMs are visited when one more of `count` vacant VMs is
-/// emptied, recorded and told.
+/// Returns how many VMs are visited when one VM is drained, recorded and
+/// reported in addition to `count` vacant ones.
 std::uint64_t CountVisitedVms(std::size_t count) {
   vacancy_manager manager{vacancy_manager_settings()};
   const time_point now(std::chrono::hours(1));
@@ -299,9 +297,9 @@
   return manager.visited_vms() - before;
 }
 
-// In a large pool some hundred VMs are vacant and not gone yet; an owner that
-// looks at each of them in each plan has no time left for its tasks.
-TEST_CASE("A vacancy doesn't make the owner look at the others") {
+// In a large pool, hundreds of VMs are vacant and have not been moved yet. An
+// owner that visits each of them for each plan becomes overloaded.
+TEST_CASE("A new vacancy does not visit the other vacant VMs") {
   const std::uint64_t in_small_pool = CountVisitedVms(25);
   CHECK(in_small_pool > 0);
   CHECK(CountVisitedVms(500) <= in_small_pool);
