--- a/src/core/jobs/arrival_rate_monitor.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -29,8 +29,8 @@
     noted.memory += time * static_cast<double>(step.need.memory_mb);
     noted.gpus += time * static_cast<double>(step.need.gpus);
   }
-  const bool is_lasting = noted.cpu == 0 && noted.memory == 0;
-  if (!is_lasting) {
+  const bool is_long_running = noted.cpu == 0 && noted.memory == 0;
+  if (!is_long_running) {
     const auto next = std::upper_bound(
         arrivals_.begin(), arrivals_.end(), noted.at,
         [](time_point at, const arrival& other) { return at < other.at; });
--- a/tests/core/jobs/arrival_rate_monitor_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -30,26 +30,26 @@
 // can wait about that long before it is late. The test checks how soon after
 // the first job the full demand of the burst is requested.
 TEST_CASE("A queue's burst is detected from its first jobs") {
-  arrival_rate_monitor meter{arrival_rate_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   for (int i = 0; i < 5; ++i) {
     now += seconds(3);
-    meter.Note(ShortJob(), now);
-    CHECK(meter.RisingDemand(now) == resources());
+    monitor.Note(ShortJob(), now);
+    CHECK(monitor.RisingDemand(now) == resources());
   }
   now += seconds(1);
   const time_point began = now;
   const auto pass_turn = [&](milliseconds time) {
     for (; now < began + time; now += milliseconds(33)) {
-      meter.Note(ShortJob(), now);
+      monitor.Note(ShortJob(), now);
     }
   };
 
   SECTION("Half of the demand is predicted within 0.2 s, all of it in 0.4 s") {
     pass_turn(milliseconds(200));
-    CHECK(meter.RisingDemand(now).cpu_millis >= 81000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 81000);
     pass_turn(milliseconds(400));
-    CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 155000);
 
     SECTION("while used and waiting resources alone show a quarter") {
       pool_load load;
@@ -60,7 +60,7 @@
       load.used = {65000, 0, 0};
       const std::uint32_t by_backlog =
           pool_sizer(sizer_settings()).Update(load, false, now);
-      load.rising = meter.RisingDemand(now);
+      load.rising = monitor.RisingDemand(now);
       const std::uint32_t by_rate =
           pool_sizer(sizer_settings()).Update(load, false, now);
       CHECK(by_backlog == 7);
@@ -74,53 +74,53 @@
   SECTION("At a high arrival rate all is predicted within 0.1 s") {
     for (int i = 1; i <= 20; ++i) {
       now += milliseconds(5);
-      meter.Note(ShortJob(), now);
+      monitor.Note(ShortJob(), now);
     }
-    CHECK(meter.RisingDemand(now).cpu_millis >= 1'000'000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 1'000'000);
   }
 
   SECTION("No rise is reported late in the burst") {
     pass_turn(milliseconds(2500));
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("Long-running steps do not count towards the rate") {
     job_spec lasting = ShortJob();
     lasting.steps[0].lasting = true;
     for (int i = 0; i < 20; ++i) {
-      meter.Note(lasting, now);
+      monitor.Note(lasting, now);
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 }
 
 // Guards against a burst that is not detected because jobs that were submitted
 // seconds ago are counted in the baseline.
 TEST_CASE("A rise is detected after jobs that were read late") {
-  arrival_rate_monitor meter{arrival_rate_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
-  meter.Note(ShortJob(), now);
+  monitor.Note(ShortJob(), now);
   for (int i = 0; i < 40; ++i) {
-    meter.Note(ShortJob(), now, milliseconds(2500));
+    monitor.Note(ShortJob(), now, milliseconds(2500));
   }
   now += milliseconds(1500);
   for (int i = 0; i < 12; ++i) {
     now += milliseconds(33);
-    meter.Note(ShortJob(), now);
+    monitor.Note(ShortJob(), now);
   }
-  CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
+  CHECK(monitor.RisingDemand(now).cpu_millis >= 155000);
 }
 
 TEST_CASE("A constant rate or two jobs at once are not a rise") {
-  arrival_rate_monitor meter{arrival_rate_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
 
   SECTION("ten jobs per second for a long time") {
     for (int i = 0; i < 60; ++i) {
       now += milliseconds(100);
-      meter.Note(ShortJob(), now);
+      monitor.Note(ShortJob(), now);
       if (i > 30) {
-        CHECK(meter.RisingDemand(now) == resources());
+        CHECK(monitor.RisingDemand(now) == resources());
       }
     }
   }
@@ -133,12 +133,12 @@
     large.steps[0].task_count = 32;
     for (int i = 0; i < 120; ++i) {
       now += milliseconds(50);
-      meter.Note(i % 40 == 39 ? large : ShortJob(), now);
+      monitor.Note(i % 40 == 39 ? large : ShortJob(), now);
       if (i % 40 == 39) {
-        meter.Note(large, now);
+        monitor.Note(large, now);
       }
       if (i > 60) {
-        CHECK(meter.RisingDemand(now) == resources());
+        CHECK(monitor.RisingDemand(now) == resources());
       }
     }
   }
@@ -149,26 +149,26 @@
   SECTION("ten jobs per second that are read together") {
     for (int i = 0; i < 40; ++i) {
       now += milliseconds(100);
-      meter.Note(ShortJob(), now);
+      monitor.Note(ShortJob(), now);
     }
     now += milliseconds(1500);
     for (int i = 0; i < 15; ++i) {
-      meter.Note(ShortJob(), now, i * milliseconds(100));
+      monitor.Note(ShortJob(), now, i * milliseconds(100));
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("many jobs that are older than the baseline window") {
     for (int i = 0; i < 40; ++i) {
-      meter.Note(ShortJob(), now, seconds(4));
+      monitor.Note(ShortJob(), now, seconds(4));
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("two jobs after an idle period") {
-    meter.Note(ShortJob(), now);
-    meter.Note(ShortJob(), now);
-    CHECK(meter.RisingDemand(now) == resources());
+    monitor.Note(ShortJob(), now);
+    monitor.Note(ShortJob(), now);
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 }
 
