--- a/include/plantainhead/core/jobs/arrival_rate_monitor.h
+++ b/include/plantainhead/core/jobs/arrival_rate_monitor.h
@@ -46,9 +46,9 @@
   /// Records a job that has just been read and was submitted `age` ago; ages
   /// may come in any order. Long-running steps are ignored, since
   /// they do not arrive at a rate. Precondition: `now` never decreases.
-  void Note(const job_spec& job,
-            time_point now,
-            duration age = duration::zero());
+  void RecordArrival(const job_spec& job,
+                     time_point now,
+                     duration age = duration::zero());
   /// Returns the resources that tasks will use on average if jobs keep arriving
   /// at the current rate; zero while no rise is in progress. The demand is
   /// computed from the callers' estimates for jobs of average size, so a single
--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -85,7 +85,7 @@
   }
   /// Like `UpdateOffers`, for one VM.
   void NoteOffer(const vm_id& vm, bool is_offered) {
-    Put(&offers_, vm, is_offered);
+    SetMembership(&offers_, vm, is_offered);
   }
   /// Replaces the set of VMs that accept no tasks for other reasons.
   void UpdateClosed(const std::set<vm_id>& closed) {
@@ -93,7 +93,7 @@
   }
   /// Like `UpdateClosed`, for one VM.
   void NoteClosed(const vm_id& vm, bool is_closed) {
-    Put(&closed_, vm, is_closed);
+    SetMembership(&closed_, vm, is_closed);
   }
   /// Replaces the set of VMs that have announced their departure.
   void UpdateLeaving(const std::set<vm_id>& leaving) {
@@ -152,24 +152,24 @@
   using free_hosts = std::map<std::size_t, known_host*>;
 
   /// Classifies the host again and updates the counters.
-  void Reassess(known_host* known);
-  void Count(known_host* known, bool is_added);
-  void ReassessHost(const host_id& host);
-  void Put(std::set<vm_id>* vms, const vm_id& vm, bool is_in);
+  void Reclassify(known_host* known);
+  void UpdateCounts(known_host* known, bool is_added);
+  void ReclassifyHost(const host_id& host);
+  void SetMembership(std::set<vm_id>* vms, const vm_id& vm, bool is_member);
   void Replace(std::set<vm_id>* vms, const std::set<vm_id>& next);
-  bool IsFree(const fleet_host& host) const;
+  bool IsMovable(const fleet_host& host) const;
   std::uint32_t CountOf(const pool_id& pool) const;
   /// Returns the host with the highest position in the list that may move to
   /// the pool, or null.
-  known_host* FindFree(const pool_id& pool, const std::set<host_id>& busy);
+  known_host* FindMovable(const pool_id& pool, const std::set<host_id>& busy);
   void MoveToSparePool(const std::set<host_id>& busy,
                        const std::set<pool_id>& wanting,
                        time_point now,
                        std::vector<move_host>* moves);
-  void Order(known_host* known,
-             const pool_id& pool,
-             time_point now,
-             std::vector<move_host>* moves);
+  void OrderMove(known_host* known,
+                 const pool_id& pool,
+                 time_point now,
+                 std::vector<move_host>* moves);
 
   balancer_settings settings_;
   std::unordered_map<host_id, known_host> hosts_;
--- a/include/plantainhead/core/jobs/host_order_tracker.h
+++ b/include/plantainhead/core/jobs/host_order_tracker.h
@@ -20,12 +20,12 @@
   /// A holder sends an order at most this long after it requested the record of
   /// the order to be stored. This bounds how late an order of an earlier owner
   /// may still be sent.
-  duration send_limit = duration::zero();
+  duration max_send_delay = duration::zero();
   /// Upper bound for the time that an order takes to arrive. A restarted holder
   /// waits for this time, so that an order from before the restart does not
   /// arrive after a newer one. It is added to the lease of other holders, as
-  /// `send_limit` is.
-  duration arrival_reserve = std::chrono::milliseconds(300);
+  /// `max_send_delay` is.
+  duration max_delivery_time = std::chrono::milliseconds(300);
 };
 
 /// Prevents two holders from ordering the same host at about the same time.
@@ -64,8 +64,8 @@
 
  private:
   duration BlockTime() const {
-    return settings_.holder_lease + settings_.send_limit +
-           settings_.arrival_reserve;
+    return settings_.holder_lease + settings_.max_send_delay +
+           settings_.max_delivery_time;
   }
 
   host_order_settings settings_;
--- a/include/plantainhead/core/jobs/owner_directory.h
+++ b/include/plantainhead/core/jobs/owner_directory.h
@@ -43,7 +43,7 @@
 
   /// Notes an owner's announcement. Returns whether it is newer than the known
   /// one; announcements may be read in any order.
-  bool Note(std::uint32_t partition, owner_address owner);
+  bool NoteAnnouncement(std::uint32_t partition, owner_address owner);
   /// Returns the latest announcement for the partition; its epoch is 0 if there
   /// is none.
   owner_address Latest(std::uint32_t partition) const;
--- a/include/plantainhead/core/jobs/vacancy_checker.h
+++ b/include/plantainhead/core/jobs/vacancy_checker.h
@@ -21,7 +21,7 @@
   /// Its host is to be serviced.
   kForService,
 };
-inline constexpr std::size_t kVacancyReasons = 2;
+inline constexpr std::size_t kVacancyReasonCount = 2;
 
 /// Hint from the owner of a pool that it has drained a VM and no longer uses
 /// it.
--- a/include/plantainhead/core/jobs/vacancy_manager.h
+++ b/include/plantainhead/core/jobs/vacancy_manager.h
@@ -136,7 +136,7 @@
     stage at = stage::kClosing;
     vm_presence presence;
     std::optional<time_point> gone_since;
-    std::array<hint_state, kVacancyReasons> hints;
+    std::array<hint_state, kVacancyReasonCount> hints;
     /// Time of its entry in `hints_due_`, if any.
     std::optional<time_point> hint_due;
   };
--- a/include/plantainhead/core/jobs/wait_time_tracker.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -40,7 +40,7 @@
  public:
   /// Sets the cause for which tasks wait from now on; `nullopt` if none waits.
   /// Precondition: times never decrease.
-  void Note(std::optional<wait_cause> cause, time_point now);
+  void SetCause(std::optional<wait_cause> cause, time_point now);
   duration waited(wait_cause cause) const {
     return waited_.at(static_cast<std::size_t>(cause));
   }
--- a/src/core/jobs/arrival_rate_monitor.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-void arrival_rate_monitor::Note(const job_spec& job,
-                                time_point now,
-                                duration age) {
+void arrival_rate_monitor::RecordArrival(const job_spec& job,
+                                         time_point now,
+                                         duration age) {
   if (age > settings_.window + settings_.baseline_window) {
     return;
   }
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -34,7 +34,7 @@
   std::erase_if(
       hosts_, [this](const auto& entry) { return entry.second.list != list_; });
   for (auto& [name, known] : hosts_) {
-    Reassess(&known);
+    Reclassify(&known);
   }
 }
 
@@ -47,9 +47,9 @@
   }
 }
 
-void fleet_balancer::Reassess(known_host* known) {
+void fleet_balancer::Reclassify(known_host* known) {
   ++visited_hosts_;
-  Count(known, false);
+  UpdateCounts(known, false);
   const fleet_host& host = known->host;
   const auto move = moves_.find(host.host);
   const bool has_move = move != moves_.end();
@@ -65,16 +65,16 @@
   }
   next.is_moving = is_coming || (has_move && move->second.is_accepted);
   next.is_ordered = has_move && !next.is_moving;
-  next.is_free = !has_move && IsFree(host);
+  next.is_free = !has_move && IsMovable(host);
   next.is_spare = spare_.count(host.pool) != 0;
   known->counted_as = next;
   if (!next.is_free || next.is_spare) {
     known->unwanted_since.reset();
   }
-  Count(known, true);
+  UpdateCounts(known, true);
 }
 
-void fleet_balancer::Count(known_host* known, bool is_added) {
+void fleet_balancer::UpdateCounts(known_host* known, bool is_added) {
   const host_classification& classification = known->counted_as;
   const std::uint32_t one = is_added ? 1U : ~0U;
   if (!classification.pool.empty()) {
@@ -93,18 +93,21 @@
   }
 }
 
-void fleet_balancer::ReassessHost(const host_id& host) {
+void fleet_balancer::ReclassifyHost(const host_id& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
-    Reassess(&found->second);
+    Reclassify(&found->second);
   }
 }
 
-void fleet_balancer::Put(std::set<vm_id>* vms, const vm_id& vm, bool is_in) {
-  const bool is_changed = is_in ? vms->insert(vm).second : vms->erase(vm) != 0;
+void fleet_balancer::SetMembership(std::set<vm_id>* vms,
+                                   const vm_id& vm,
+                                   bool is_member) {
+  const bool is_changed =
+      is_member ? vms->insert(vm).second : vms->erase(vm) != 0;
   const auto found = by_vm_.find(vm);
   if (is_changed && found != by_vm_.end()) {
-    Reassess(found->second);
+    Reclassify(found->second);
   }
 }
 
@@ -114,7 +117,7 @@
   std::set_symmetric_difference(vms->begin(), vms->end(), next.begin(),
                                 next.end(), std::back_inserter(changed));
   for (const vm_id& vm : changed) {
-    Put(vms, vm, next.count(vm) != 0);
+    SetMembership(vms, vm, next.count(vm) != 0);
   }
 }
 
@@ -133,7 +136,7 @@
     found->second.is_accepted = is_accepted;
     found->second.changed_at = now;
   }
-  ReassessHost(host);
+  ReclassifyHost(host);
 }
 
 std::optional<time_point> fleet_balancer::OrderedAt(const host_id& host) const {
@@ -166,7 +169,7 @@
   return stats;
 }
 
-bool fleet_balancer::IsFree(const fleet_host& host) const {
+bool fleet_balancer::IsMovable(const fleet_host& host) const {
   const bool is_idle = spare_.count(host.pool) != 0 ||
                        (!host.vm.empty() && offers_.count(host.vm) != 0);
   // The platform refuses to move a VM that is leaving.
@@ -174,23 +177,23 @@
          leaving_.count(host.vm) == 0;
 }
 
-void fleet_balancer::Order(known_host* known,
-                           const pool_id& pool,
-                           time_point now,
-                           std::vector<move_host>* moves) {
+void fleet_balancer::OrderMove(known_host* known,
+                               const pool_id& pool,
+                               time_point now,
+                               std::vector<move_host>* moves) {
   const host_id& host = known->host.host;
   pending_move& move = moves_[host];
   move.pool = pool;
   move.is_in_flight = true;
   move.changed_at = now;
   moves->push_back({host, pool});
-  Reassess(known);
+  Reclassify(known);
 }
 
 // A move to the pool that the host is already in has no effect, and the VM that
 // the pool released would never be used again. Such a host moves to the spare
 // pool first.
-fleet_balancer::known_host* fleet_balancer::FindFree(
+fleet_balancer::known_host* fleet_balancer::FindMovable(
     const pool_id& pool,
     const std::set<host_id>& busy) {
   known_host* last = nullptr;
@@ -235,8 +238,8 @@
     if (most_deficient == nullptr) {
       break;
     }
-    if (known_host* chosen = FindFree(*most_deficient, busy)) {
-      Order(chosen, *most_deficient, now, &moves);
+    if (known_host* chosen = FindMovable(*most_deficient, busy)) {
+      OrderMove(chosen, *most_deficient, now, &moves);
     } else {
       unsatisfied.insert(*most_deficient);
     }
@@ -270,7 +273,7 @@
     const time_point begin = known->unwanted_since.value_or(now);
     const bool is_wanted_back = wanting.count(known->host.pool) != 0;
     if (is_wanted_back || now - begin >= delay) {
-      Order(known, *spare_.begin(), now, moves);
+      OrderMove(known, *spare_.begin(), now, moves);
     } else {
       known->unwanted_since = begin;
     }
--- a/src/core/jobs/host_order_tracker.cc
+++ b/src/core/jobs/host_order_tracker.cc
@@ -8,7 +8,7 @@
     const bool is_own = !holder.empty() && holder == holder_;
     recorded_[host] = now;
     blocked_until_[host] =
-        now + (is_own ? settings_.arrival_reserve : BlockTime());
+        now + (is_own ? settings_.max_delivery_time : BlockTime());
   }
 }
 
--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -92,7 +92,7 @@
   }
   /// Notes what its tasks wait for from now on.
   void NoteWait(std::optional<wait_cause> cause, time_point now) {
-    waits_.Note(cause, now);
+    waits_.SetCause(cause, now);
   }
   /// Returns whether a task waits whose step is open.
   bool HasWaiting() const;
--- a/src/core/jobs/owner_directory.cc
+++ b/src/core/jobs/owner_directory.cc
@@ -4,7 +4,8 @@
 
 namespace plantainhead::core::jobs {
 
-bool owner_directory::Note(std::uint32_t partition, owner_address owner) {
+bool owner_directory::NoteAnnouncement(std::uint32_t partition,
+                                       owner_address owner) {
   entry& known = entries_[partition];
   if (owner.epoch <= known.owner.epoch) {
     return false;
--- a/src/core/jobs/wait_time_tracker.cc
+++ b/src/core/jobs/wait_time_tracker.cc
@@ -5,7 +5,8 @@
 
 namespace plantainhead::core::jobs {
 
-void wait_time_tracker::Note(std::optional<wait_cause> cause, time_point now) {
+void wait_time_tracker::SetCause(std::optional<wait_cause> cause,
+                                 time_point now) {
   if (cause_) {
     waited_.at(static_cast<std::size_t>(*cause_)) += now - since_;
   }
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -36,7 +36,7 @@
   std::chrono::milliseconds takeover_retry = std::chrono::milliseconds(200);
   core::jobs::order_queue_settings queue;
   /// A store that is slow takes up to 0.5 s for a record.
-  core::jobs::host_order_settings orders{.send_limit =
+  core::jobs::host_order_settings orders{.max_send_delay =
                                              std::chrono::milliseconds(700)};
 };
 
--- a/src/jobs/fleet_owner_orders.cc
+++ b/src/jobs/fleet_owner_orders.cc
@@ -116,7 +116,7 @@
 // wait for one another's connections.
 bool fleet_owner::impl::MaySend(core::time_point recorded_at) const {
   return deps_.is_sure() &&
-         BootTime() - recorded_at <= settings_.orders.send_limit;
+         BootTime() - recorded_at <= settings_.orders.max_send_delay;
 }
 
 std::function<bool()> fleet_owner::impl::SendGate(
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -38,7 +38,7 @@
     scheduler_->AddJob(job, deps_.world->PolicyOf(job->queue), BootTime(), age);
     const auto size = sizes_.find(job->pool);
     if (size != sizes_.end()) {
-      size->second.arrivals.Note(*job, BootTime(), age);
+      size->second.arrivals.RecordArrival(*job, BootTime(), age);
     }
     // Pages of the newest records may show a cancellation before its job.
     const core::jobs::directory_entry* entry =
--- a/tests/core/jobs/arrival_rate_monitor_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -34,14 +34,14 @@
   time_point now{std::chrono::hours(1)};
   for (int i = 0; i < 5; ++i) {
     now += seconds(3);
-    monitor.Note(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
     CHECK(monitor.RisingDemand(now) == resources());
   }
   now += seconds(1);
   const time_point began = now;
   const auto pass_turn = [&](milliseconds time) {
     for (; now < began + time; now += milliseconds(33)) {
-      monitor.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
   };
 
@@ -74,7 +74,7 @@
   SECTION("At a high arrival rate all is predicted within 0.1 s") {
     for (int i = 1; i <= 20; ++i) {
       now += milliseconds(5);
-      monitor.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
     CHECK(monitor.RisingDemand(now).cpu_millis >= 1'000'000);
   }
@@ -88,7 +88,7 @@
     job_spec lasting = ShortJob();
     lasting.steps[0].lasting = true;
     for (int i = 0; i < 20; ++i) {
-      monitor.Note(lasting, now);
+      monitor.RecordArrival(lasting, now);
     }
     CHECK(monitor.RisingDemand(now) == resources());
   }
@@ -99,14 +99,14 @@
 TEST_CASE("A rise is detected after jobs that were read late") {
   arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
-  monitor.Note(ShortJob(), now);
+  monitor.RecordArrival(ShortJob(), now);
   for (int i = 0; i < 40; ++i) {
-    monitor.Note(ShortJob(), now, milliseconds(2500));
+    monitor.RecordArrival(ShortJob(), now, milliseconds(2500));
   }
   now += milliseconds(1500);
   for (int i = 0; i < 12; ++i) {
     now += milliseconds(33);
-    monitor.Note(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
   }
   CHECK(monitor.RisingDemand(now).cpu_millis >= 155000);
 }
@@ -118,7 +118,7 @@
   SECTION("ten jobs per second for a long time") {
     for (int i = 0; i < 60; ++i) {
       now += milliseconds(100);
-      monitor.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
       if (i > 30) {
         CHECK(monitor.RisingDemand(now) == resources());
       }
@@ -133,9 +133,9 @@
     large.steps[0].task_count = 32;
     for (int i = 0; i < 120; ++i) {
       now += milliseconds(50);
-      monitor.Note(i % 40 == 39 ? large : ShortJob(), now);
+      monitor.RecordArrival(i % 40 == 39 ? large : ShortJob(), now);
       if (i % 40 == 39) {
-        monitor.Note(large, now);
+        monitor.RecordArrival(large, now);
       }
       if (i > 60) {
         CHECK(monitor.RisingDemand(now) == resources());
@@ -149,25 +149,25 @@
   SECTION("ten jobs per second that are read together") {
     for (int i = 0; i < 40; ++i) {
       now += milliseconds(100);
-      monitor.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
     now += milliseconds(1500);
     for (int i = 0; i < 15; ++i) {
-      monitor.Note(ShortJob(), now, i * milliseconds(100));
+      monitor.RecordArrival(ShortJob(), now, i * milliseconds(100));
     }
     CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("many jobs that are older than the baseline window") {
     for (int i = 0; i < 40; ++i) {
-      monitor.Note(ShortJob(), now, seconds(4));
+      monitor.RecordArrival(ShortJob(), now, seconds(4));
     }
     CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("two jobs after an idle period") {
-    monitor.Note(ShortJob(), now);
-    monitor.Note(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
     CHECK(monitor.RisingDemand(now) == resources());
   }
 }
--- a/tests/core/jobs/host_order_tracker_test.cc
+++ b/tests/core/jobs/host_order_tracker_test.cc
@@ -44,7 +44,7 @@
 // Guards against two holders that order one host within the lease, when the
 // earlier one sent its order long after recording it.
 TEST_CASE("Hosts of other holders stay blocked while orders may be late") {
-  host_order_tracker tracker({.send_limit = milliseconds(700)}, "p1");
+  host_order_tracker tracker({.max_send_delay = milliseconds(700)}, "p1");
   time_point now{std::chrono::hours(1)};
   tracker.Inherit({{"own", "p1"}, {"other", "p2"}}, now);
   now += milliseconds(300);
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -31,18 +31,18 @@
   }
 
   SECTION("it waited if its tasks waited for as long as it was late") {
-    result.waits.Note(wait_cause::kCapacity, begin + seconds(1));
+    result.waits.SetCause(wait_cause::kCapacity, begin + seconds(1));
     SECTION("for capacity") {
-      result.waits.Note(std::nullopt, begin + seconds(2));
+      result.waits.SetCause(std::nullopt, begin + seconds(2));
       CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     }
     SECTION("mostly for the owner of its pool") {
-      result.waits.Note(wait_cause::kRecovery, begin + milliseconds(1300));
-      result.waits.Note(std::nullopt, begin + seconds(2));
+      result.waits.SetCause(wait_cause::kRecovery, begin + milliseconds(1300));
+      result.waits.SetCause(std::nullopt, begin + seconds(2));
       CHECK(VerdictOf(result, late) == job_verdict::kWaitedForOwner);
     }
     SECTION("but not if it waited for less") {
-      result.waits.Note(std::nullopt, begin + milliseconds(1900));
+      result.waits.SetCause(std::nullopt, begin + milliseconds(1900));
       CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
     }
   }
--- a/tests/core/jobs/owner_directory_test.cc
+++ b/tests/core/jobs/owner_directory_test.cc
@@ -14,8 +14,8 @@
 TEST_CASE("The latest announcement of a partition's owner is used") {
   owner_directory directory({seconds(1)});
   CHECK_FALSE(directory.Choose(kPartition, kStart));
-  CHECK(directory.Note(kPartition, {5, "10.0.0.5:7060"}));
-  CHECK_FALSE(directory.Note(kPartition, {4, "10.0.0.4:7060"}));
+  CHECK(directory.NoteAnnouncement(kPartition, {5, "10.0.0.5:7060"}));
+  CHECK_FALSE(directory.NoteAnnouncement(kPartition, {4, "10.0.0.4:7060"}));
   CHECK(directory.Choose(kPartition, kStart)->address == "10.0.0.5:7060");
   CHECK_FALSE(directory.Choose(kPartition + 1, kStart));
 }
@@ -25,7 +25,7 @@
 // per second waits.
 TEST_CASE("An owner that does not answer receives no requests") {
   owner_directory directory({seconds(1)});
-  directory.Note(kPartition, {5, "10.0.0.5:7060"});
+  directory.NoteAnnouncement(kPartition, {5, "10.0.0.5:7060"});
   directory.NoteFailed(kPartition, 5, kStart);
   CHECK_FALSE(directory.Choose(kPartition, kStart + milliseconds(999)));
 
@@ -43,7 +43,7 @@
   }
 
   SECTION("until another process is the owner") {
-    directory.Note(kPartition, {6, "10.0.0.6:7060"});
+    directory.NoteAnnouncement(kPartition, {6, "10.0.0.6:7060"});
     CHECK(directory.Choose(kPartition, kStart)->epoch == 6);
 
     SECTION("a late failure of the former owner does not affect it") {
