--- a/tests/core/jobs/maintenance_scheduler_test.cc
+++ b/tests/core/jobs/maintenance_scheduler_test.cc
@@ -216,7 +216,7 @@
     REQUIRE(released.size() == 1);
     CHECK(released[0].vm == "a1");
 
-    SECTION("only once") {
+    SECTION("once") {
       CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
     }
   }
