--- a/tests/core/jobs/routing_test.cc
+++ b/tests/core/jobs/routing_test.cc
@@ -15,7 +15,7 @@
   return route;
 }
 
-TEST_CASE("A request belongs to the longest prefix of its host") {
+TEST_CASE("A request is routed by the longest prefix of its host") {
   routing_configuration configuration;
   configuration.routes = {Route("short", "a.example", "/x/"),
                           Route("long", "a.example", "/x/y/"),
@@ -24,7 +24,7 @@
   const routing_table table(configuration);
 
   CHECK(table.Find("a.example", "/x/y/id").route->queue == "long");
-  CHECK(table.Find("a.example", "/x/y/id").rest == "id");
+  CHECK(table.Find("a.example", "/x/y/id").path_suffix == "id");
   CHECK(table.Find("a.example", "/x/z").route->queue == "short");
   CHECK(table.Find("b.example", "/x/y/id").route->queue == "other");
   CHECK(table.Find("a.example", "/").route == nullptr);
