--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -28,13 +28,16 @@
               deps_.store,
               {kProgressTopic, kFleetPartition},
               settings.writer),
-      records_(deps_.context, deps_.store, {kFleetTopic, 0}, {}),
-      status_(deps_.context, deps_.store, {adapter::kStatusTopic, 0}, {}),
+      fleet_outbox_(deps_.context, deps_.store, {kFleetTopic, 0}, {}),
+      status_outbox_(deps_.context,
+                     deps_.store,
+                     {adapter::kStatusTopic, 0},
+                     {}),
       timer_(*deps_.context),
-      keeper_(settings.waves),
+      maintenance_(settings.maintenance),
       balancer_(settings.balancer),
-      vacancies_(settings.vacancies),
-      ledger_(settings.orders, deps_.holder),
+      vacancy_checker_(settings.vacancies),
+      order_tracker_(settings.orders, deps_.holder),
       queue_(settings.queue) {}
 
 void fleet_owner::impl::Start(std::uint64_t generation) {
@@ -49,12 +52,12 @@
 
 void fleet_owner::impl::OnFleetRecords(const std::set<std::string>& keys) {
   if (is_active_) {
-    TakeRecords(keys);
+    ApplyRecords(keys);
   }
 }
 
-void fleet_owner::impl::After(std::chrono::milliseconds pause,
-                              void (impl::*action)()) {
+void fleet_owner::impl::RunAfter(std::chrono::milliseconds pause,
+                                 void (impl::*action)()) {
   timer_.expires_after(pause);
   timer_.async_wait([self = weak_from_this(),
                      action](const boost::system::error_code& error) {
@@ -75,14 +78,15 @@
         if (is_read) {
           owner->Claim();
         } else {
-          owner->After(owner->settings_.takeover_retry, &impl::ReadBeforeClaim);
+          owner->RunAfter(owner->settings_.takeover_retry_delay,
+                          &impl::ReadBeforeClaim);
         }
       });
 }
 
 void fleet_owner::impl::Claim() {
-  if (!deps_.is_sure()) {
-    After(settings_.takeover_retry, &impl::ReadBeforeClaim);
+  if (!deps_.is_ownership_confirmed()) {
+    RunAfter(settings_.takeover_retry_delay, &impl::ReadBeforeClaim);
     return;
   }
   const std::uint64_t before = deps_.world->OwnerOf(kFleetPartition).epoch;
@@ -94,16 +98,16 @@
                     return;
                   }
                   if (result == progress_writer::result::kStored) {
-                    owner->ReadClaim();
+                    owner->VerifyClaim();
                   } else {
-                    owner->After(owner->settings_.takeover_retry,
-                                 &impl::ReadBeforeClaim);
+                    owner->RunAfter(owner->settings_.takeover_retry_delay,
+                                    &impl::ReadBeforeClaim);
                   }
                 });
 }
 
 // See `pool_owner`: another process's claim may have been stored in its place.
-void fleet_owner::impl::ReadClaim() {
+void fleet_owner::impl::VerifyClaim() {
   deps_.world->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
@@ -117,7 +121,8 @@
         if (is_own) {
           owner->ReadAfterClaim();
         } else {
-          owner->After(owner->settings_.takeover_retry, &impl::ReadBeforeClaim);
+          owner->RunAfter(owner->settings_.takeover_retry_delay,
+                          &impl::ReadBeforeClaim);
         }
       });
 }
@@ -129,24 +134,24 @@
   deps_.world->RefreshFleetRecords([self = weak_from_this()] {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_) {
-      owner->Begin();
+      owner->Activate();
     }
   });
 }
 
-void fleet_owner::impl::Begin() {
+void fleet_owner::impl::Activate() {
   LogEvent(job_event::kOwnershipGained,
            {{"partition", "fleet"}, {"epoch", std::to_string(epoch_)}});
   is_active_ = true;
-  ledger_.Inherit(deps_.world->ordered_hosts(), BootTime());
+  order_tracker_.Inherit(deps_.world->ordered_hosts(), BootTime());
   for (const auto& [key, value] : deps_.world->fleet_records()) {
-    TakeRecord(key);
+    ApplyRecord(key);
   }
-  TakeRecords({});
+  ApplyRecords({});
   Tick();
 }
 
-void fleet_owner::impl::Lose() {
+void fleet_owner::impl::LoseOwnership() {
   LogEvent(job_event::kOwnershipLost,
            {{"partition", "fleet"},
             {"epoch", std::to_string(epoch_)},
@@ -158,74 +163,74 @@
 
 void fleet_owner::impl::Tick() {
   // Repeats readings that have failed.
-  TakeVacancies();
-  Work();
-  After(settings_.tick, &impl::Tick);
+  UpdateVacancies();
+  RunCycle();
+  RunAfter(settings_.tick, &impl::Tick);
 }
 
-void fleet_owner::impl::Work() {
+void fleet_owner::impl::RunCycle() {
   const auto work = Meter();
   const core::time_point now = BootTime();
-  if (!deps_.is_sure()) {
+  if (!deps_.is_ownership_confirmed()) {
     return;
   }
   if (!is_listing_ && now - listed_at_ >= settings_.list_interval) {
     List();
   }
-  for (const core::jobs::wave_action& action : keeper_.Plan(now)) {
-    std::visit([this](const auto& kind) { Do(kind); }, action);
+  for (const core::jobs::wave_action& action : maintenance_.Plan(now)) {
+    std::visit([this](const auto& kind) { Execute(kind); }, action);
   }
   balancer_.UpdateLeaving(deps_.world->registry().Draining());
   for (const core::jobs::move_host& move :
-       balancer_.Plan(HostsNotToMove(now), now)) {
+       balancer_.Plan(HostsExcludedFromMoves(now), now)) {
     queue_.Add(move);
   }
   SendOrders(now);
-  LogFigures(now);
+  LogStats(now);
 }
 
-void fleet_owner::impl::LogFigures(core::time_point now) {
-  if (now - figures_at_ < settings_.figures_gap) {
+void fleet_owner::impl::LogStats(core::time_point now) {
+  if (now - stats_logged_at_ < settings_.min_stats_interval) {
     return;
   }
-  figures_at_ = now;
-  const std::set<core::jobs::host_id> serviced = keeper_.BusyHosts();
-  const std::set<core::jobs::host_id> held = ledger_.BlockedHosts(now);
-  const core::jobs::balancer_stats figures =
-      balancer_.Stats(HostsNotToMove(now));
-  if (figures == figures_) {
+  stats_logged_at_ = now;
+  const std::set<core::jobs::host_id> serviced = maintenance_.BusyHosts();
+  const std::set<core::jobs::host_id> held = order_tracker_.BlockedHosts(now);
+  const core::jobs::balancer_stats stats =
+      balancer_.Stats(HostsExcludedFromMoves(now));
+  if (stats == logged_stats_) {
     return;
   }
-  figures_ = figures;
+  logged_stats_ = stats;
   LogEvent(job_event::kFleetSized,
-           {{"wanted", std::to_string(figures.wanted)},
-            {"missing", std::to_string(figures.missing)},
-            {"free", std::to_string(figures.free)},
-            {"ordered", std::to_string(figures.ordered)},
+           {{"wanted", std::to_string(stats.wanted)},
+            {"missing", std::to_string(stats.missing)},
+            {"free", std::to_string(stats.free)},
+            {"ordered", std::to_string(stats.ordered)},
             {"unsent", std::to_string(queue_.waiting())},
-            {"moving", std::to_string(figures.moving)},
+            {"moving", std::to_string(stats.moving)},
             {"in_waves", std::to_string(serviced.size())},
             {"held_back", std::to_string(held.size())},
-            {"list_ms", MillisOf(now - requested_at_)}});
+            {"list_ms", MillisOf(now - list_requested_at_)}});
 }
 
-void fleet_owner::impl::Do(const core::jobs::close_vm& action) {
-  records_.Put(EncodeClosedVm(action.vm));
+void fleet_owner::impl::Execute(const core::jobs::close_vm& action) {
+  fleet_outbox_.Put(EncodeClosedVm(action.vm));
 }
 
-void fleet_owner::impl::Do(const core::jobs::release_vm& action) {
-  records_.Put(DropClosedVm(action.vm));
-  records_.Put(DropEmptyVm(action.vm));
+void fleet_owner::impl::Execute(const core::jobs::release_vm& action) {
+  fleet_outbox_.Put(EncodeClosedVmRemoval(action.vm));
+  fleet_outbox_.Put(EncodeEmptyVmRemoval(action.vm));
 }
 
-void fleet_owner::impl::Do(const core::jobs::service_host& action) {
+void fleet_owner::impl::Execute(const core::jobs::service_host& action) {
   queue_.Add(action);
 }
 
-void fleet_owner::impl::Do(const core::jobs::complete_wave& action) {
+void fleet_owner::impl::Execute(const core::jobs::complete_wave& action) {
   LogEvent(job_event::kWaveCompleted, {{"wave", std::to_string(action.wave)}});
-  records_.Put(EncodeCompletedWave(action.wave));
-  status_.Put({StatusKey(action.wave), adapter::EncodeWaveStatus(true)});
+  fleet_outbox_.Put(EncodeCompletedWave(action.wave));
+  status_outbox_.Put({StatusKey(action.wave), adapter::EncodeWaveStatus(true)});
 }
 
 fleet_owner::fleet_owner(dependencies dependencies,
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -22,7 +22,7 @@
 
 struct fleet_settings {
   std::string address;
-  core::jobs::maintenance_settings waves;
+  core::jobs::maintenance_settings maintenance;
   core::jobs::balancer_settings balancer;
   core::jobs::vacancy_settings vacancies;
   writer_settings writer;
@@ -32,8 +32,9 @@
   /// reading is paid for.
   std::chrono::milliseconds list_interval = std::chrono::milliseconds(600);
   /// Least time between two lines on how far hosts are.
-  std::chrono::milliseconds figures_gap = std::chrono::milliseconds(500);
-  std::chrono::milliseconds takeover_retry = std::chrono::milliseconds(200);
+  std::chrono::milliseconds min_stats_interval = std::chrono::milliseconds(500);
+  std::chrono::milliseconds takeover_retry_delay =
+      std::chrono::milliseconds(200);
   core::jobs::order_queue_settings queue;
   /// A store that is slow takes up to 0.5 s for a record.
   core::jobs::host_order_settings orders{.max_send_delay =
@@ -54,7 +55,7 @@
     /// Names the process towards the platform.
     std::string holder;
     /// Whether ownership surely hasn't passed on.
-    std::function<bool()> is_sure;
+    std::function<bool()> is_ownership_confirmed;
     std::function<void()> on_fenced;
   };
 
--- a/src/jobs/fleet_owner_orders.cc
+++ b/src/jobs/fleet_owner_orders.cc
@@ -38,10 +38,10 @@
 // Were a host that an earlier owner may have ordered chosen all the same, the
 // order would wait for seconds, and its pool would count it as coming all the
 // while: another host, which could move at once, would stay where it is.
-std::set<core::jobs::host_id> fleet_owner::impl::HostsNotToMove(
+std::set<core::jobs::host_id> fleet_owner::impl::HostsExcludedFromMoves(
     core::time_point now) const {
-  std::set<core::jobs::host_id> hosts = keeper_.BusyHosts();
-  hosts.merge(ledger_.BlockedHosts(now));
+  std::set<core::jobs::host_id> hosts = maintenance_.BusyHosts();
+  hosts.merge(order_tracker_.BlockedHosts(now));
   return hosts;
 }
 
@@ -55,7 +55,7 @@
     return;
   }
   const std::vector<host_order> batch = TakeDueOrders(now);
-  std::vector<adapter::keyed_record> records = RecordsOf(batch, now);
+  std::vector<adapter::keyed_record> records = MakeOrderRecords(batch, now);
   if (records.empty()) {
     return;
   }
@@ -63,7 +63,7 @@
                                      now](progress_writer::result result) {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_) {
-      owner->TakeRecorded(batch, now, result);
+      owner->OnOrdersRecorded(batch, now, result);
     }
   });
 }
@@ -71,31 +71,31 @@
 // Returns the orders for hosts for which no earlier owner may have given one.
 std::vector<host_order> fleet_owner::impl::TakeDueOrders(core::time_point now) {
   return queue_.Take([this, now](const core::jobs::host_id& host) {
-    return ledger_.MayOrder(host, now);
+    return order_tracker_.MayOrder(host, now);
   });
 }
 
 // Returns the records of the orders, and drops those of orders that are so old
 // that a new owner needn't know of them.
-std::vector<adapter::keyed_record> fleet_owner::impl::RecordsOf(
+std::vector<adapter::keyed_record> fleet_owner::impl::MakeOrderRecords(
     const std::vector<host_order>& batch,
     core::time_point now) {
   std::vector<adapter::keyed_record> records;
   for (const host_order& order : batch) {
     records.push_back(Encode(order_record{HostOf(order), deps_.holder, false}));
-    ledger_.NoteOrder(HostOf(order), now);
+    order_tracker_.NoteOrder(HostOf(order), now);
   }
-  for (const core::jobs::host_id& host : ledger_.TakeExpired(now)) {
+  for (const core::jobs::host_id& host : order_tracker_.TakeExpired(now)) {
     records.push_back(Encode(order_record{host, "", true}));
   }
   return records;
 }
 
-void fleet_owner::impl::TakeRecorded(const std::vector<host_order>& batch,
-                                     core::time_point asked_at,
-                                     progress_writer::result result) {
+void fleet_owner::impl::OnOrdersRecorded(const std::vector<host_order>& batch,
+                                         core::time_point asked_at,
+                                         progress_writer::result result) {
   if (result != progress_writer::result::kStored) {
-    Lose();
+    LoseOwnership();
     return;
   }
   if (!MaySend(asked_at)) {
@@ -115,11 +115,11 @@
 // since it asked for the record, the store may have answered late, and orders
 // wait for one another's connections.
 bool fleet_owner::impl::MaySend(core::time_point recorded_at) const {
-  return deps_.is_sure() &&
+  return deps_.is_ownership_confirmed() &&
          BootTime() - recorded_at <= settings_.orders.max_send_delay;
 }
 
-std::function<bool()> fleet_owner::impl::SendGate(
+std::function<bool()> fleet_owner::impl::MakeSendCheck(
     core::time_point recorded_at) {
   return [self = weak_from_this(), recorded_at] {
     const auto owner = self.lock();
@@ -130,11 +130,11 @@
 void fleet_owner::impl::Send(const core::jobs::move_host& move,
                              core::time_point recorded_at) {
   client_.Move(move.host, move.pool, epoch_, settings_.order_timeout,
-               SendGate(recorded_at),
+               MakeSendCheck(recorded_at),
                [self = weak_from_this(), move](duty_outcome outcome) {
                  const auto owner = self.lock();
                  if (owner && !owner->is_closed_) {
-                   owner->TakeMove(move, outcome);
+                   owner->OnMoveReply(move, outcome);
                  }
                });
 }
@@ -142,17 +142,17 @@
 void fleet_owner::impl::Send(const core::jobs::service_host& action,
                              core::time_point recorded_at) {
   client_.Service(action.host, action.wave, epoch_, settings_.order_timeout,
-                  SendGate(recorded_at),
+                  MakeSendCheck(recorded_at),
                   [self = weak_from_this(), action](duty_outcome outcome) {
                     const auto owner = self.lock();
                     if (owner && !owner->is_closed_) {
-                      owner->TakeService(action, outcome);
+                      owner->OnServiceReply(action, outcome);
                     }
                   });
 }
 
-void fleet_owner::impl::TakeMove(const core::jobs::move_host& move,
-                                 duty_outcome outcome) {
+void fleet_owner::impl::OnMoveReply(const core::jobs::move_host& move,
+                                    duty_outcome outcome) {
   queue_.NoteFinished(move);
   observe::log_fields fields = {
       {"host", move.host},
@@ -166,8 +166,8 @@
                          outcome != duty_outcome::kUnknown, BootTime());
 }
 
-void fleet_owner::impl::TakeService(const core::jobs::service_host& action,
-                                    duty_outcome outcome) {
+void fleet_owner::impl::OnServiceReply(const core::jobs::service_host& action,
+                                       duty_outcome outcome) {
   queue_.NoteFinished(action);
   const bool is_accepted = outcome == duty_outcome::kAccepted;
   LogEvent(is_accepted ? job_event::kHostServiced : job_event::kHostNotServiced,
@@ -175,13 +175,13 @@
             {"wave", std::to_string(action.wave)},
             {"outcome", std::string(core::NameOf(outcome))}});
   if (outcome == duty_outcome::kFenced) {
-    Lose();
+    LoseOwnership();
     return;
   }
-  keeper_.OnServiceAnswer(action.wave, action.host, ToResult(outcome),
-                          BootTime());
+  maintenance_.OnServiceAnswer(action.wave, action.host, ToResult(outcome),
+                               BootTime());
   if (is_accepted) {
-    records_.Put(EncodeServicedHost({action.wave, action.host}));
+    fleet_outbox_.Put(EncodeServicedHost({action.wave, action.host}));
   }
 }
 
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -14,27 +14,27 @@
 
 }  // namespace
 
-void fleet_owner::impl::TakeRecords(const std::set<std::string>& keys) {
+void fleet_owner::impl::ApplyRecords(const std::set<std::string>& keys) {
   const auto work = Meter();
   bool has_new_wave = false;
   for (const auto& [number, wave] : deps_.world->waves()) {
-    has_new_wave = keeper_.AddWave(wave) || has_new_wave;
+    has_new_wave = maintenance_.AddWave(wave) || has_new_wave;
   }
   if (has_new_wave) {
     // Records of the wave may have been read before the wave.
     for (const auto& [key, value] : deps_.world->fleet_records()) {
-      TakeRecord(key);
+      ApplyRecord(key);
     }
   }
   for (const std::string& key : keys) {
-    TakeRecord(key);
+    ApplyRecord(key);
   }
-  balancer_.UpdateShortage(!short_pools_.empty());
-  keeper_.UpdateUndersized(short_pools_);
-  TakeVacancies();
+  balancer_.UpdateShortage(!undersized_pools_.empty());
+  maintenance_.UpdateUndersized(undersized_pools_);
+  UpdateVacancies();
 }
 
-void fleet_owner::impl::TakeRecord(const std::string& key) {
+void fleet_owner::impl::ApplyRecord(const std::string& key) {
   const auto& records = deps_.world->fleet_records();
   const auto found = records.find(key);
   const std::string* value = found == records.end() ? nullptr : &found->second;
@@ -42,22 +42,22 @@
     const auto hint =
         value == nullptr ? std::nullopt : DecodeVacancyHint(key, *value);
     if (hint) {
-      vacancies_.NoteHint(*hint);
+      vacancy_checker_.NoteHint(*hint);
     } else {
-      vacancies_.DropHint(hinted->vm, hinted->reason);
+      vacancy_checker_.DropHint(hinted->vm, hinted->reason);
     }
   } else if (const auto closing = ClosedVmOf(key)) {
-    keeper_.NoteClosed(*closing, value != nullptr);
+    maintenance_.NoteClosed(*closing, value != nullptr);
     balancer_.NoteClosed(*closing, value != nullptr);
-  } else if (const auto pool = WantingPoolOf(key)) {
+  } else if (const auto pool = WantedVmsPoolOf(key)) {
     NoteWanted(*pool, value);
   } else if (value == nullptr) {
     // What was done stays done.
     return;
   } else if (const auto serviced = ServicedHostOf(key)) {
-    keeper_.NoteServiced(serviced->wave, serviced->host);
+    maintenance_.NoteServiced(serviced->wave, serviced->host);
   } else if (const auto wave = CompletedWaveOf(key)) {
-    keeper_.NoteCompleted(*wave);
+    maintenance_.NoteCompleted(*wave);
   }
 }
 
@@ -67,50 +67,53 @@
   const wanted_vms wanted = is_known ? DecodeWantedVms(*value) : wanted_vms();
   balancer_.NoteWanted(pool,
                        is_known ? std::optional(wanted.count) : std::nullopt);
-  if (wanted.is_short) {
-    short_pools_.insert(pool);
+  if (wanted.is_undersized) {
+    undersized_pools_.insert(pool);
   } else {
-    short_pools_.erase(pool);
+    undersized_pools_.erase(pool);
   }
 }
 
-void fleet_owner::impl::TakeVacancies() {
+void fleet_owner::impl::UpdateVacancies() {
   using core::jobs::vacancy_reason;
   const auto work = Meter();
   for (const auto& [partition, vm] : deps_.world->TakeChangedVacancies()) {
     const bool is_vacant = deps_.world->VacantVms(partition).count(vm) != 0;
-    vacancies_.NoteVacant(partition, vm, is_vacant);
+    vacancy_checker_.NoteVacant(partition, vm, is_vacant);
   }
-  for (const core::jobs::vacancy_change& change : vacancies_.TakeChanges()) {
+  for (const core::jobs::vacancy_change& change :
+       vacancy_checker_.TakeChanges()) {
     if (change.reason == vacancy_reason::kOffered) {
       balancer_.NoteOffer(change.vm, change.is_confirmed);
     } else {
-      keeper_.NoteEmpty(change.vm, change.is_confirmed);
+      maintenance_.NoteEmpty(change.vm, change.is_confirmed);
     }
   }
-  for (const std::uint32_t partition : vacancies_.TakePartitionsToRead()) {
+  for (const std::uint32_t partition :
+       vacancy_checker_.TakePartitionsToRead()) {
     deps_.world->RefreshProgress(
         partition, [self = weak_from_this(), partition](bool is_read) {
           const auto owner = self.lock();
           if (owner && !owner->is_closed_) {
-            owner->TakeReading(partition, is_read);
+            owner->OnPartitionRefreshed(partition, is_read);
           }
         });
   }
 }
 
-void fleet_owner::impl::TakeReading(std::uint32_t partition, bool is_read) {
-  vacancies_.OnPartitionRead(partition, is_read,
-                             deps_.world->VacantVms(partition));
+void fleet_owner::impl::OnPartitionRefreshed(std::uint32_t partition,
+                                             bool is_read) {
+  vacancy_checker_.OnPartitionRead(partition, is_read,
+                                   deps_.world->VacantVms(partition));
   if (is_read) {
-    TakeVacancies();
-    Work();
+    UpdateVacancies();
+    RunCycle();
   }
 }
 
 void fleet_owner::impl::List() {
   is_listing_ = true;
-  requested_at_ = BootTime();
+  list_requested_at_ = BootTime();
   page_hosts_.clear();
   page_faults_.clear();
   ListPage("");
@@ -121,12 +124,12 @@
                [self = weak_from_this()](const adapter::fleet_page& reply) {
                  const auto owner = self.lock();
                  if (owner && !owner->is_closed_) {
-                   owner->TakePage(reply);
+                   owner->OnPage(reply);
                  }
                });
 }
 
-void fleet_owner::impl::TakePage(const adapter::fleet_page& reply) {
+void fleet_owner::impl::OnPage(const adapter::fleet_page& reply) {
   const auto work = Meter();
   if (!reply.is_read) {
     for (const adapter::faulty_host& row : reply.faults) {
@@ -146,7 +149,7 @@
   is_listing_ = false;
   listed_at_ = BootTime();
   AddUnreadableHosts();
-  DropOffersOfGoneVms();
+  RemoveStaleOffers();
   std::set<core::jobs::pool_id> spare;
   for (const core::jobs::pool_settings& pool :
        deps_.world->routes().configuration().pools) {
@@ -154,9 +157,9 @@
       spare.insert(pool.id);
     }
   }
-  keeper_.UpdateHosts(page_hosts_, spare, requested_at_);
-  balancer_.UpdateHosts(page_hosts_, spare, requested_at_);
-  Work();
+  maintenance_.UpdateHosts(page_hosts_, spare, list_requested_at_);
+  balancer_.UpdateHosts(page_hosts_, spare, list_requested_at_);
+  RunCycle();
 }
 
 void fleet_owner::impl::AddUnreadableHosts() {
@@ -170,14 +173,14 @@
   known_hosts_ = page_hosts_;
 }
 
-void fleet_owner::impl::DropOffersOfGoneVms() {
+void fleet_owner::impl::RemoveStaleOffers() {
   std::set<core::jobs::vm_id> present = deps_.world->registry().Listed();
   for (const core::jobs::fleet_host& host : page_hosts_) {
     present.insert(host.vm);
   }
   for (const core::jobs::vm_id& vm :
-       vacancies_.TakeStaleOffers(present, BootTime())) {
-    records_.Put(DropOfferedVm(vm));
+       vacancy_checker_.TakeStaleOffers(present, BootTime())) {
+    fleet_outbox_.Put(EncodeOfferedVmRemoval(vm));
   }
 }
 
--- a/src/jobs/fleet_records.cc
+++ b/src/jobs/fleet_records.cc
@@ -12,13 +12,13 @@
 constexpr std::string_view kEmpty = "empty/";
 constexpr std::string_view kOffered = "offered/";
 constexpr std::string_view kWanted = "wanted/";
-constexpr const char* kShort = "!";
+constexpr const char* kUndersizedSuffix = "!";
 constexpr char kPartSeparator = ':';
 constexpr std::string_view kServiced = "serviced/";
 constexpr std::string_view kCompleted = "completed/";
-constexpr const char* kMark = "1";
+constexpr const char* kMarkerValue = "1";
 // Of a pool. No platform has as many VMs.
-constexpr std::uint64_t kMostWanted = 1'000'000;
+constexpr std::uint64_t kMaxWanted = 1'000'000;
 
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   std::uint64_t number = 0;
@@ -39,11 +39,11 @@
 }
 
 std::optional<std::uint64_t> ParseWanted(std::string_view text) {
-  if (!text.empty() && text.back() == kShort[0]) {
+  if (!text.empty() && text.back() == kUndersizedSuffix[0]) {
     text.remove_suffix(1);
   }
   const auto count = ParseNumber(text);
-  return count && *count <= kMostWanted ? count : std::nullopt;
+  return count && *count <= kMaxWanted ? count : std::nullopt;
 }
 
 }  // namespace
@@ -52,11 +52,11 @@
   return {std::string(kClosed) + vm, "1"};
 }
 
-adapter::keyed_record DropClosedVm(const core::jobs::vm_id& vm) {
+adapter::keyed_record EncodeClosedVmRemoval(const core::jobs::vm_id& vm) {
   return {std::string(kClosed) + vm, std::nullopt};
 }
 
-adapter::keyed_record DropEmptyVm(const core::jobs::vm_id& vm) {
+adapter::keyed_record EncodeEmptyVmRemoval(const core::jobs::vm_id& vm) {
   return {std::string(kEmpty) + vm, std::nullopt};
 }
 
@@ -67,14 +67,15 @@
               std::to_string(hint.epoch)};
 }
 
-adapter::keyed_record DropOfferedVm(const core::jobs::vm_id& vm) {
+adapter::keyed_record EncodeOfferedVmRemoval(const core::jobs::vm_id& vm) {
   return {std::string(kOffered) + vm, std::nullopt};
 }
 
 adapter::keyed_record EncodeWantedVms(const core::jobs::pool_id& pool,
                                       const wanted_vms& wanted) {
   return {std::string(kWanted) + pool,
-          std::to_string(wanted.count) + (wanted.is_short ? kShort : "")};
+          std::to_string(wanted.count) +
+              (wanted.is_undersized ? kUndersizedSuffix : "")};
 }
 
 std::optional<core::jobs::vacant_vm> HintedVmOf(const std::string& key) {
@@ -92,13 +93,13 @@
   return AfterPrefix(key, kOffered);
 }
 
-std::optional<core::jobs::pool_id> WantingPoolOf(const std::string& key) {
+std::optional<core::jobs::pool_id> WantedVmsPoolOf(const std::string& key) {
   return AfterPrefix(key, kWanted);
 }
 
 wanted_vms DecodeWantedVms(const std::string& value) {
   wanted_vms wanted;
-  wanted.is_short = !value.empty() && value.back() == kShort[0];
+  wanted.is_undersized = !value.empty() && value.back() == kUndersizedSuffix[0];
   wanted.count = static_cast<std::uint32_t>(ParseWanted(value).value_or(0));
   return wanted;
 }
@@ -170,17 +171,17 @@
   if (record.fault) {
     return record.fault;
   }
-  const std::string value = record.value.value_or(kMark);
-  bool is_sound = value == kMark;
+  const std::string value = record.value.value_or(kMarkerValue);
+  bool is_valid = value == kMarkerValue;
   std::string name;
   if (const auto hinted = HintedVmOf(record.key)) {
     name = hinted->vm;
-    is_sound = !record.value || DecodeVacancyHint(record.key, value);
+    is_valid = !record.value || DecodeVacancyHint(record.key, value);
   } else if (const auto closed = ClosedVmOf(record.key)) {
     name = *closed;
-  } else if (const auto pool = WantingPoolOf(record.key)) {
+  } else if (const auto pool = WantedVmsPoolOf(record.key)) {
     name = *pool;
-    is_sound = ParseWanted(value).has_value();
+    is_valid = ParseWanted(value).has_value();
   } else if (const auto serviced = ServicedHostOf(record.key)) {
     name = serviced->host;
   } else if (const auto wave = CompletedWaveOf(record.key)) {
@@ -191,7 +192,7 @@
   if (!core::jobs::IsValidName(name)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
-  return is_sound ? std::nullopt
+  return is_valid ? std::nullopt
                   : std::optional(record_fault{fault_kind::kOutOfRange, ""});
 }
 
--- a/src/jobs/fleet_records.h
+++ b/src/jobs/fleet_records.h
@@ -18,16 +18,16 @@
 
 adapter::keyed_record EncodeClosedVm(const core::jobs::vm_id& vm);
 /// Take the records back.
-adapter::keyed_record DropClosedVm(const core::jobs::vm_id& vm);
-adapter::keyed_record DropEmptyVm(const core::jobs::vm_id& vm);
+adapter::keyed_record EncodeClosedVmRemoval(const core::jobs::vm_id& vm);
+adapter::keyed_record EncodeEmptyVmRemoval(const core::jobs::vm_id& vm);
 
 /// An owner of a pool has recorded that the VM is vacant.
 adapter::keyed_record Encode(const core::jobs::vacancy_hint& hint);
-adapter::keyed_record DropOfferedVm(const core::jobs::vm_id& vm);
+adapter::keyed_record EncodeOfferedVmRemoval(const core::jobs::vm_id& vm);
 /// How many VMs a pool should have, and whether it has fewer.
 struct wanted_vms {
   std::uint32_t count = 0;
-  bool is_short = false;
+  bool is_undersized = false;
 
   bool operator==(const wanted_vms&) const = default;
 };
@@ -59,7 +59,7 @@
     const std::string& key,
     const std::string& value);
 /// Returns the pool whose wanted VMs the record tells.
-std::optional<core::jobs::pool_id> WantingPoolOf(const std::string& key);
+std::optional<core::jobs::pool_id> WantedVmsPoolOf(const std::string& key);
 wanted_vms DecodeWantedVms(const std::string& value);
 std::optional<serviced_host> ServicedHostOf(const std::string& key);
 std::optional<std::uint64_t> CompletedWaveOf(const std::string& key);
--- a/src/jobs/group_member.cc
+++ b/src/jobs/group_member.cc
@@ -15,16 +15,16 @@
 namespace {
 
 // What the names of reserves end with, in the store's list of members.
-constexpr std::string_view kReserveMark = "+reserve";
+constexpr std::string_view kReserveSuffix = "+reserve";
 
 bool IsReserveName(std::string_view member) {
-  return member.size() > kReserveMark.size() &&
-         member.substr(member.size() - kReserveMark.size()) == kReserveMark;
+  return member.size() > kReserveSuffix.size() &&
+         member.substr(member.size() - kReserveSuffix.size()) == kReserveSuffix;
 }
 
-std::string NameIn(member_role role, std::string process) {
+std::string MemberName(member_role role, std::string process) {
   if (role == member_role::kReserve) {
-    process += kReserveMark;
+    process += kReserveSuffix;
   }
   return process;
 }
@@ -34,9 +34,10 @@
 std::set<std::string> ProcessesOf(const std::set<std::string>& members) {
   std::set<std::string> processes;
   for (const std::string& member : members) {
-    processes.insert(IsReserveName(member)
-                         ? member.substr(0, member.size() - kReserveMark.size())
-                         : member);
+    processes.insert(
+        IsReserveName(member)
+            ? member.substr(0, member.size() - kReserveSuffix.size())
+            : member);
   }
   return processes;
 }
@@ -47,34 +48,34 @@
        adapter::store_client* store,
        const member_settings& settings,
        std::string member,
-       change_handler on_dealt)
+       change_handler on_assigned)
       : store_(*store),
         settings_(settings),
-        member_(NameIn(settings.role, std::move(member))),
-        on_dealt_(std::move(on_dealt)),
+        member_(MemberName(settings.role, std::move(member))),
+        on_assigned_(std::move(on_assigned)),
         timer_(*context),
-        look_timer_(*context) {}
+        check_timer_(*context) {}
 
   void set_used_partitions(std::size_t count) { used_partitions_ = count; }
 
   // Reserves look at different moments, so that those that look later see that
   // others have joined.
-  void Begin() {
+  void StartChecks() {
     if (settings_.role == member_role::kReserve) {
-      const auto spread = settings_.reserve_look_interval;
-      LookLater(
+      const auto jitter = settings_.reserve_check_interval;
+      ScheduleCheck(
           std::chrono::milliseconds(std::hash<std::string>()(member_) %
-                                    static_cast<std::size_t>(spread.count())));
+                                    static_cast<std::size_t>(jitter.count())));
     } else {
-      LookForOthers();
+      CheckMembers();
     }
   }
 
-  void LookForOthers() {
-    if (has_left_ || is_looking_) {
+  void CheckMembers() {
+    if (has_left_ || is_checking_) {
       return;
     }
-    is_looking_ = true;
+    is_checking_ = true;
     store_.ListMembers(
         settings_.group, settings_.timeout,
         [self = weak_from_this()](const adapter::members_reply& reply) {
@@ -85,7 +86,7 @@
   }
 
   void TakeMembers(const adapter::members_reply& reply) {
-    is_looking_ = false;
+    is_checking_ = false;
     if (has_left_) {
       return;
     }
@@ -98,17 +99,17 @@
         std::count_if(reply.members.begin(), reply.members.end(),
                       [](const auto& name) { return !IsReserveName(name); }));
     const std::size_t needed =
-        std::max(settings_.enough_members, used_partitions_);
+        std::max(settings_.sufficient_members, used_partitions_);
     if (settings_.role == member_role::kReserve) {
       if (reply.is_read) {
-        const bool is_short = regular < settings_.enough_for_reserves;
-        UpdateReserve(is_short, reply.members.size() < needed);
+        const bool is_below_minimum = regular < settings_.min_regular_members;
+        UpdateReserve(is_below_minimum, reply.members.size() < needed);
       }
-      LookLater(settings_.reserve_look_interval);
+      ScheduleCheck(settings_.reserve_check_interval);
       return;
     }
     if (HasJoined()) {
-      ReturnOrStayOutside(reply, regular);
+      RejoinOrStandBy(reply, regular);
       return;
     }
     const bool is_known = reply.members.count(member_) != 0;
@@ -116,60 +117,62 @@
       Renew();
       return;
     }
-    LookLater(settings_.look_interval);
+    ScheduleCheck(settings_.check_interval);
   }
 
-  void ReturnOrStayOutside(const adapter::members_reply& reply,
-                           std::size_t regular) {
+  void RejoinOrStandBy(const adapter::members_reply& reply,
+                       std::size_t regular) {
     if (!HasLapsed()) {
       // A join was answered since the members were asked for.
       return;
     }
     const auto spare = static_cast<std::size_t>(
-        settings_.spare_members * static_cast<double>(used_partitions_));
-    const std::size_t enough =
-        std::max(settings_.enough_members, used_partitions_ + spare);
+        settings_.spare_member_ratio * static_cast<double>(used_partitions_));
+    const std::size_t sufficient =
+        std::max(settings_.sufficient_members, used_partitions_ + spare);
     const bool is_known = reply.members.count(member_) != 0;
     // A store that refuses each look may take joins, which cost it less.
-    const bool looks_in_vain =
+    const bool are_checks_rejected =
         !reply.is_read && reply.status != 0 &&
-        BootTime() - looking_since_ > settings_.time_to_live;
-    const bool is_short = reply.is_read && regular < enough;
-    if (is_short && is_outside_ && !is_known && regular > 0 && !has_waited_) {
+        BootTime() - checking_since_ > settings_.time_to_live;
+    const bool is_below_minimum = reply.is_read && regular < sufficient;
+    if (is_below_minimum && is_standby_ && !is_known && regular > 0 &&
+        !has_waited_jitter_) {
       // Others that stay outside see the same. Those that look later see that
       // it has joined.
-      has_waited_ = true;
-      const auto spread =
-          static_cast<std::size_t>(settings_.return_spread.count());
-      LookLater(std::chrono::milliseconds(std::hash<std::string>()(member_) %
-                                          spread));
+      has_waited_jitter_ = true;
+      const auto jitter =
+          static_cast<std::size_t>(settings_.rejoin_jitter.count());
+      ScheduleCheck(std::chrono::milliseconds(
+          std::hash<std::string>()(member_) % jitter));
       return;
     }
-    has_waited_ = false;
-    if (looks_in_vain || is_short || (reply.is_read && is_known)) {
-      if (!has_decided_) {
-        LogLapse(regular, is_known, "joins");
+    has_waited_jitter_ = false;
+    if (are_checks_rejected || is_below_minimum ||
+        (reply.is_read && is_known)) {
+      if (!has_decided_to_rejoin_) {
+        LogMembershipLapse(regular, is_known, "joins");
       }
-      has_decided_ = true;
-      is_outside_ = false;
-      has_looked_ = true;
+      has_decided_to_rejoin_ = true;
+      is_standby_ = false;
+      has_checked_ = true;
       Renew();
       return;
     }
     if (!reply.is_read) {
-      LookLater(settings_.renewal);
+      ScheduleCheck(settings_.renewal);
       return;
     }
-    if (!is_outside_) {
-      LogLapse(regular, is_known, "isn't needed");
+    if (!is_standby_) {
+      LogMembershipLapse(regular, is_known, "isn't needed");
     }
-    StayOutside();
-    LookLater(settings_.look_interval);
+    EnterStandby();
+    ScheduleCheck(settings_.check_interval);
   }
 
-  void LogLapse(std::size_t regular,
-                bool is_known,
-                const std::string& decision) const {
+  void LogMembershipLapse(std::size_t regular,
+                          bool is_known,
+                          const std::string& decision) const {
     observe::log_fields fields = {{"decision", decision},
                                   {"members", std::to_string(regular)},
                                   {"listed", is_known ? "yes" : "no"}};
@@ -178,22 +181,22 @@
   }
 
   // Its partitions are others' by now.
-  void StayOutside() {
-    if (!is_outside_) {
-      is_outside_ = true;
-      on_dealt_(generation_, {});
+  void EnterStandby() {
+    if (!is_standby_) {
+      is_standby_ = true;
+      on_assigned_(generation_, {});
     }
   }
 
-  // `is_short`: regular members are missing; `has_room`: one more member is of
-  // use.
-  void UpdateReserve(bool is_short, bool has_room) {
-    const bool was_short = is_short_;
-    is_short_ = is_short;
-    if (is_short && was_short && has_room && !is_member_) {
+  // `is_below_minimum`: regular members are missing; `has_room`: one more
+  // member is of use.
+  void UpdateReserve(bool is_below_minimum, bool has_room) {
+    const bool was_below_minimum = is_below_minimum_;
+    is_below_minimum_ = is_below_minimum;
+    if (is_below_minimum && was_below_minimum && has_room && !is_member_) {
       is_member_ = true;
       Renew();
-    } else if (!is_short && is_member_) {
+    } else if (!is_below_minimum && is_member_) {
       Withdraw();
     }
   }
@@ -202,46 +205,46 @@
   void Withdraw() {
     is_member_ = false;
     is_withdrawing_ = true;
-    on_dealt_(generation_, {});
-    RenewLater(settings_.leave_limit);
+    on_assigned_(generation_, {});
+    ScheduleRenewal(settings_.withdraw_timeout);
   }
 
-  void LookLater(std::chrono::milliseconds pause) {
-    CallLater(&look_timer_, pause, &impl::LookForOthers);
+  void ScheduleCheck(std::chrono::milliseconds pause) {
+    ScheduleCall(&check_timer_, pause, &impl::CheckMembers);
   }
 
   void Renew() {
-    if (is_in_flight_ || has_left_ || is_outside_) {
+    if (is_in_flight_ || has_left_ || is_standby_) {
       return;
     }
     timer_.cancel();
     if (settings_.role == member_role::kReserve && !is_member_) {
-      LeaveForNow();
+      LeaveAfterWithdrawal();
       return;
     }
-    if (HasLapsed() && !has_looked_) {
-      if (looking_since_ == core::time_point()) {
-        looking_since_ = BootTime();
+    if (HasLapsed() && !has_checked_) {
+      if (checking_since_ == core::time_point()) {
+        checking_since_ = BootTime();
       }
-      LookForOthers();
+      CheckMembers();
       return;
     }
     is_in_flight_ = true;
     const renewal sent{++last_renewal_, BootTime()};
     net::late_answer late;
-    late.patience = settings_.time_to_live - settings_.late_after;
+    late.patience = settings_.time_to_live - settings_.late_threshold;
     late.on_late = [self = weak_from_this(), sent] {
       if (const auto member = self.lock()) {
-        member->TakeLateness(sent);
+        member->OnRenewalLate(sent);
       }
     };
     store_.Join(
         {settings_.group, member_, settings_.topic, settings_.time_to_live,
          generation_},
-        settings_.late_after, std::move(late),
+        settings_.late_threshold, std::move(late),
         [self = weak_from_this(), sent](const adapter::join_reply& reply) {
           if (const auto member = self.lock()) {
-            member->TakeReply(sent, reply);
+            member->OnJoinReply(sent, reply);
           }
         });
   }
@@ -249,7 +252,7 @@
   void Leave(const std::function<void()>& on_left) {
     has_left_ = true;
     timer_.cancel();
-    look_timer_.cancel();
+    check_timer_.cancel();
     store_.Leave(settings_.group, member_, settings_.timeout, on_left);
   }
 
@@ -263,7 +266,7 @@
   };
 
   // A call that is lost does no harm: the time to live ends the membership.
-  void LeaveForNow() {
+  void LeaveAfterWithdrawal() {
     if (is_withdrawing_) {
       is_withdrawing_ = false;
       store_.Leave(settings_.group, member_, settings_.timeout, [] {});
@@ -280,27 +283,27 @@
 
   bool HasJoined() const { return renewed_at_ != core::time_point(); }
 
-  bool IsOver() const {
+  bool IsRenewalStopped() const {
     return has_left_ ||
            (settings_.role == member_role::kReserve && !is_member_);
   }
 
-  void TakeLateness(const renewal& sent) {
+  void OnRenewalLate(const renewal& sent) {
     is_in_flight_ = false;
-    if (!IsOver()) {
-      LogUnanswered(sent.sent_at, 0);
-      RenewLater(settings_.renewal / 3);
+    if (!IsRenewalStopped()) {
+      LogRenewalUnanswered(sent.sent_at, 0);
+      ScheduleRenewal(settings_.renewal / 3);
     }
   }
 
-  void RenewLater(std::chrono::milliseconds pause) {
-    CallLater(&timer_, pause, &impl::Renew);
+  void ScheduleRenewal(std::chrono::milliseconds pause) {
+    ScheduleCall(&timer_, pause, &impl::Renew);
   }
 
   // Replaces what the timer was to call.
-  void CallLater(boost::asio::steady_timer* timer,
-                 std::chrono::milliseconds pause,
-                 void (impl::*action)()) {
+  void ScheduleCall(boost::asio::steady_timer* timer,
+                    std::chrono::milliseconds pause,
+                    void (impl::*action)()) {
     timer->expires_after(pause);
     timer->async_wait([self = weak_from_this(),
                        action](const boost::system::error_code& error) {
@@ -311,10 +314,10 @@
     });
   }
 
-  void TakeReply(const renewal& sent, const adapter::join_reply& reply) {
+  void OnJoinReply(const renewal& sent, const adapter::join_reply& reply) {
     const bool is_late = !is_in_flight_ || sent.number != last_renewal_;
     is_in_flight_ = is_in_flight_ && is_late;
-    if (IsOver()) {
+    if (IsRenewalStopped()) {
       LeaveAgain(reply);
       return;
     }
@@ -322,31 +325,31 @@
       // A failed renewal is repeated sooner, so that a short outage of the
       // store doesn't use up the time to live.
       const bool is_urgent = !reply.is_joined && !HasLapsed();
-      RenewLater(is_urgent ? settings_.renewal / 3 : settings_.renewal);
+      ScheduleRenewal(is_urgent ? settings_.renewal / 3 : settings_.renewal);
     }
-    has_looked_ = false;
+    has_checked_ = false;
     if (!reply.is_joined) {
       if (!is_late) {
-        LogUnanswered(sent.sent_at, reply.status);
+        LogRenewalUnanswered(sent.sent_at, reply.status);
       }
       return;
     }
     renewed_at_ = std::max(renewed_at_, sent.sent_at);
     answered_at_ = BootTime();
-    looking_since_ = {};
-    has_decided_ = false;
-    if (is_outside_) {
+    checking_since_ = {};
+    has_decided_to_rejoin_ = false;
+    if (is_standby_) {
       // The store took a join that had no answer in time.
-      is_outside_ = false;
-      RenewLater(settings_.renewal);
+      is_standby_ = false;
+      ScheduleRenewal(settings_.renewal);
     }
-    if (!IsNews(sent, reply)) {
+    if (!IsNewAssignment(sent, reply)) {
       return;
     }
     generation_ = reply.generation;
-    dealt_by_ = sent.number;
-    on_dealt_(generation_, std::set<std::uint32_t>(reply.partitions.begin(),
-                                                   reply.partitions.end()));
+    assigned_by_ = sent.number;
+    on_assigned_(generation_, std::set<std::uint32_t>(reply.partitions.begin(),
+                                                      reply.partitions.end()));
   }
 
   // The store may have taken a join after it had taken the leave.
@@ -359,10 +362,11 @@
 
   // The answer of a later renewal may have come before; and after the time to
   // live the partitions may be dealt to others.
-  bool IsNews(const renewal& sent, const adapter::join_reply& reply) const {
+  bool IsNewAssignment(const renewal& sent,
+                       const adapter::join_reply& reply) const {
     const bool is_later =
         reply.generation > generation_ ||
-        (reply.generation == generation_ && sent.number > dealt_by_);
+        (reply.generation == generation_ && sent.number > assigned_by_);
     return is_later && BootTime() < sent.sent_at + settings_.time_to_live;
   }
 
@@ -376,7 +380,7 @@
   }
 
   // A member whose time to live passes loses all its partitions.
-  void LogUnanswered(core::time_point sent_at, unsigned status) const {
+  void LogRenewalUnanswered(core::time_point sent_at, unsigned status) const {
     observe::log_fields fields = {
         {"status", std::to_string(status)},
         {"waited_ms", MillisOf(BootTime() - sent_at)}};
@@ -387,32 +391,32 @@
   adapter::store_client& store_;
   member_settings settings_;
   std::string member_;
-  change_handler on_dealt_;
+  change_handler on_assigned_;
   boost::asio::steady_timer timer_;
-  boost::asio::steady_timer look_timer_;
+  boost::asio::steady_timer check_timer_;
   std::size_t used_partitions_ = 0;
   std::uint64_t last_renewal_ = 0;
   /// The renewal whose answer was passed on last.
-  std::uint64_t dealt_by_ = 0;
+  std::uint64_t assigned_by_ = 0;
   std::uint64_t generation_ = 0;
   core::time_point renewed_at_;
   core::time_point answered_at_;
   bool is_in_flight_ = false;
   bool has_left_ = false;
-  bool is_looking_ = false;
+  bool is_checking_ = false;
   /// Since when it looks at the others because its membership has run out.
-  core::time_point looking_since_;
+  core::time_point checking_since_;
   /// To join again; logged once.
-  bool has_decided_ = false;
+  bool has_decided_to_rejoin_ = false;
   /// After its membership had run out it saw that it is needed.
-  bool has_looked_ = false;
+  bool has_checked_ = false;
   /// After its membership had run out it saw that it isn't needed.
-  bool is_outside_ = false;
+  bool is_standby_ = false;
   /// It saw that it is needed again, and gave others the time to join.
-  bool has_waited_ = false;
+  bool has_waited_jitter_ = false;
   /// Of a reserve.
   bool is_member_ = false;
-  bool is_short_ = false;
+  bool is_below_minimum_ = false;
   bool is_withdrawing_ = false;
 };
 
@@ -420,17 +424,17 @@
                            adapter::store_client* store,
                            const member_settings& settings,
                            std::string member,
-                           change_handler on_dealt)
+                           change_handler on_assigned)
     : impl_(std::make_shared<impl>(context,
                                    store,
                                    settings,
                                    std::move(member),
-                                   std::move(on_dealt))) {}
+                                   std::move(on_assigned))) {}
 
 group_member::~group_member() = default;
 
 void group_member::Start() {
-  impl_->Begin();
+  impl_->StartChecks();
 }
 
 void group_member::SetUsedPartitions(std::size_t count) {
--- a/src/jobs/group_member.h
+++ b/src/jobs/group_member.h
@@ -42,36 +42,36 @@
   /// A renewal without an answer for this time is followed by another one. Its
   /// own answer counts all the same, up to the time to live after it was sent:
   /// over a full link each answer is late.
-  std::chrono::milliseconds late_after = std::chrono::milliseconds(500);
+  std::chrono::milliseconds late_threshold = std::chrono::milliseconds(500);
   /// A process that starts beside at least this many regular members doesn't
   /// join, unless there are more partitions with pools: each join deals
   /// partitions anew, and a pool whose owner changes starts nothing for about
   /// half a second. In a rolling restart of nine processes that would happen
   /// nine times more, and twice as many pools would change their owner.
-  std::size_t enough_members = 4;
+  std::size_t sufficient_members = 4;
   /// A reserve joins when there are fewer regular members than this, and then
   /// only while all members together are fewer than enough. Regular members
   /// with half a core use a fifth of it at most where 350 VMs are shared by
   /// six, so that few can do the work of many, and 30 reserves that joined
   /// together dealt a pool anew four times in 3 s.
-  std::size_t enough_for_reserves = 2;
+  std::size_t min_regular_members = 2;
   /// A member whose membership has run out, because it was cut off or frozen,
   /// joins again only while there are fewer regular members than partitions
   /// with pools and this many for each of them. Its partitions have owners by
   /// then; were all dealt anew, pools of sound owners would change hands
   /// together.
-  double spare_members = 0.5;
+  double spare_member_ratio = 0.5;
   /// Those that stay outside join at different moments in this time when a
   /// member goes, so that no more do than are needed.
-  std::chrono::milliseconds return_spread = std::chrono::milliseconds(1000);
+  std::chrono::milliseconds rejoin_jitter = std::chrono::milliseconds(1000);
   /// Time between two looks at whether there are still enough.
-  std::chrono::milliseconds look_interval = std::chrono::milliseconds(500);
+  std::chrono::milliseconds check_interval = std::chrono::milliseconds(500);
   /// The same of a reserve. It joins when two looks in a row have shown too few
   /// regular members: when all processes start together the first shows none.
-  std::chrono::milliseconds reserve_look_interval = std::chrono::seconds(1);
+  std::chrono::milliseconds reserve_check_interval = std::chrono::seconds(1);
   /// After this time a reserve that isn't needed any more leaves the group,
   /// also when its owners haven't recorded their ends by then.
-  std::chrono::milliseconds leave_limit = std::chrono::milliseconds(1500);
+  std::chrono::milliseconds withdraw_timeout = std::chrono::milliseconds(1500);
 };
 
 /// Returns the processes that are members, whatever their roles.
@@ -88,13 +88,13 @@
       std::function<void(std::uint64_t generation,
                          const std::set<std::uint32_t>& partitions)>;
 
-  /// `member` names the process; it is the same after a restart. `on_dealt` is
-  /// called after each renewal.
+  /// `member` names the process; it is the same after a restart. `on_assigned`
+  /// is called after each renewal.
   group_member(boost::asio::io_context* context,
                adapter::store_client* store,
                const member_settings& settings,
                std::string member,
-               change_handler on_dealt);
+               change_handler on_assigned);
   group_member(const group_member&) = delete;
   group_member& operator=(const group_member&) = delete;
   ~group_member();
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -79,7 +79,7 @@
                 member_name_,
                 [this](std::uint64_t generation,
                        const std::set<std::uint32_t>& partitions) {
-                  ownership_.TakeDeal(generation, partitions);
+                  ownership_.OnAssignment(generation, partitions);
                 }),
         ownership_(MakeOwnershipDependencies(),
                    MakeOwnerSettings(),
@@ -180,7 +180,7 @@
     made.relay.epoch_of = [this](std::uint32_t partition) {
       return ownership_.EpochOf(partition);
     };
-    made.relay.is_sure = [this] { return ownership_.IsSure(); };
+    made.relay.is_sure = [this] { return ownership_.IsOwnershipConfirmed(); };
     return made;
   }
 
@@ -291,7 +291,7 @@
     figures.is_ready = IsReady();
     figures.pools = ownership_.Counts();
     figures.known_jobs = world_.directory().entries().size();
-    if (!ownership_.Held().empty()) {
+    if (!ownership_.HeldPartitions().empty()) {
       figures.job_copy_age = world_.WatchedJobCopyAge();
     }
     figures.configuration_version = world_.routes().configuration().version;
@@ -327,7 +327,7 @@
   void LogState() {
     process_state state;
     state.loop_lag = loop_watch_.TakeMost();
-    state.pools = ownership_.Held();
+    state.pools = ownership_.HeldPartitions();
     state.owns_fleet = ownership_.OwnsFleet();
     state.is_ready = IsReady();
     state.configuration_version = world_.routes().configuration().version;
--- a/src/jobs/ownership.cc
+++ b/src/jobs/ownership.cc
@@ -24,10 +24,10 @@
                        {adapter::kAddressTopic, 0},
                        {}) {}
 
-  void TakeDeal(std::uint64_t generation,
-                const std::set<std::uint32_t>& partitions) {
+  void OnAssignment(std::uint64_t generation,
+                    const std::set<std::uint32_t>& partitions) {
     generation_ = generation;
-    dealt_ = partitions;
+    assigned_ = partitions;
     Update();
   }
 
@@ -96,7 +96,7 @@
     return counts;
   }
 
-  std::vector<held_partition> Held() const {
+  std::vector<held_partition> HeldPartitions() const {
     std::vector<held_partition> held;
     for (const auto& [partition, owner] : owners_) {
       held.push_back({partition, owner->epoch(), owner->IsActive()});
@@ -118,7 +118,7 @@
   // after that has waited for the last lease there to end.
   // The same holds for one that doesn't know the newest configuration: that may
   // have changed who is dealt what.
-  bool IsSure() const {
+  bool IsOwnershipConfirmed() const {
     const core::time_point known_at =
         std::min(deps_.member->RenewedAt(), deps_.world->ConfigurationReadAt());
     return BootTime() < known_at + deps_.time_to_live;
@@ -160,8 +160,8 @@
     return partitions;
   }
 
-  bool IsDealt(std::size_t place) const {
-    return dealt_.count(static_cast<std::uint32_t>(place)) != 0;
+  bool IsAssigned(std::size_t position) const {
+    return assigned_.count(static_cast<std::uint32_t>(position)) != 0;
   }
 
   void Update() {
@@ -170,23 +170,23 @@
     }
     const std::vector<std::uint32_t> with_pools = PartitionsWithPools();
     std::set<std::uint32_t> wanted;
-    for (std::size_t place = 0; place < with_pools.size(); ++place) {
-      if (IsDealt(place)) {
-        wanted.insert(with_pools[place]);
+    for (std::size_t position = 0; position < with_pools.size(); ++position) {
+      if (IsAssigned(position)) {
+        wanted.insert(with_pools[position]);
       }
     }
-    EndOthers(wanted);
+    StopOtherOwners(wanted);
     // New owners read what the world follows from then on.
     deps_.world->SetOwned({wanted.begin(), wanted.end()});
     for (const std::uint32_t partition : wanted) {
       if (owners_.count(partition) == 0) {
-        Own(partition);
+        StartOwner(partition);
       }
     }
-    UpdateFleet(IsDealt(with_pools.size()));
+    UpdateFleet(IsAssigned(with_pools.size()));
   }
 
-  void EndOthers(const std::set<std::uint32_t>& wanted) {
+  void StopOtherOwners(const std::set<std::uint32_t>& wanted) {
     for (auto it = owners_.begin(); it != owners_.end();) {
       if (wanted.count(it->first) != 0) {
         ++it;
@@ -197,13 +197,13 @@
                 {"epoch", std::to_string(it->second->epoch())},
                 {"generation", std::to_string(generation_)},
                 {"reason", "dealt to another member"}});
-      Retire(std::move(it->second));
+      ReleaseOwner(std::move(it->second));
       it = owners_.erase(it);
     }
   }
 
   // The records of the end of an ownership let the next owner begin at once.
-  void Retire(std::unique_ptr<pool_owner> owner) {
+  void ReleaseOwner(std::unique_ptr<pool_owner> owner) {
     const std::shared_ptr<pool_owner> leaving = std::move(owner);
     leaving->Release([self = weak_from_this(), leaving] {
       if (const auto held = self.lock()) {
@@ -212,7 +212,7 @@
     });
   }
 
-  void Own(std::uint32_t partition) {
+  void StartOwner(std::uint32_t partition) {
     pool_owner::dependencies deps;
     deps.context = deps_.context;
     deps.store = deps_.store;
@@ -220,7 +220,7 @@
     deps.archiver = deps_.archiver;
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
-    deps.is_sure = [this] { return IsSure(); };
+    deps.is_ownership_confirmed = [this] { return IsOwnershipConfirmed(); };
     deps.on_active = [this, partition](std::uint64_t epoch) {
       Announce(partition, epoch);
     };
@@ -241,8 +241,8 @@
     owner->Start(generation_);
   }
 
-  void UpdateFleet(bool is_dealt) {
-    const bool is_wanted = is_dealt && !fleet_settings_.address.empty();
+  void UpdateFleet(bool is_assigned) {
+    const bool is_wanted = is_assigned && !fleet_settings_.address.empty();
     deps_.world->SetFleetOwned(is_wanted);
     if (!is_wanted) {
       fleet_.reset();
@@ -258,7 +258,7 @@
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
     deps.holder = deps_.holder;
-    deps.is_sure = [this] { return IsSure(); };
+    deps.is_ownership_confirmed = [this] { return IsOwnershipConfirmed(); };
     deps.on_fenced = [this] {
       boost::asio::post(*deps_.context, [self = weak_from_this()] {
         if (const auto held = self.lock()) {
@@ -275,7 +275,7 @@
   owner_settings owner_settings_;
   fleet_settings fleet_settings_;
   std::uint64_t generation_ = 0;
-  std::set<std::uint32_t> dealt_;
+  std::set<std::uint32_t> assigned_;
   std::map<std::uint32_t, std::unique_ptr<pool_owner>> owners_;
   std::unique_ptr<fleet_owner> fleet_;
   record_outbox announcements_;
@@ -291,9 +291,9 @@
 
 ownership::~ownership() = default;
 
-void ownership::TakeDeal(std::uint64_t generation,
-                         const std::set<std::uint32_t>& partitions) {
-  impl_->TakeDeal(generation, partitions);
+void ownership::OnAssignment(std::uint64_t generation,
+                             const std::set<std::uint32_t>& partitions) {
+  impl_->OnAssignment(generation, partitions);
 }
 
 void ownership::Release(const std::function<void()>& on_released) {
@@ -330,16 +330,16 @@
   return impl_->Counts();
 }
 
-std::vector<held_partition> ownership::Held() const {
-  return impl_->Held();
+std::vector<held_partition> ownership::HeldPartitions() const {
+  return impl_->HeldPartitions();
 }
 
 std::uint64_t ownership::EpochOf(std::uint32_t pool_partition) const {
   return impl_->EpochOf(pool_partition);
 }
 
-bool ownership::IsSure() const {
-  return impl_->IsSure();
+bool ownership::IsOwnershipConfirmed() const {
+  return impl_->IsOwnershipConfirmed();
 }
 
 void ownership::OnAnnouncement(const peers::owner_announcement& announcement) {
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -54,8 +54,8 @@
   ~ownership();
 
   /// Takes what the group has dealt to this process, at a renewal.
-  void TakeDeal(std::uint64_t generation,
-                const std::set<std::uint32_t>& partitions);
+  void OnAssignment(std::uint64_t generation,
+                    const std::set<std::uint32_t>& partitions);
   /// Ends all ownerships and begins none any more. Calls `on_released` once the
   /// pools' ends are recorded.
   void Release(const std::function<void()>& on_released);
@@ -75,11 +75,11 @@
   /// before the takeover is over, and once a newer owner was met.
   std::uint64_t EpochOf(std::uint32_t pool_partition) const;
   /// Returns whether the ownerships surely haven't passed on.
-  bool IsSure() const;
+  bool IsOwnershipConfirmed() const;
   /// Returns the counts of each pool partition that is owned.
   std::map<std::uint32_t, core::jobs::scheduler_counts> Counts() const;
   /// Returns the pool partitions that are owned or being taken over.
-  std::vector<held_partition> Held() const;
+  std::vector<held_partition> HeldPartitions() const;
   bool OwnsFleet() const;
 
  private:
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -36,8 +36,8 @@
                   {{"partition", std::to_string(partition_)}}, BootTime());
     const core::duration age = core::jobs::AgeOf(*job, WallTime());
     scheduler_->AddJob(job, deps_.world->PolicyOf(job->queue), BootTime(), age);
-    const auto size = sizes_.find(job->pool);
-    if (size != sizes_.end()) {
+    const auto size = pool_sizings_.find(job->pool);
+    if (size != pool_sizings_.end()) {
       size->second.arrivals.RecordArrival(*job, BootTime(), age);
     }
     // Pages of the newest records may show a cancellation before its job.
@@ -46,7 +46,7 @@
     if (entry != nullptr && entry->is_cancelled) {
       scheduler_->CancelJob(job->id);
     }
-    Kick();
+    SchedulePlan();
   }
 }
 
@@ -54,7 +54,7 @@
   if (scheduler_ && scheduler_->CancelJob(job)) {
     LogEvent(job_event::kCancellationRead,
              {{"job", job}, {"partition", std::to_string(partition_)}});
-    Kick();
+    SchedulePlan();
   }
 }
 
@@ -78,7 +78,7 @@
     }
     SyncClosed(id);
   }
-  Kick();
+  SchedulePlan();
 }
 
 void pool_owner::impl::OnReport(const vm_id& vm,
@@ -88,14 +88,14 @@
   }
 }
 
-void pool_owner::impl::TakeRegistry() {
+void pool_owner::impl::LoadRegistry() {
   const std::vector<vm_description> vms = deps_.world->registry().Usable(
       deps_.world->routes(), [this](const core::jobs::pool_id& pool) {
         return PoolPartitionOf(pool) == partition_;
       });
   scheduler_->UpdateVms(vms, BootTime());
   scheduler_->NoteReports(deps_.world->report_validity().trusted_until());
-  Kick();
+  SchedulePlan();
 }
 
 void pool_owner::impl::OnConfiguration() {
@@ -105,7 +105,7 @@
       scheduler_->SetPolicy(route.queue, route.policy);
     }
     // It may name pools that it didn't before.
-    TakeRegistry();
+    LoadRegistry();
   }
 }
 
@@ -115,7 +115,7 @@
       [self = weak_from_this()](const boost::system::error_code& error) {
         const auto owner = self.lock();
         if (owner && !error && !owner->is_closed_) {
-          owner->Work();
+          owner->RunCycle();
           owner->SizePools();
           owner->Tick();
         }
@@ -123,46 +123,47 @@
 }
 
 // Plans soon; several events in a row lead to one plan.
-void pool_owner::impl::Kick() {
-  if (is_kicked_) {
+void pool_owner::impl::SchedulePlan() {
+  if (is_plan_scheduled_) {
     return;
   }
-  is_kicked_ = true;
-  plan_timer_.expires_after(std::max<core::duration>(
-      settings_.plan_gap, settings_.plan_gap_factor * plan_time_));
+  is_plan_scheduled_ = true;
+  plan_timer_.expires_after(
+      std::max<core::duration>(settings_.min_plan_interval,
+                               settings_.plan_interval_factor * plan_time_));
   plan_timer_.async_wait(
       [self = weak_from_this()](const boost::system::error_code& error) {
         const auto owner = self.lock();
         if (owner && !error) {
-          owner->is_kicked_ = false;
-          owner->Work();
+          owner->is_plan_scheduled_ = false;
+          owner->RunCycle();
         }
       });
 }
 
-void pool_owner::impl::Work() {
+void pool_owner::impl::RunCycle() {
   LogLines(lines_.TakeDue(BootTime()));
   if (!scheduler_ || is_closed_) {
     return;
   }
   if (scheduler_->IsFenced()) {
-    Lose("a VM is held by a newer owner");
+    LoseOwnership("a VM is held by a newer owner");
     return;
   }
   {
     const auto links = Meter(loop_work::kLinks);
     SyncLinks();
   }
-  const bool is_sure = deps_.is_sure();
-  NoteSureness(is_sure);
-  if (is_sure) {
+  const bool is_ownership_confirmed = deps_.is_ownership_confirmed();
+  LogOwnershipConfirmation(is_ownership_confirmed);
+  if (is_ownership_confirmed) {
     const auto plan = Meter(loop_work::kPlan);
     const core::time_point began = BootTime();
     NoteCancellationsRead(began);
     const std::vector<core::jobs::vm_order> orders =
         scheduler_->Plan(began, WallTime());
     plan_time_ = BootTime() - began;
-    NoteTakeoverWait(began);
+    LogTakeoverWait(began);
     LogLosses();
     deps_.meters->NotePlan(plan_time_);
     const auto starts = Meter(loop_work::kStarts);
@@ -171,19 +172,20 @@
     }
   }
   StoreProgress();
-  if (deps_.is_sure()) {
+  if (deps_.is_ownership_confirmed()) {
     const auto vacancies = Meter(loop_work::kVacancies);
-    TakeEmptiedVms();
-    TellVacantVms();
+    UpdateEmptiedVms();
+    PublishVacantVms();
   }
 }
 
 // An owner that isn't sure gives no orders and holds no VM, so that what runs
 // there lapses.
-void pool_owner::impl::NoteSureness(bool is_sure) {
-  if (is_sure != was_sure_) {
-    was_sure_ = is_sure;
-    LogEvent(is_sure ? job_event::kOwnerSure : job_event::kOwnerUnsure,
+void pool_owner::impl::LogOwnershipConfirmation(bool is_ownership_confirmed) {
+  if (is_ownership_confirmed != was_confirmed_) {
+    was_confirmed_ = is_ownership_confirmed;
+    LogEvent(is_ownership_confirmed ? job_event::kOwnerSure
+                                    : job_event::kOwnerUnsure,
              {{"partition", std::to_string(partition_)},
               {"epoch", std::to_string(epoch_)}});
   }
@@ -191,7 +193,7 @@
 
 // Until a takeover is settled, tasks that an earlier owner may have started
 // wait, however much room there is.
-void pool_owner::impl::NoteTakeoverWait(core::time_point now) {
+void pool_owner::impl::LogTakeoverWait(core::time_point now) {
   if (is_takeover_settled_) {
     return;
   }
@@ -230,7 +232,7 @@
   }
 }
 
-void pool_owner::impl::Lose(const std::string& reason) {
+void pool_owner::impl::LoseOwnership(const std::string& reason) {
   LogLines(lines_.TakeAll());
   LogEvent(job_event::kOwnershipLost,
            {{"partition", std::to_string(partition_)},
@@ -271,33 +273,33 @@
                                       stored](progress_writer::result result) {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_ && owner->scheduler_) {
-      owner->TakeStored(*stored, result);
+      owner->OnProgressStored(*stored, result);
     }
   });
 }
 
-void pool_owner::impl::TakeStored(
+void pool_owner::impl::OnProgressStored(
     const std::optional<core::jobs::progress_batch>& batch,
     progress_writer::result result) {
   const auto progress = Meter(loop_work::kProgress);
   if (result != progress_writer::result::kStored) {
-    Lose("the store has a newer owner");
+    LoseOwnership("the store has a newer owner");
     return;
   }
-  NoteVacanciesStored();
+  OnVacanciesStored();
   if (batch) {
     for (const auto& [id, progress] : batch->jobs) {
       deps_.world->NoteProgress(id, progress);
     }
     for (const core::jobs::job_result& job : batch->results) {
-      NoteJobEnd(job);
+      OnJobEnded(job);
     }
     scheduler_->OnBatchStored(*batch);
   }
-  Kick();
+  SchedulePlan();
 }
 
-void pool_owner::impl::NoteJobEnd(const core::jobs::job_result& job) {
+void pool_owner::impl::OnJobEnded(const core::jobs::job_result& job) {
   const core::time_point now = BootTime();
   const auto verdict = deps_.meters->NoteResult(job, now);
   observe::log_fields fields = {
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -30,39 +30,42 @@
   std::chrono::milliseconds hold_timeout = std::chrono::milliseconds(700);
   /// And its answer is used up to this much later: it may tell of ends that the
   /// VM need not tell again. A link that is full delays answers by seconds.
-  std::chrono::milliseconds hold_patience = std::chrono::milliseconds(3000);
+  std::chrono::milliseconds late_hold_timeout = std::chrono::milliseconds(3000);
   /// Pause after a hold without an answer.
-  std::chrono::milliseconds hold_retry = std::chrono::milliseconds(250);
+  std::chrono::milliseconds hold_retry_delay = std::chrono::milliseconds(250);
   /// Least time between two holds of a VM.
-  std::chrono::milliseconds hold_gap = std::chrono::milliseconds(20);
+  std::chrono::milliseconds min_hold_interval = std::chrono::milliseconds(20);
   /// The same after a listing with ends: by then their record is stored, and
   /// the next hold acknowledges them. Until that is so a VM answers at once.
-  std::chrono::milliseconds ack_gap = std::chrono::milliseconds(45);
+  std::chrono::milliseconds min_ack_interval = std::chrono::milliseconds(45);
   /// Least time between two plans. Each looks through all VMs and open jobs; on
   /// an eighth of a core with 85 VMs one takes some ms.
-  std::chrono::milliseconds plan_gap = std::chrono::milliseconds(5);
+  std::chrono::milliseconds min_plan_interval = std::chrono::milliseconds(5);
   /// The same, as a multiple of the time that the last one took: where plans
   /// are long, answers of VMs and renewals must be taken between them.
-  int plan_gap_factor = 3;
+  int plan_interval_factor = 3;
   /// Time between two looks at what is due.
   std::chrono::milliseconds tick = std::chrono::milliseconds(100);
   core::jobs::sizer_settings sizer;
   core::jobs::arrival_rate_settings arrivals;
   /// Least time between two records of how many VMs a pool wants.
-  std::chrono::milliseconds wanted_gap = std::chrono::milliseconds(150);
+  std::chrono::milliseconds min_wanted_interval =
+      std::chrono::milliseconds(150);
   core::jobs::vacancy_manager_settings vacancies;
   /// Pause before a takeover that failed is tried again.
-  std::chrono::milliseconds takeover_retry = std::chrono::milliseconds(150);
+  std::chrono::milliseconds takeover_retry_delay =
+      std::chrono::milliseconds(150);
   /// Time to live of a member, within which an owner that can't renew it works
   /// on. A new owner waits as long, and a lease more, before it takes the tasks
   /// of a VM that it can't reach for lost.
   std::chrono::milliseconds time_to_live = std::chrono::milliseconds(2400);
   /// How long the end of an ownership waits for a batch that is under way, and
   /// how often it looks. Longer than an append takes when the store is slow.
-  std::chrono::milliseconds release_limit = std::chrono::milliseconds(1500);
-  std::chrono::milliseconds release_poll = std::chrono::milliseconds(10);
+  std::chrono::milliseconds release_timeout = std::chrono::milliseconds(1500);
+  std::chrono::milliseconds release_poll_interval =
+      std::chrono::milliseconds(10);
   /// For the store's answer to who owns what.
-  std::chrono::milliseconds owners_timeout = std::chrono::milliseconds(900);
+  std::chrono::milliseconds members_timeout = std::chrono::milliseconds(900);
 };
 
 /// Takes a partition of pools over and schedules their jobs, until it is
@@ -77,7 +80,7 @@
     job_meters* meters = nullptr;
     std::string member;
     /// Whether the ownership surely hasn't passed on.
-    std::function<bool()> is_sure;
+    std::function<bool()> is_ownership_confirmed;
     /// The takeover under this epoch is over.
     std::function<void(std::uint64_t epoch)> on_active;
     /// A newer owner was met; destroys this object later.
--- a/src/jobs/pool_owner_fleet.cc
+++ b/src/jobs/pool_owner_fleet.cc
@@ -17,40 +17,40 @@
     return;
   }
   for (const std::string& key : keys) {
-    TakeFleetRecord(key);
+    ApplyFleetRecord(key);
   }
   CloseVms();
-  Kick();
+  SchedulePlan();
 }
 
-void pool_owner::impl::TakeFleetRecord(const std::string& key) {
+void pool_owner::impl::ApplyFleetRecord(const std::string& key) {
   const auto& records = deps_.world->fleet_records();
   const auto record = records.find(key);
-  const bool is_there = record != records.end();
+  const bool exists = record != records.end();
   if (const auto vm = ClosedVmOf(key)) {
-    vacancies_.NoteForService(*vm, is_there);
+    vacancy_manager_.NoteForService(*vm, exists);
   } else if (const auto hinted = HintedVmOf(key)) {
-    vacancies_.NoteHintShown(*hinted, is_there);
-  } else if (const auto pool = WantingPoolOf(key)) {
-    if (is_there && DecodeWantedVms(record->second).is_short) {
-      short_pools_.insert(*pool);
+    vacancy_manager_.NoteHintShown(*hinted, exists);
+  } else if (const auto pool = WantedVmsPoolOf(key)) {
+    if (exists && DecodeWantedVms(record->second).is_undersized) {
+      undersized_pools_.insert(*pool);
     } else {
-      short_pools_.erase(*pool);
+      undersized_pools_.erase(*pool);
     }
   }
 }
 
 void pool_owner::impl::CloseVms() {
-  for (const vm_id& vm : vacancies_.TakeChanged()) {
+  for (const vm_id& vm : vacancy_manager_.TakeChanged()) {
     SyncClosed(vm);
   }
 }
 
 void pool_owner::impl::SyncClosed(const vm_id& vm) {
-  if (vacancies_.IsClosed(vm)) {
+  if (vacancy_manager_.IsClosed(vm)) {
     scheduler_->CloseVm(vm, BootTime());
     const bool is_held = links_.count(vm) != 0;
-    vacancies_.NotePresence(
+    vacancy_manager_.NotePresence(
         vm, {is_held, is_held || deps_.world->registry().IsListed(vm)},
         BootTime());
   } else {
@@ -76,7 +76,7 @@
       continue;
     }
     auto [size, is_new] =
-        sizes_.try_emplace(pool.id, settings_.sizer, settings_.arrivals);
+        pool_sizings_.try_emplace(pool.id, settings_.sizer, settings_.arrivals);
     load.rising = size->second.arrivals.RisingDemand(now);
     load.rising_jobs = size->second.arrivals.recent_jobs();
     core::jobs::pool_sizer& sizer = size->second.sizer;
@@ -85,38 +85,39 @@
     if (sizer.MayShrink(is_scarce, now) && Resize(pool.id, load, wanted)) {
       load.usable_vms = scheduler_->Load(pool.id, now).usable_vms;
     }
-    TellWanted(pool.id, &size->second, load, wanted, now);
+    PublishWantedVms(pool.id, &size->second, load, wanted, now);
   }
 }
 
 bool pool_owner::impl::Resize(const core::jobs::pool_id& pool,
                               const core::jobs::pool_load& load,
                               std::uint32_t wanted) {
-  const bool is_changed = vacancies_.Resize(
+  const bool is_changed = vacancy_manager_.Resize(
       pool, load, wanted,
       [&](std::uint32_t count) { return scheduler_->LeastUsed(pool, count); });
   if (is_changed) {
     CloseVms();
-    Kick();
+    SchedulePlan();
   }
   return is_changed;
 }
 
 bool pool_owner::impl::IsScarce(const core::jobs::pool_id& except) const {
-  return short_pools_.size() > short_pools_.count(except);
+  return undersized_pools_.size() > undersized_pools_.count(except);
 }
 
-void pool_owner::impl::TellWanted(const core::jobs::pool_id& pool,
-                                  pool_size* size,
-                                  const core::jobs::pool_load& load,
-                                  std::uint32_t count,
-                                  core::time_point now) {
+void pool_owner::impl::PublishWantedVms(const core::jobs::pool_id& pool,
+                                        pool_sizing* size,
+                                        const core::jobs::pool_load& load,
+                                        std::uint32_t count,
+                                        core::time_point now) {
   const wanted_vms wanted{count, load.usable_vms < count};
-  if (wanted == size->told || now - size->told_at < settings_.wanted_gap) {
+  if (wanted == size->published ||
+      now - size->published_at < settings_.min_wanted_interval) {
     return;
   }
-  size->told = wanted;
-  size->told_at = now;
+  size->published = wanted;
+  size->published_at = now;
   LogEvent(job_event::kPoolSized,
            {{"pool", pool},
             {"wanted", std::to_string(count)},
@@ -133,10 +134,10 @@
   fleet_outbox_.Put(EncodeWantedVms(pool, wanted));
 }
 
-void pool_owner::impl::TakeEmptiedVms() {
+void pool_owner::impl::UpdateEmptiedVms() {
   for (const vm_id& vm : scheduler_->TakeEmptied()) {
-    if (vacancies_.NoteEmpty(vm)) {
-      Kick();
+    if (vacancy_manager_.NoteEmpty(vm)) {
+      SchedulePlan();
     }
   }
 }
@@ -144,7 +145,8 @@
 // Returns records of the VMs that were found vacant, and drops those of VMs
 // whose lives have been over for a while.
 std::vector<adapter::keyed_record> pool_owner::impl::TakeVacancyRecords() {
-  const core::jobs::vacancy_batch batch = vacancies_.TakeBatch(BootTime());
+  const core::jobs::vacancy_batch batch =
+      vacancy_manager_.TakeBatch(BootTime());
   // Those that are dropped are used again if they come back.
   CloseVms();
   std::vector<adapter::keyed_record> records;
@@ -157,8 +159,8 @@
   return records;
 }
 
-void pool_owner::impl::NoteVacanciesStored() {
-  for (const core::jobs::vacant_vm& vacant : vacancies_.NoteStored()) {
+void pool_owner::impl::OnVacanciesStored() {
+  for (const core::jobs::vacant_vm& vacant : vacancy_manager_.NoteStored()) {
     const bool is_offered = vacant.reason == vacancy_reason::kOffered;
     observe::log_fields fields = {
         {"vm", vacant.vm},
@@ -172,13 +174,14 @@
 }
 
 // Tells the owner of the fleet which VMs are vacant.
-void pool_owner::impl::TellVacantVms() {
-  for (const core::jobs::vacant_vm& vacant : vacancies_.TakeHints(BootTime())) {
-    fleet_outbox_.Put(HintOf(vacant));
+void pool_owner::impl::PublishVacantVms() {
+  for (const core::jobs::vacant_vm& vacant :
+       vacancy_manager_.TakeHints(BootTime())) {
+    fleet_outbox_.Put(MakeHint(vacant));
   }
 }
 
-adapter::keyed_record pool_owner::impl::HintOf(
+adapter::keyed_record pool_owner::impl::MakeHint(
     const core::jobs::vacant_vm& vacant) const {
   return Encode(
       core::jobs::vacancy_hint{vacant.vm, vacant.reason, partition_, epoch_});
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -42,7 +42,7 @@
         plan_timer_(*deps_.context),
         claim_timer_(*deps_.context),
         fleet_outbox_(deps_.context, deps_.store, {kFleetTopic, 0}, {}),
-        vacancies_(settings.vacancies) {}
+        vacancy_manager_(settings.vacancies) {}
   void Start(std::uint64_t generation);
   void Close();
   // The record of the end lets the next owner begin without waiting for this
@@ -60,14 +60,14 @@
   void OnFleetRecords(const std::set<std::string>& keys);
 
  private:
-  struct pool_size {
-    pool_size(const core::jobs::sizer_settings& settings,
-              const core::jobs::arrival_rate_settings& arrival_rate_settings)
+  struct pool_sizing {
+    pool_sizing(const core::jobs::sizer_settings& settings,
+                const core::jobs::arrival_rate_settings& arrival_rate_settings)
         : sizer(settings), arrivals(arrival_rate_settings) {}
     core::jobs::pool_sizer sizer;
     core::jobs::arrival_rate_monitor arrivals;
-    wanted_vms told;
-    core::time_point told_at;
+    wanted_vms published;
+    core::time_point published_at;
   };
 
   // Takeover.
@@ -76,53 +76,54 @@
   void RetryClaim();
   void ReadBeforeClaim();
   void Claim();
-  void TakeClaim(progress_writer::result result);
-  void ReadClaim();
+  void OnClaimAnswer(progress_writer::result result);
+  void VerifyClaim();
   void ReadAfterClaim();
-  void AskForPredecessor(const std::function<void()>& done);
+  void CheckPredecessor(const std::function<void()>& done);
   std::map<core::jobs::vm_id, core::time_point> InheritedLeaseEnds() const;
   core::jobs::takeover_bounds MakeBounds() const;
-  void Begin();
+  void Activate();
 
   // Work.
   work_meter::scope Meter(loop_work kind) {
     return {&deps_.meters->work(), kind};
   }
   void Tick();
-  void Kick();
-  void Work();
+  void SchedulePlan();
+  void RunCycle();
   void NoteCancellationsRead(core::time_point now);
-  void NoteSureness(bool is_sure);
-  void NoteTakeoverWait(core::time_point now);
-  void Lose(const std::string& reason);
+  void LogOwnershipConfirmation(bool is_ownership_confirmed);
+  void LogTakeoverWait(core::time_point now);
+  void LoseOwnership(const std::string& reason);
   void StoreProgress();
-  void TakeStored(const std::optional<core::jobs::progress_batch>& batch,
-                  progress_writer::result result);
-  void NoteJobEnd(const core::jobs::job_result& job);
+  void OnProgressStored(const std::optional<core::jobs::progress_batch>& batch,
+                        progress_writer::result result);
+  void OnJobEnded(const core::jobs::job_result& job);
   static void LogLines(const std::vector<gathered_line>& lines);
 
   // VMs.
   /// Takes over all VMs of the registry.
-  void TakeRegistry();
+  void LoadRegistry();
   /// Takes over what has changed of the VMs that need a hold.
   void SyncLinks();
   void SyncLink(const core::jobs::vm_description& vm);
   /// Sees to it that the VM is closed if it has to be.
   void SyncClosed(const core::jobs::vm_id& vm);
   std::shared_ptr<vm_link> FindLink(const core::jobs::vm_id& vm);
-  void HoldLater(const core::jobs::vm_id& vm, std::chrono::milliseconds pause);
+  void ScheduleHold(const core::jobs::vm_id& vm,
+                    std::chrono::milliseconds pause);
   void Hold(const core::jobs::vm_id& vm);
   void ReadUnknownJobs();
-  void TakeHold(const core::jobs::vm_id& vm,
-                const std::shared_ptr<vm_link>& link,
-                core::time_point sent_at,
-                const adapter::hold_reply& reply);
+  void OnHoldAnswer(const core::jobs::vm_id& vm,
+                    const std::shared_ptr<vm_link>& link,
+                    core::time_point sent_at,
+                    const adapter::hold_reply& reply);
   /// Logs a VM that is heard again, or for the first time in its life.
-  void NoteHeard(const core::jobs::vm_id& vm,
-                 vm_link* link,
-                 const core::jobs::vm_incarnation& incarnation);
+  void OnVmResponse(const core::jobs::vm_id& vm,
+                    vm_link* link,
+                    const core::jobs::vm_incarnation& incarnation);
   /// How long to wait before the next hold of a VM that listed this.
-  std::chrono::milliseconds GapAfter(
+  std::chrono::milliseconds NextHoldDelay(
       const core::jobs::run_listing& listing) const;
   void LogLosses();
   void LogNewEnds(const core::jobs::vm_id& vm,
@@ -130,14 +131,14 @@
                   const core::jobs::run_listing& listing);
   void Send(const core::jobs::start_order& order);
   /// Returns what tells whether a start of a task of the job may still be sent.
-  std::function<bool()> StartGate(const core::jobs::job_id& job);
+  std::function<bool()> MakeStartCheck(const core::jobs::job_id& job);
   void NoteStart(const core::jobs::run_ref& target,
                  core::jobs::start_result result);
   void Send(const core::jobs::stop_order& order);
   void Send(const core::jobs::pace_order& order);
 
   // Fleet.
-  void TakeFleetRecord(const std::string& key);
+  void ApplyFleetRecord(const std::string& key);
   /// Closes and opens VMs as the vacancies have changed.
   void CloseVms();
   void SizePools();
@@ -145,16 +146,16 @@
               const core::jobs::pool_load& load,
               std::uint32_t wanted);
   bool IsScarce(const core::jobs::pool_id& except) const;
-  void TellWanted(const core::jobs::pool_id& pool,
-                  pool_size* size,
-                  const core::jobs::pool_load& load,
-                  std::uint32_t count,
-                  core::time_point now);
-  void TakeEmptiedVms();
+  void PublishWantedVms(const core::jobs::pool_id& pool,
+                        pool_sizing* size,
+                        const core::jobs::pool_load& load,
+                        std::uint32_t count,
+                        core::time_point now);
+  void UpdateEmptiedVms();
   std::vector<adapter::keyed_record> TakeVacancyRecords();
-  void NoteVacanciesStored();
-  void TellVacantVms();
-  adapter::keyed_record HintOf(const core::jobs::vacant_vm& vacant) const;
+  void OnVacanciesStored();
+  void PublishVacantVms();
+  adapter::keyed_record MakeHint(const core::jobs::vacant_vm& vacant) const;
 
   dependencies deps_;
   std::uint32_t partition_;
@@ -168,31 +169,31 @@
   std::uint64_t epoch_ = 0;
   /// Who owned before, and how it left.
   owner_record predecessor_;
-  bool may_predecessor_act_ = false;
+  bool may_predecessor_be_active_ = false;
   std::string group_ = member_settings().group;
   bool is_claimed_ = false;
   bool is_released_ = false;
   bool is_reading_jobs_ = false;
   bool is_closed_ = false;
-  bool is_kicked_ = false;
+  bool is_plan_scheduled_ = false;
   bool may_start_ = true;
-  bool was_sure_ = true;
+  bool was_confirmed_ = true;
   bool is_takeover_settled_ = false;
   std::optional<core::jobs::takeover_wait> first_wait_;
   /// As of the last plan that waited for a VM.
   core::jobs::takeover_wait last_wait_;
   core::duration plan_time_{};
-  core::time_point dealt_at_;
+  core::time_point assigned_at_;
   core::time_point claimed_at_;
   std::unique_ptr<progress_writer> writer_;
   std::unique_ptr<core::jobs::pool_scheduler> scheduler_;
   std::map<core::jobs::vm_id, core::time_point> lease_ends_;
-  core::time_point release_until_;
+  core::time_point release_deadline_;
   std::unordered_map<core::jobs::vm_id, std::shared_ptr<vm_link>> links_;
   /// Pools that have fewer VMs than they want.
-  std::set<core::jobs::pool_id> short_pools_;
-  std::map<core::jobs::pool_id, pool_size> sizes_;
-  core::jobs::vacancy_manager vacancies_;
+  std::set<core::jobs::pool_id> undersized_pools_;
+  std::map<core::jobs::pool_id, pool_sizing> pool_sizings_;
+  core::jobs::vacancy_manager vacancy_manager_;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -15,13 +15,13 @@
 namespace {
 
 // Clocks that differ by 2% make a lease last longer; see `vm_state::Grant`.
-constexpr double kSlowestClock = 0.975;
+constexpr double kMinClockRate = 0.975;
 
 }  // namespace
 
 void pool_owner::impl::Start(std::uint64_t generation) {
   generation_ = generation;
-  dealt_at_ = BootTime();
+  assigned_at_ = BootTime();
   ReadBeforeClaim();
 }
 
@@ -41,18 +41,18 @@
   links_.clear();
   tick_timer_.cancel();
   plan_timer_.cancel();
-  release_until_ = BootTime() + settings_.release_limit;
+  release_deadline_ = BootTime() + settings_.release_timeout;
   WriteRelease(on_released);
 }
 
 void pool_owner::impl::WriteRelease(const std::function<void()>& on_released) {
   if (writer_->IsWriting()) {
-    if (BootTime() >= release_until_) {
+    if (BootTime() >= release_deadline_) {
       Close();
       on_released();
       return;
     }
-    claim_timer_.expires_after(settings_.release_poll);
+    claim_timer_.expires_after(settings_.release_poll_interval);
     claim_timer_.async_wait([self = shared_from_this(), on_released](
                                 const boost::system::error_code& error) {
       if (!error) {
@@ -77,12 +77,12 @@
   LogEvent(job_event::kTakeoverFailed,
            {{"partition", std::to_string(partition_)},
             {"epoch", std::to_string(epoch_)},
-            {"dealt_ms_ago", MillisOf(BootTime() - dealt_at_)},
+            {"dealt_ms_ago", MillisOf(BootTime() - assigned_at_)},
             {"reason", reason}});
 }
 
 void pool_owner::impl::RetryClaim() {
-  claim_timer_.expires_after(settings_.takeover_retry);
+  claim_timer_.expires_after(settings_.takeover_retry_delay);
   claim_timer_.async_wait(
       [self = weak_from_this()](const boost::system::error_code& error) {
         const auto owner = self.lock();
@@ -111,7 +111,7 @@
 // A member whose time to live has passed, and that hasn't noticed, would take
 // the pool from its new owner, who works.
 void pool_owner::impl::Claim() {
-  if (!deps_.is_sure()) {
+  if (!deps_.is_ownership_confirmed()) {
     LogTakeoverFailed("the membership has run out");
     RetryClaim();
     return;
@@ -125,12 +125,12 @@
                  [self = weak_from_this()](progress_writer::result result) {
                    const auto owner = self.lock();
                    if (owner && !owner->is_closed_) {
-                     owner->TakeClaim(result);
+                     owner->OnClaimAnswer(result);
                    }
                  });
 }
 
-void pool_owner::impl::TakeClaim(progress_writer::result result) {
+void pool_owner::impl::OnClaimAnswer(progress_writer::result result) {
   if (result != progress_writer::result::kStored) {
     LogTakeoverFailed(result == progress_writer::result::kFenced
                           ? "a newer owner has written"
@@ -139,13 +139,13 @@
     return;
   }
   claimed_at_ = BootTime();
-  ReadClaim();
+  VerifyClaim();
 }
 
 // Two processes that read the partition at the same time claim it under one
 // epoch. The store takes the second claim for the first one, repeated, and
 // answers it alike: only the record tells whose it was.
-void pool_owner::impl::ReadClaim() {
+void pool_owner::impl::VerifyClaim() {
   deps_.world->RefreshProgress(
       partition_, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
@@ -172,30 +172,30 @@
   const auto done = [self = weak_from_this(), left] {
     const auto owner = self.lock();
     if (--*left == 0 && owner && !owner->is_closed_) {
-      owner->Begin();
+      owner->Activate();
     }
   };
   deps_.world->RefreshAllJobs(done);
   deps_.world->RefreshRegistry(done);
   deps_.world->RefreshFleetRecords(done);
-  AskForPredecessor(done);
+  CheckPredecessor(done);
 }
 
 // A member that has given up, or an earlier life of this process, gives no
 // more orders; neither does one that the group doesn't know any more, since
 // its time to live has passed. What it started runs on.
-void pool_owner::impl::AskForPredecessor(const std::function<void()>& done) {
+void pool_owner::impl::CheckPredecessor(const std::function<void()>& done) {
   const std::string& member = predecessor_.member;
   // Of an owner that nobody can name it can't be known whether it is gone.
-  may_predecessor_act_ = predecessor_.is_unreadable;
+  may_predecessor_be_active_ = predecessor_.is_unreadable;
   if (predecessor_.is_unreadable || predecessor_.epoch == 0 || member.empty() ||
       member == deps_.member) {
     done();
     return;
   }
-  may_predecessor_act_ = true;
+  may_predecessor_be_active_ = true;
   deps_.store->ListMembers(
-      group_, settings_.owners_timeout,
+      group_, settings_.members_timeout,
       [self = weak_from_this(), done](const adapter::members_reply& reply) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
@@ -208,7 +208,7 @@
             reply.is_read && reply.unowned == 0 &&
             reply.members.size() < kPoolPartitions &&
             ProcessesOf(reply.members).count(owner->predecessor_.member) == 0;
-        owner->may_predecessor_act_ = !is_gone;
+        owner->may_predecessor_be_active_ = !is_gone;
         done();
       });
 }
@@ -234,18 +234,20 @@
     return bounds;
   }
   const auto longest_lease = core::duration(static_cast<std::int64_t>(
-      static_cast<double>(settings_.scheduler.lease.count()) / kSlowestClock));
-  const milliseconds acting =
-      may_predecessor_act_ ? settings_.time_to_live : milliseconds(0);
-  bounds.exclusive_from = claimed_at_ + acting + milliseconds(1);
-  bounds.default_lease_end = claimed_at_ + acting + longest_lease;
+      static_cast<double>(settings_.scheduler.lease.count()) / kMinClockRate));
+  const milliseconds predecessor_time_to_live =
+      may_predecessor_be_active_ ? settings_.time_to_live : milliseconds(0);
+  bounds.exclusive_from =
+      claimed_at_ + predecessor_time_to_live + milliseconds(1);
+  bounds.default_lease_end =
+      claimed_at_ + predecessor_time_to_live + longest_lease;
   for (const auto& [vm, left] : predecessor_.leases) {
     bounds.lease_ends[vm] = claimed_at_ + left;
   }
   return bounds;
 }
 
-void pool_owner::impl::Begin() {
+void pool_owner::impl::Activate() {
   if (is_released_) {
     return;
   }
@@ -276,23 +278,23 @@
            {{"partition", std::to_string(partition_)},
             {"epoch", std::to_string(epoch_)},
             {"open_jobs", std::to_string(open)},
-            {"dealt_ms_ago", MillisOf(BootTime() - dealt_at_)},
+            {"dealt_ms_ago", MillisOf(BootTime() - assigned_at_)},
             {"claimed_ms_ago", MillisOf(BootTime() - claimed_at_)},
             {"predecessor", predecessor_.member},
-            {"predecessor_acts", may_predecessor_act_ ? "maybe" : "no"}});
+            {"predecessor_acts", may_predecessor_be_active_ ? "maybe" : "no"}});
   const std::set<core::jobs::vm_id>& vacant =
       deps_.world->VacantVms(partition_);
   scheduler_->RestoreVacantVms(vacant);
   for (const auto& [id, address] : deps_.world->UsedVms(partition_)) {
     scheduler_->AddKnownVm({id, address});
   }
-  vacancies_.Restore(vacant);
-  TakeRegistry();
+  vacancy_manager_.Restore(vacant);
+  LoadRegistry();
   for (const auto& [key, value] : deps_.world->fleet_records()) {
-    TakeFleetRecord(key);
+    ApplyFleetRecord(key);
   }
   SyncLinks();
-  deps_.meters->NoteTakeover(BootTime() - dealt_at_);
+  deps_.meters->NoteTakeover(BootTime() - assigned_at_);
   deps_.on_active(epoch_);
   Tick();
 }
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -61,7 +61,7 @@
   return found == links_.end() ? nullptr : found->second;
 }
 
-void pool_owner::impl::HoldLater(const vm_id& vm, milliseconds pause) {
+void pool_owner::impl::ScheduleHold(const vm_id& vm, milliseconds pause) {
   const auto link = FindLink(vm);
   if (!link || link->is_waiting || link->is_holding) {
     return;
@@ -83,8 +83,8 @@
   if (!link || link->is_holding || !scheduler_) {
     return;
   }
-  if (!deps_.is_sure()) {
-    HoldLater(vm, settings_.hold_retry);
+  if (!deps_.is_ownership_confirmed()) {
+    ScheduleHold(vm, settings_.hold_retry_delay);
     return;
   }
   link->is_holding = true;
@@ -94,12 +94,12 @@
                      sent_at](const adapter::hold_reply& reply) {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_ && owner->scheduler_) {
-      owner->TakeHold(vm, link, sent_at, reply);
+      owner->OnHoldAnswer(vm, link, sent_at, reply);
     }
   };
   const auto is_late = std::make_shared<bool>(false);
   net::late_answer late;
-  late.patience = settings_.hold_patience;
+  late.patience = settings_.late_hold_timeout;
   late.on_late = [link, take, is_late] {
     *is_late = true;
     link->is_holding = false;
@@ -142,31 +142,31 @@
       });
 }
 
-void pool_owner::impl::TakeHold(const vm_id& vm,
-                                const std::shared_ptr<vm_link>& link,
-                                core::time_point sent_at,
-                                const adapter::hold_reply& reply) {
+void pool_owner::impl::OnHoldAnswer(const vm_id& vm,
+                                    const std::shared_ptr<vm_link>& link,
+                                    core::time_point sent_at,
+                                    const adapter::hold_reply& reply) {
   const auto holds = Meter(loop_work::kHolds);
   const core::time_point now = BootTime();
   switch (reply.outcome) {
     case hold_outcome::kListed:
-      NoteHeard(vm, link.get(), reply.listing.incarnation);
+      OnVmResponse(vm, link.get(), reply.listing.incarnation);
       LogNewEnds(vm, link, reply.listing);
       scheduler_->NoteJobsRead(deps_.world->AllJobsReadAt());
       scheduler_->OnListing(vm, sent_at, reply.listing, now);
       ReadUnknownJobs();
-      Kick();
-      HoldLater(vm, GapAfter(reply.listing));
+      SchedulePlan();
+      ScheduleHold(vm, NextHoldDelay(reply.listing));
       return;
     case hold_outcome::kFenced:
       scheduler_->OnFenced();
-      Kick();
+      SchedulePlan();
       return;
     case hold_outcome::kReplaced:
       lines_.AddVm(job_event::kVmLost, vm,
                    {{"reason", "another life of it answered"}}, now);
       scheduler_->OnReplaced(vm, now);
-      Kick();
+      SchedulePlan();
       return;
     case hold_outcome::kFailed:
     case hold_outcome::kUnanswered:
@@ -181,12 +181,12 @@
                      now);
       }
       scheduler_->OnHoldUnanswered(vm);
-      HoldLater(vm, settings_.hold_retry);
+      ScheduleHold(vm, settings_.hold_retry_delay);
       return;
   }
 }
 
-void pool_owner::impl::NoteHeard(
+void pool_owner::impl::OnVmResponse(
     const vm_id& vm,
     vm_link* link,
     const core::jobs::vm_incarnation& incarnation) {
@@ -220,10 +220,10 @@
 
 // Ends that aren't acknowledged would be listed again at once, so the next hold
 // waits for their record to be stored.
-milliseconds pool_owner::impl::GapAfter(
+milliseconds pool_owner::impl::NextHoldDelay(
     const core::jobs::run_listing& listing) const {
-  const milliseconds gap =
-      listing.ended.empty() ? settings_.hold_gap : settings_.ack_gap;
+  const milliseconds gap = listing.ended.empty() ? settings_.min_hold_interval
+                                                 : settings_.min_ack_interval;
   const auto delay =
       std::chrono::duration_cast<milliseconds>(scheduler_->AnswerDelay());
   return std::max(gap, delay);
@@ -263,7 +263,7 @@
   const run_ref target = order.target;
   const core::time_point sent_at = BootTime();
   link->client.Start(
-      order, epoch_, settings_.order_timeout, StartGate(target.task.job),
+      order, epoch_, settings_.order_timeout, MakeStartCheck(target.task.job),
       [self = weak_from_this(), target, sent_at](start_result result) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_ || !owner->scheduler_) {
@@ -275,18 +275,18 @@
         owner->NoteStart(target, result);
         owner->scheduler_->OnStartAnswer(target, result, BootTime());
         if (!is_started || owner->scheduler_->IsStartWindowFull()) {
-          owner->Kick();
+          owner->SchedulePlan();
         }
       });
 }
 
 // The job may be cancelled while the order waits for a connection.
-std::function<bool()> pool_owner::impl::StartGate(
+std::function<bool()> pool_owner::impl::MakeStartCheck(
     const core::jobs::job_id& job) {
   return [self = weak_from_this(), job] {
     const auto owner = self.lock();
     return owner && !owner->is_closed_ && owner->scheduler_ &&
-           owner->deps_.is_sure() &&
+           owner->deps_.is_ownership_confirmed() &&
            owner->scheduler_->MayStillStart(job, BootTime());
   };
 }
@@ -318,7 +318,7 @@
                               {{"confirmed", is_confirmed ? "yes" : "no"}},
                               BootTime());
         owner->scheduler_->OnStopAnswer(target, is_confirmed, BootTime());
-        owner->Kick();
+        owner->SchedulePlan();
       });
 }
 
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -30,10 +30,10 @@
 // What a record of an order begins with, before the name of its holder.
 constexpr std::string_view kHolderPrefix = "by:";
 constexpr std::string_view kCancelSuffix = "-cancel";
-constexpr const char* kMark = "1";
+constexpr const char* kMarkerValue = "1";
 // As many as a submission may have.
-constexpr std::uint32_t kMostTasksOfStep = 10000;
-constexpr std::int64_t kMostMicroseconds = adapter::kMostMillis * 1000;
+constexpr std::uint32_t kMaxTasksPerStep = 10000;
+constexpr std::int64_t kMaxMicroseconds = adapter::kMostMillis * 1000;
 
 // Names are one or two letters: the bytes of each record are paid for once when
 // it is written and once by every entry that reads it.
@@ -80,8 +80,8 @@
 
 // A field that is missing has its usual value.
 template <typename T, typename Read>
-T Optional(const value_reader& field, T usual, Read read) {
-  return field.IsMissing() ? usual : read(field);
+T Optional(const value_reader& field, T default_value, Read read) {
+  return field.IsMissing() ? default_value : read(field);
 }
 
 std::uint32_t OptionalCount(const value_reader& field) {
@@ -100,36 +100,36 @@
 }
 
 duration ReadDuration(const value_reader& field) {
-  return duration(field.Whole(0, kMostMicroseconds));
+  return duration(field.Whole(0, kMaxMicroseconds));
 }
 
 // Each number is that of an earlier step: the length of a chain of steps is
 // found by their order.
-std::vector<std::uint32_t> ReadEarlier(const value_reader& field,
-                                       std::size_t number) {
+std::vector<std::uint32_t> ReadDependencies(const value_reader& field,
+                                            std::size_t number) {
   if (field.IsMissing()) {
     return {};
   }
-  std::vector<std::uint32_t> earlier = field.Counts();
-  const bool is_ordered =
-      std::all_of(earlier.begin(), earlier.end(),
+  std::vector<std::uint32_t> dependencies = field.Counts();
+  const bool are_earlier =
+      std::all_of(dependencies.begin(), dependencies.end(),
                   [number](std::uint32_t step) { return step < number; });
-  if (!is_ordered) {
+  if (!are_earlier) {
     field.Fail(fault_kind::kOutOfRange);
   }
-  return earlier;
+  return dependencies;
 }
 
 step_spec ReadStep(const value_reader& row, std::size_t number) {
   step_spec step;
-  step.task_count = row.At("n").Count(1, kMostTasksOfStep);
+  step.task_count = row.At("n").Count(1, kMaxTasksPerStep);
   step.need = {
       row.At("c").Whole(0, kMostNumber), row.At("m").Whole(0, kMostNumber),
       Optional(row.At("g"), std::int64_t{0}, [](const value_reader& field) {
         return field.Whole(0, kMostNumber);
       })};
   step.estimate = ReadDuration(row.At("e"));
-  step.depends_on = ReadEarlier(row.At("d"), number);
+  step.depends_on = ReadDependencies(row.At("d"), number);
   step.checkpoints = OptionalFlag(row.At("cp"));
   step.gang = OptionalFlag(row.At("ga"));
   step.same_rack = OptionalFlag(row.At("sr"));
@@ -164,9 +164,9 @@
   if (!repeat.IsMissing()) {
     spec.schedule = ReadSchedule(repeat);
   }
-  const value_reader handed_in = record.At("h");
-  if (!handed_in.IsMissing()) {
-    spec.submitted_at = core::time_point(handed_in.Millis());
+  const value_reader submitted = record.At("h");
+  if (!submitted.IsMissing()) {
+    spec.submitted_at = core::time_point(submitted.Millis());
   }
   return spec;
 }
@@ -250,20 +250,21 @@
 }
 
 // A mark is there or dropped; nothing else is written for it.
-std::optional<record_fault> FaultOfMark(const std::string& name,
-                                        const adapter::keyed_record& record) {
+std::optional<record_fault> ValidateMarker(
+    const std::string& name,
+    const adapter::keyed_record& record) {
   if (!core::jobs::IsValidName(name)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
-  if (record.value && *record.value != kMark) {
+  if (record.value && *record.value != kMarkerValue) {
     return record_fault{fault_kind::kOutOfRange, ""};
   }
   return std::nullopt;
 }
 
-adapter::keyed_record MarkOrDrop(std::string_view prefix,
-                                 const std::string& name,
-                                 bool is_dropped) {
+adapter::keyed_record EncodeMarker(std::string_view prefix,
+                                   const std::string& name,
+                                   bool is_dropped) {
   adapter::keyed_record encoded;
   encoded.key = std::string(prefix) + name;
   if (!is_dropped) {
@@ -349,12 +350,12 @@
 }
 
 adapter::keyed_record Encode(const vacancy_record& record) {
-  return MarkOrDrop(kVacantPrefix, record.vm, record.is_dropped);
+  return EncodeMarker(kVacantPrefix, record.vm, record.is_dropped);
 }
 
 adapter::keyed_record Encode(const order_record& record) {
   adapter::keyed_record encoded =
-      MarkOrDrop(kOrderPrefix, record.host, record.is_dropped);
+      EncodeMarker(kOrderPrefix, record.host, record.is_dropped);
   if (!record.is_dropped && !record.holder.empty()) {
     encoded.value = std::string(kHolderPrefix) + record.holder;
   }
@@ -362,9 +363,9 @@
 }
 
 bool IsSubmission(const adapter::keyed_record& record) {
-  constexpr std::size_t kMostEndBytes = 32;
+  constexpr std::size_t kMaxEndRecordBytes = 32;
   return adapter::IsJobId(record.key) && record.value &&
-         record.value->size() > kMostEndBytes;
+         record.value->size() > kMaxEndRecordBytes;
 }
 
 decoded<job_record> DecodeJobRecord(const adapter::keyed_record& record) {
@@ -379,7 +380,7 @@
       key.substr(key.size() - kCancelSuffix.size()) == kCancelSuffix) {
     cancel_record cancel{
         record.key.substr(0, key.size() - kCancelSuffix.size())};
-    if (auto fault = FaultOfMark(cancel.job, record)) {
+    if (auto fault = ValidateMarker(cancel.job, record)) {
       return *std::move(fault);
     }
     return job_record(std::move(cancel));
@@ -423,8 +424,8 @@
 
 namespace {
 
-decoded<pool_record> DecodeVmMark(const std::string& vm,
-                                  const adapter::keyed_record& record) {
+decoded<pool_record> DecodeVm(const std::string& vm,
+                              const adapter::keyed_record& record) {
   if (!core::jobs::IsValidName(vm)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
@@ -437,7 +438,7 @@
 
 decoded<pool_record> DecodeVacancy(const std::string& vm,
                                    const adapter::keyed_record& record) {
-  if (auto fault = FaultOfMark(vm, record)) {
+  if (auto fault = ValidateMarker(vm, record)) {
     return *std::move(fault);
   }
   return pool_record(vacancy_record{vm, !record.value.has_value()});
@@ -449,7 +450,7 @@
   const bool names_holder =
       value.compare(0, kHolderPrefix.size(), kHolderPrefix) == 0;
   if (!names_holder) {
-    if (auto fault = FaultOfMark(host, record)) {
+    if (auto fault = ValidateMarker(host, record)) {
       return *std::move(fault);
     }
     return pool_record(order_record{host, "", !record.value.has_value()});
@@ -491,7 +492,7 @@
   const pool_key key = PoolKeyOf(record.key);
   switch (key.kind) {
     case pool_record_kind::kVm:
-      return DecodeVmMark(key.name, record);
+      return DecodeVm(key.name, record);
     case pool_record_kind::kVacancy:
       return DecodeVacancy(key.name, record);
     case pool_record_kind::kOrder:
--- a/tests/jobs/claim_test.cc
+++ b/tests/jobs/claim_test.cc
@@ -35,7 +35,7 @@
     deps.archiver = &archiver;
     deps.meters = &meters;
     deps.member = name;
-    deps.is_sure = [this] { return is_sure; };
+    deps.is_ownership_confirmed = [this] { return is_ownership_confirmed; };
     deps.on_active = [](std::uint64_t) {};
     deps.on_fenced = [] {};
     world.SetOwned({0});
@@ -54,7 +54,7 @@
     return listeners;
   }
 
-  bool is_sure = true;
+  bool is_ownership_confirmed = true;
   job_world world;
   job_archiver archiver;
   job_meters meters;
@@ -73,15 +73,15 @@
         store.Handle(request, respond);
       });
   adapter::store_client client(&context, address, 20);
-  claimant back(&context, &client, "back");
-  back.is_sure = false;
-  back.owner->Start(5);
+  claimant rejoining(&context, &client, "back");
+  rejoining.is_ownership_confirmed = false;
+  rejoining.owner->Start(5);
   context.run_for(std::chrono::milliseconds(500));
-  CHECK(back.owner->epoch() == 0);
+  CHECK(rejoining.owner->epoch() == 0);
 
   SECTION("until it is a member again") {
-    back.is_sure = true;
-    CHECK(RunUntil(&context, [&] { return back.owner->epoch() == 5; }));
+    rejoining.is_ownership_confirmed = true;
+    CHECK(RunUntil(&context, [&] { return rejoining.owner->epoch() == 5; }));
   }
 }
 
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -52,27 +52,27 @@
 }
 
 // Changes that make sense all the same, as "place: change".
-using harmless_changes = std::set<std::string>;
+using valid_mutations = std::set<std::string>;
 
 template <typename Decode>
-void CheckMutations(const adapter::keyed_record& sound,
-                    const harmless_changes& harmless,
+void CheckMutations(const adapter::keyed_record& valid,
+                    const valid_mutations& valid_after,
                     Decode decode) {
-  REQUIRE(decode(sound));
+  REQUIRE(decode(valid));
   for (const mutation& change :
-       testing::Mutations(json::parse(sound.value.value()))) {
+       testing::Mutations(json::parse(valid.value.value()))) {
     const std::string what = change.place + ": " + change.change;
     CAPTURE(what);
-    const auto record = decode({sound.key, change.record.dump()});
-    if (harmless.count(what) != 0) {
+    const auto record = decode({valid.key, change.record.dump()});
+    if (valid_after.count(what) != 0) {
       CHECK(record);
       continue;
     }
     REQUIRE_FALSE(record);
     CHECK(record.fault().field.rfind(change.place, 0) == 0);
   }
-  for (const std::string& text : testing::BrokenTexts(*sound.value)) {
-    CHECK_FALSE(decode({sound.key, text}));
+  for (const std::string& text : testing::BrokenTexts(*valid.value)) {
+    CHECK_FALSE(decode({valid.key, text}));
   }
 }
 
@@ -100,8 +100,8 @@
                     "s[1].mm: missing", "s[1].rl: missing"},
                    kDecodeJob);
     json value = json::parse(Encode(record).value.value());
-    for (const json& odd : {json(-1), json(adapter::kMostMillis + 1)}) {
-      value["h"] = odd;
+    for (const json& invalid : {json(-1), json(adapter::kMostMillis + 1)}) {
+      value["h"] = invalid;
       CHECK(DecodeJobRecord({kId, value.dump()}).fault() ==
             record_fault{fault_kind::kOutOfRange, "h"});
     }
@@ -188,16 +188,16 @@
   using core::jobs::vacancy_reason;
   const adapter::keyed_record hint =
       Encode(vacancy_hint{"vm", vacancy_reason::kOffered, 1, 2});
-  for (const adapter::keyed_record& sound :
-       {hint, EncodeClosedVm("vm"), DropClosedVm("vm"), DropOfferedVm("vm"),
-        EncodeWantedVms("pool", {5, true}), EncodeServicedHost({3, "host"}),
-        EncodeCompletedWave(4)}) {
-    CAPTURE(sound.key);
-    CHECK_FALSE(FaultOfFleetRecord(sound));
+  for (const adapter::keyed_record& valid :
+       {hint, EncodeClosedVm("vm"), EncodeClosedVmRemoval("vm"),
+        EncodeOfferedVmRemoval("vm"), EncodeWantedVms("pool", {5, true}),
+        EncodeServicedHost({3, "host"}), EncodeCompletedWave(4)}) {
+    CAPTURE(valid.key);
+    CHECK_FALSE(FaultOfFleetRecord(valid));
     for (const char* value : {"odd", "-1", "\xff", "99999999999999999999", "{",
                               "1:", ":1", "1:-1", "31:1", "1.5", " 1"}) {
       CAPTURE(value);
-      CHECK(FaultOfFleetRecord({sound.key, value}));
+      CHECK(FaultOfFleetRecord({valid.key, value}));
     }
   }
   for (const char* key : {"", "odd", "closed/", "closed/\xff", "serviced/x/h",
--- a/tests/jobs/foreign_site_test.cc
+++ b/tests/jobs/foreign_site_test.cc
@@ -8,13 +8,13 @@
 namespace plantainhead::jobs {
 namespace {
 
-constexpr const char* kOther = "fedcba9876543210";
-constexpr const char* kBytes = "\xff\xfe{[";
+constexpr const char* kOtherId = "fedcba9876543210";
+constexpr const char* kMalformedBytes = "\xff\xfe{[";
 
 // Asks for the metrics again and again, as long as there is no fault in them.
 bool AwaitFault(site* site, const std::string& process) {
-  constexpr int kMostCalls = 500;
-  for (int i = 0; i < kMostCalls; ++i) {
+  constexpr int kMaxCalls = 500;
+  for (int i = 0; i < kMaxCalls; ++i) {
     if (site->MetricsOf(process).find("plantain_faulty_keys 1") !=
         std::string::npos) {
       return true;
@@ -29,7 +29,7 @@
 // stand for anything, also for a VM that leaves.
 TEST_CASE("A VM whose entry can't be read keeps its tasks and gets no other") {
   const std::string entry =
-      GENERATE(std::string(kBytes), std::string("{}"),
+      GENERATE(std::string(kMalformedBytes), std::string("{}"),
                std::string(R"({"service":"pool","state":"retired"})"));
   site site;
   auto& first = site.AddVm("vm-1", milliseconds(700));
@@ -50,14 +50,14 @@
 TEST_CASE(
     "A VM of a service that the configuration doesn't name gets no task") {
   site site;
-  auto& odd = site.AddVm("vm-1", milliseconds(30));
-  site.store.Put("keyed.servers", "vm-1", odd.RegistryValue("elsewhere"));
+  auto& malformed = site.AddVm("vm-1", milliseconds(30));
+  site.store.Put("keyed.servers", "vm-1", malformed.RegistryValue("elsewhere"));
   site.AddProcess("p1");
   REQUIRE(site.AwaitReady("p1"));
   REQUIRE(site.Submit("p1", kId).status == 200);
   site.AddVm("vm-2", milliseconds(30));
   CHECK(site.AwaitState("p1", "completed"));
-  CHECK(odd.starts().empty());
+  CHECK(malformed.starts().empty());
 }
 
 // Records that can't be read stand in every topic before the process starts.
@@ -65,16 +65,16 @@
 TEST_CASE("Records that can't be read hide no others") {
   site site;
   const std::uint32_t pool = PoolPartitionOf("pool");
-  const std::string odd = std::string("\0\0\0\2\x7fx", 6);
+  const std::string malformed = std::string("\0\0\0\2\x7fx", 6);
   for (const char* key : {"odd", "owner", "vm/odd", "vacant/odd", "order/odd",
-                          "wave/1", "wanted/odd", kOther}) {
-    site.store.Put("keyed.op", key, kBytes);
-    site.store.Put("keyed.servers", key, kBytes);
-    site.store.Put("keyed.plantain-jobs", key, kBytes);
-    site.store.Put("keyed.plantain-fleet", key, kBytes);
-    site.store.Put("keyed.plantain-progress", key, kBytes, pool);
+                          "wave/1", "wanted/odd", kOtherId}) {
+    site.store.Put("keyed.op", key, kMalformedBytes);
+    site.store.Put("keyed.servers", key, kMalformedBytes);
+    site.store.Put("keyed.plantain-jobs", key, kMalformedBytes);
+    site.store.Put("keyed.plantain-fleet", key, kMalformedBytes);
+    site.store.Put("keyed.plantain-progress", key, kMalformedBytes, pool);
   }
-  site.store.PutRaw("keyed.plantain-progress", pool, odd);
+  site.store.PutRaw("keyed.plantain-progress", pool, malformed);
   site.AddVm("vm-1", milliseconds(30));
   site.AddProcess("p1");
   REQUIRE(site.AwaitReady("p1"));
@@ -82,11 +82,12 @@
   CHECK(site.AwaitState("p1", "completed"));
 
   SECTION("also those that come while it is at work") {
-    site.store.PutRaw("keyed.plantain-progress", pool, odd);
-    site.store.PutRaw("keyed.servers", 0, odd);
-    site.store.PutRaw("keyed.plantain-jobs", JobPartitionOf("q", kOther), odd);
-    CHECK(site.Submit("p1", kOther).status == 200);
-    CHECK(site.AwaitState("p1", "completed", kOther));
+    site.store.PutRaw("keyed.plantain-progress", pool, malformed);
+    site.store.PutRaw("keyed.servers", 0, malformed);
+    site.store.PutRaw("keyed.plantain-jobs", JobPartitionOf("q", kOtherId),
+                      malformed);
+    CHECK(site.Submit("p1", kOtherId).status == 200);
+    CHECK(site.AwaitState("p1", "completed", kOtherId));
   }
 }
 
@@ -96,7 +97,7 @@
   site.AddProcess("p1");
   REQUIRE(site.AwaitReady("p1"));
   const std::string bad = GENERATE(
-      std::string(kBytes), std::string(R"({"version":9})"),
+      std::string(kMalformedBytes), std::string(R"({"version":9})"),
       std::string(R"({"version":9,"routes":[{"name":7}],"services":[]})"));
   site.store.Put("keyed.op", "config", bad);
   REQUIRE(AwaitFault(&site, "p1"));
@@ -118,8 +119,8 @@
   site.processes.erase("p1");
   site.store.Expire("p1");
   const std::uint32_t pool = PoolPartitionOf("pool");
-  site.store.Put("keyed.plantain-progress", "owner", kBytes, pool);
-  site.store.Put("keyed.plantain-progress", "vm/vm-1", kBytes, pool);
+  site.store.Put("keyed.plantain-progress", "owner", kMalformedBytes, pool);
+  site.store.Put("keyed.plantain-progress", "vm/vm-1", kMalformedBytes, pool);
   site.AddProcess("p2");
   REQUIRE(site.AwaitReady("p2"));
   CHECK(site.AwaitState("p2", "completed"));
@@ -143,7 +144,7 @@
   site.processes.erase("p1");
   site.store.Expire("p1");
   silent.is_silent = true;
-  site.store.Put("keyed.plantain-progress", "owner", kBytes,
+  site.store.Put("keyed.plantain-progress", "owner", kMalformedBytes,
                  PoolPartitionOf("pool"));
   auto& other = site.AddVm("vm-2", milliseconds(30));
   site.AddProcess("p2");
--- a/tests/jobs/group_member_test.cc
+++ b/tests/jobs/group_member_test.cc
@@ -33,23 +33,24 @@
         [this](const net::server_request& request,
                const net::responder& respond) {
           const bool is_join = request.target == "/plantainhead/log-join";
-          const bool is_cut =
-              !cut_off.empty() &&
-              (!is_join || request.body.find(cut_off) != std::string::npos);
-          if (is_cut) {
+          const bool is_disconnected =
+              !disconnected_member.empty() &&
+              (!is_join ||
+               request.body.find(disconnected_member) != std::string::npos);
+          if (is_disconnected) {
             return;
           }
-          if (refuses_looks && !is_join) {
+          if (rejects_member_lists && !is_join) {
             respond({429, {}, ""});
             return;
           }
           if (answers_only_joins && !is_join) {
             return;
           }
-          const int late = is_join && answer_delay.count() > 0 ? 1 : 0;
-          late_joins += late;
-          Delay(answer_delay, [this, request, respond, late] {
-            late_joins -= late;
+          const int delayed = is_join && answer_delay.count() > 0 ? 1 : 0;
+          delayed_joins += delayed;
+          Delay(answer_delay, [this, request, respond, delayed] {
+            delayed_joins -= delayed;
             store.Handle(request, respond);
           });
         });
@@ -60,17 +61,17 @@
   void Add(const std::string& name, member_role role) {
     member_settings settings;
     settings.role = role;
-    settings.enough_members = 2;
-    settings.enough_for_reserves = 2;
-    settings.look_interval = milliseconds(20);
-    settings.return_spread = milliseconds(100);
-    settings.reserve_look_interval = milliseconds(20);
-    settings.leave_limit = milliseconds(20);
+    settings.sufficient_members = 2;
+    settings.min_regular_members = 2;
+    settings.check_interval = milliseconds(20);
+    settings.rejoin_jitter = milliseconds(100);
+    settings.reserve_check_interval = milliseconds(20);
+    settings.withdraw_timeout = milliseconds(20);
     settings.time_to_live = time_to_live;
     members[name] = std::make_unique<group_member>(
         &context, client_.get(), settings, name,
         [this, name](std::uint64_t, const std::set<std::uint32_t>& partitions) {
-          dealt[name] = partitions;
+          assigned[name] = partitions;
         });
     members[name]->Start();
   }
@@ -101,14 +102,14 @@
   /// Of all calls that arrive from then on.
   milliseconds answer_delay{0};
   bool answers_only_joins = false;
-  bool refuses_looks = false;
+  bool rejects_member_lists = false;
   /// Joins of this member, and all looks at the members, have no answer.
-  std::string cut_off;
+  std::string disconnected_member;
   milliseconds time_to_live = member_settings().time_to_live;
   /// Joins that have arrived and aren't handled yet.
-  int late_joins = 0;
+  int delayed_joins = 0;
   std::map<std::string, std::unique_ptr<group_member>> members;
-  std::map<std::string, std::set<std::uint32_t>> dealt;
+  std::map<std::string, std::set<std::uint32_t>> assigned;
 
  private:
   std::string address_;
@@ -133,12 +134,12 @@
     group.store.Expire("large-2");
     REQUIRE(group.Await({"large-1", "small-1+reserve"}));
     REQUIRE(RunUntil(&group.context,
-                     [&] { return !group.dealt["small-1"].empty(); }));
+                     [&] { return !group.assigned["small-1"].empty(); }));
 
     SECTION("and gives all back when there are enough again") {
       group.Add("large-2", member_role::kRegular);
       CHECK(group.Await({"large-1", "large-2"}));
-      CHECK(group.dealt["small-1"].empty());
+      CHECK(group.assigned["small-1"].empty());
     }
   }
 }
@@ -155,20 +156,20 @@
   group.members.at("large-3")->RenewNow();
   REQUIRE(group.Await({"large-1", "large-2", "large-3"}));
   REQUIRE(RunUntil(&group.context,
-                   [&] { return !group.dealt["large-3"].empty(); }));
-  group.cut_off = "large-3";
+                   [&] { return !group.assigned["large-3"].empty(); }));
+  group.disconnected_member = "large-3";
   group.store.Expire("large-3");
-  const core::time_point cut_at = BootTime();
+  const core::time_point disconnected_at = BootTime();
   const group_member& member = *group.members.at("large-3");
   REQUIRE(RunUntil(&group.context, [&] {
     return BootTime() > member.RenewedAt() + group.time_to_live &&
-           BootTime() > cut_at + group.time_to_live;
+           BootTime() > disconnected_at + group.time_to_live;
   }));
 
   SECTION("and else gives up what it was dealt") {
-    group.cut_off.clear();
+    group.disconnected_member.clear();
     REQUIRE(RunUntil(&group.context,
-                     [&] { return group.dealt["large-3"].empty(); }));
+                     [&] { return group.assigned["large-3"].empty(); }));
     group.context.run_for(milliseconds(200));
     CHECK(group.store.Members() == std::set<std::string>{"large-1", "large-2"});
 
@@ -180,15 +181,15 @@
   }
 
   SECTION("or if the store refuses to tell who the others are") {
-    group.refuses_looks = true;
-    group.cut_off.clear();
+    group.rejects_member_lists = true;
+    group.disconnected_member.clear();
     CHECK(group.Await({"large-1", "large-2", "large-3"}));
   }
 
   SECTION("as it is when another one has gone meanwhile") {
     group.members.erase("large-2");
     group.store.Expire("large-2");
-    group.cut_off.clear();
+    group.disconnected_member.clear();
     CHECK(group.Await({"large-1", "large-3"}));
   }
 }
@@ -205,7 +206,7 @@
   group.Add("small-2", member_role::kReserve);
   REQUIRE(group.Await({"small-1+reserve", "small-2+reserve"}));
   CHECK(RunUntil(&group.context,
-                 [&] { return !group.dealt["small-1"].empty(); }));
+                 [&] { return !group.assigned["small-1"].empty(); }));
 }
 
 // Guards against a reserve that owns a pool and lives, and that the next owner
@@ -221,7 +222,7 @@
   group group;
   group.Add("large-1", member_role::kRegular);
   REQUIRE(RunUntil(&group.context,
-                   [&] { return !group.dealt["large-1"].empty(); }));
+                   [&] { return !group.assigned["large-1"].empty(); }));
   group.answer_delay = milliseconds(1500);
   const group_member& member = *group.members.at("large-1");
   const core::time_point slow_from = BootTime();
@@ -246,14 +247,14 @@
   group group;
   group.Add("large-1", member_role::kRegular);
   REQUIRE(RunUntil(&group.context,
-                   [&] { return !group.dealt["large-1"].empty(); }));
+                   [&] { return !group.assigned["large-1"].empty(); }));
   group.answer_delay = milliseconds(900);
-  REQUIRE(RunUntil(&group.context, [&] { return group.late_joins > 0; }));
+  REQUIRE(RunUntil(&group.context, [&] { return group.delayed_joins > 0; }));
   group.answer_delay = milliseconds(0);
   bool has_left = false;
   group.members.at("large-1")->Leave([&] { has_left = true; });
   REQUIRE(RunUntil(&group.context, [&] { return has_left; }));
-  REQUIRE(RunUntil(&group.context, [&] { return group.late_joins == 0; }));
+  REQUIRE(RunUntil(&group.context, [&] { return group.delayed_joins == 0; }));
   CHECK(group.Await({}));
 }
 
--- a/tests/jobs/moved_queue_test.cc
+++ b/tests/jobs/moved_queue_test.cc
@@ -8,10 +8,10 @@
 namespace plantainhead::jobs {
 namespace {
 
-const std::string kNext = "fedcba9876543210";
-const std::string kOpen = "aaaaaaaaaaaaaaaa";
+const std::string kNextJob = "fedcba9876543210";
+const std::string kOpenJob = "aaaaaaaaaaaaaaaa";
 
-std::string LastingJob() {
+std::string LongRunningJob() {
   return R"({"spec":"lasts","steps":[{"count":1,"cpu":100,"mem_mb":10,)"
          R"("estimate_ms":1000,"lasting":true}]})";
 }
@@ -62,10 +62,10 @@
 
   SECTION("after it has moved, while another job of it is open there") {
     REQUIRE(site.Call(site.addresses.at("p1"), net::method::kPost,
-                      "/q/" + kOpen, LastingJob())
+                      "/q/" + kOpenJob, LongRunningJob())
                 .status == 200);
     REQUIRE(RunUntil(&site.context,
-                     [&] { return site.StartsOf(kOpen + ".0.0.0") == 1; }));
+                     [&] { return site.StartsOf(kOpenJob + ".0.0.0") == 1; }));
     move_queue();
   }
 
@@ -73,13 +73,13 @@
     move_queue();
   }
 
-  site.store.Put("keyed.plantain-jobs", kNext, record,
-                 JobPartitionOf("q", kNext));
+  site.store.Put("keyed.plantain-jobs", kNextJob, record,
+                 JobPartitionOf("q", kNextJob));
   constexpr int kTries = 80;
-  for (int i = 0; i < kTries && site.StartsOf(kNext + ".0.0.0") == 0; ++i) {
+  for (int i = 0; i < kTries && site.StartsOf(kNextJob + ".0.0.0") == 0; ++i) {
     site.Pass(std::chrono::milliseconds(100));
   }
-  CHECK(site.StartsOf(kNext + ".0.0.0") == 1);
+  CHECK(site.StartsOf(kNextJob + ".0.0.0") == 1);
 }
 
 }  // namespace
--- a/tests/jobs/record_codec_test.cc
+++ b/tests/jobs/record_codec_test.cc
@@ -161,7 +161,7 @@
   CHECK(serviced->host == "host/1");
   CHECK(CompletedWaveOf(EncodeCompletedWave(4).key) == 4);
   const auto wanted = EncodeWantedVms("pool", {5, true});
-  CHECK(WantingPoolOf(wanted.key) == "pool");
+  CHECK(WantedVmsPoolOf(wanted.key) == "pool");
   CHECK(DecodeWantedVms(*wanted.value) == wanted_vms{5, true});
   CHECK(DecodeWantedVms("6") == wanted_vms{6, false});
   CHECK(DecodeWantedVms("") == wanted_vms{});
--- a/tests/jobs/record_fuzz_test.cc
+++ b/tests/jobs/record_fuzz_test.cc
@@ -46,24 +46,25 @@
 }
 
 // Bytes that often change what a record means.
-char OddByte(std::mt19937* random) {
-  static const std::string kOdd = "\"\\{}[]:,0195-.e+ntf\xff\x80\n ";
-  return (*random)() % 2 == 0 ? kOdd[(*random)() % kOdd.size()]
-                              : static_cast<char>((*random)());
+char InterestingByte(std::mt19937* random) {
+  static const std::string kSpecialBytes = "\"\\{}[]:,0195-.e+ntf\xff\x80\n ";
+  return (*random)() % 2 == 0
+             ? kSpecialBytes[(*random)() % kSpecialBytes.size()]
+             : static_cast<char>((*random)());
 }
 
 // Replaces, inserts or takes out a few bytes, or cuts the end off.
-std::string Damaged(std::string text, std::mt19937* random) {
-  constexpr int kMostChanges = 3;
-  const auto changes = 1 + (*random)() % kMostChanges;
+std::string Corrupt(std::string text, std::mt19937* random) {
+  constexpr int kMaxChanges = 3;
+  const auto changes = 1 + (*random)() % kMaxChanges;
   for (unsigned i = 0; i < changes && !text.empty(); ++i) {
     const std::size_t at = (*random)() % text.size();
     switch ((*random)() % 4) {
       case 0:
-        text[at] = OddByte(random);
+        text[at] = InterestingByte(random);
         break;
       case 1:
-        text.insert(at, 1, OddByte(random));
+        text.insert(at, 1, InterestingByte(random));
         break;
       case 2:
         text.erase(at, 1 + (*random)() % 4);
@@ -84,7 +85,7 @@
     Feed(decoder, "");
     Feed(decoder, kSamples[decoder]);
     for (int i = 0; i < kTries; ++i) {
-      Feed(decoder, Damaged(kSamples[decoder], &random));
+      Feed(decoder, Corrupt(kSamples[decoder], &random));
     }
   }
 }
