--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -106,7 +106,7 @@
                 });
 }
 
-// See `pool_owner`: another process's claim may have been stored in its place.
+// Another process's claim may have been stored instead, as for `pool_owner`.
 void fleet_owner::impl::VerifyClaim() {
   deps_.world->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
@@ -127,9 +127,9 @@
       });
 }
 
-// What an earlier owner has done is told by records that this process may not
-// have read yet. Without them it would close VMs of hosts that were serviced
-// already, and order their service a second time.
+// Records that this process may not have read yet state what an earlier owner
+// has done. Without them it would close VMs of hosts that were already
+// serviced, and order their service a second time.
 void fleet_owner::impl::ReadAfterClaim() {
   deps_.world->RefreshFleetRecords([self = weak_from_this()] {
     const auto owner = self.lock();
@@ -155,14 +155,14 @@
   LogEvent(job_event::kOwnershipLost,
            {{"partition", "fleet"},
             {"epoch", std::to_string(epoch_)},
-            {"reason", "a newer owner has claimed it"}});
+            {"reason", "a newer owner has claimed the fleet partition"}});
   const auto on_fenced = deps_.on_fenced;
   Close();
   on_fenced();
 }
 
 void fleet_owner::impl::Tick() {
-  // Repeats readings that have failed.
+  // Retries failed reads.
   UpdateVacancies();
   RunCycle();
   RunAfter(settings_.tick, &impl::Tick);
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -28,22 +28,21 @@
   writer_settings writer;
   std::chrono::milliseconds order_timeout = std::chrono::seconds(2);
   std::chrono::milliseconds tick = std::chrono::milliseconds(100);
-  /// Time between two readings of the list. A host is away for some 2 s; each
-  /// reading is paid for.
+  /// Interval between two reads of the fleet list. A serviced host is away for
+  /// about 2 s, and each read is charged.
   std::chrono::milliseconds list_interval = std::chrono::milliseconds(600);
-  /// Least time between two lines on how far hosts are.
+  /// Minimum interval between two log events on the progress of hosts.
   std::chrono::milliseconds min_stats_interval = std::chrono::milliseconds(500);
   std::chrono::milliseconds takeover_retry_delay =
       std::chrono::milliseconds(200);
   core::jobs::order_queue_settings queue;
-  /// A store that is slow takes up to 0.5 s for a record.
+  /// A slow store takes up to 0.5 s for a record.
   core::jobs::host_order_settings orders{.max_send_delay =
                                              std::chrono::milliseconds(700)};
 };
 
-/// Takes the fleet's partition over and walks maintenance waves through,
-/// and moves hosts between pools. The only process that gives orders for hosts.
-/// Not thread-safe.
+/// Owns the fleet partition: drives maintenance waves and moves hosts between
+/// pools. The only process that sends orders for hosts. Not thread-safe.
 class fleet_owner {
  public:
   struct dependencies {
@@ -52,9 +51,10 @@
     job_world* world = nullptr;
     job_meters* meters = nullptr;
     std::string member;
-    /// Names the process towards the platform.
+    /// Identifies the process to the platform.
     std::string holder;
-    /// Whether ownership surely hasn't passed on.
+    /// Returns whether the ownership certainly has not passed to another
+    /// process.
     std::function<bool()> is_ownership_confirmed;
     std::function<void()> on_fenced;
   };
@@ -65,7 +65,7 @@
   ~fleet_owner();
 
   void Start(std::uint64_t generation);
-  /// Records of the fleet under these keys have changed or gone.
+  /// The fleet records under these keys have changed or were removed.
   void OnFleetRecords(const std::set<std::string>& keys);
 
  private:
--- a/src/jobs/fleet_owner_impl.h
+++ b/src/jobs/fleet_owner_impl.h
@@ -24,9 +24,9 @@
 
 using core::jobs::host_order;
 
-/// The state of a `fleet_owner`. Three files share it: what is read of the
-/// fleet (`fleet_owner_reading.cc`), how orders for hosts are recorded and sent
-/// (`fleet_owner_orders.cc`), and takeover and the work between them
+/// Implementation of `fleet_owner`, split over three files: processing of fleet
+/// records and the host list (`fleet_owner_reading.cc`), recording and sending
+/// of orders for hosts (`fleet_owner_orders.cc`), and takeover and planning
 /// (`fleet_owner.cc`).
 class fleet_owner::impl : public std::enable_shared_from_this<impl> {
  public:
@@ -45,20 +45,20 @@
   void Activate();
   void LoseOwnership();
 
-  // Work.
+  // Planning.
   work_meter::scope Meter() {
     return {&deps_.meters->work(), loop_work::kFleet};
   }
   void Tick();
   void RunCycle();
-  /// Logs what holds up hosts that pools want, if that has changed.
+  /// Logs the state of the hosts that pools want, if it has changed.
   void LogStats(core::time_point now);
   void Execute(const core::jobs::close_vm& action);
   void Execute(const core::jobs::release_vm& action);
   void Execute(const core::jobs::service_host& action);
   void Execute(const core::jobs::complete_wave& action);
 
-  // Reading.
+  // Fleet records and the host list.
   void ApplyRecords(const std::set<std::string>& keys);
   void ApplyRecord(const std::string& key);
   void NoteWanted(const core::jobs::pool_id& pool, const std::string* value);
@@ -71,8 +71,8 @@
   void RemoveStaleOffers();
 
   // Orders.
-  /// Returns the hosts that are in the hands of a wave, or for which an earlier
-  /// owner may have given an order not long ago.
+  /// Returns the hosts that a wave services, or that an earlier owner may have
+  /// ordered recently.
   std::set<core::jobs::host_id> HostsExcludedFromMoves(
       core::time_point now) const;
   void SendOrders(core::time_point now);
@@ -80,7 +80,7 @@
   std::vector<adapter::keyed_record> MakeOrderRecords(
       const std::vector<host_order>& batch,
       core::time_point now);
-  /// `asked_at`: when the record of the batch was asked for.
+  /// `asked_at`: when the write of the batch's records was requested.
   void OnOrdersRecorded(const std::vector<host_order>& batch,
                         core::time_point asked_at,
                         progress_writer::result result);
@@ -88,7 +88,7 @@
   void Send(const core::jobs::move_host& move, core::time_point recorded_at);
   void Send(const core::jobs::service_host& action,
             core::time_point recorded_at);
-  /// Returns what tells whether an order may still be sent.
+  /// Returns a predicate that tells whether an order may still be sent.
   std::function<bool()> MakeSendCheck(core::time_point recorded_at);
   void OnMoveReply(const core::jobs::move_host& move,
                    adapter::duty_outcome outcome);
@@ -99,7 +99,7 @@
   fleet_settings settings_;
   adapter::fleet_client client_;
   progress_writer writer_;
-  /// What pools' owners and later owners of the fleet are told.
+  /// Records for the pool owners and for later fleet owners.
   record_outbox fleet_outbox_;
   record_outbox status_outbox_;
   boost::asio::steady_timer timer_;
@@ -121,7 +121,7 @@
   core::jobs::host_order_queue queue_;
   std::vector<core::jobs::fleet_host> page_hosts_;
   std::vector<adapter::faulty_host> page_faults_;
-  /// Of the newest list.
+  /// Hosts of the last complete list.
   std::vector<core::jobs::fleet_host> known_hosts_;
 };
 
--- a/src/jobs/fleet_owner_orders.cc
+++ b/src/jobs/fleet_owner_orders.cc
@@ -35,9 +35,9 @@
 
 }  // namespace
 
-// Were a host that an earlier owner may have ordered chosen all the same, the
-// order would wait for seconds, and its pool would count it as coming all the
-// while: another host, which could move at once, would stay where it is.
+// If a host that an earlier owner may have ordered were selected, its order
+// would wait for seconds while its pool counted it as arriving, and another
+// host that could move immediately would stay where it is.
 std::set<core::jobs::host_id> fleet_owner::impl::HostsExcludedFromMoves(
     core::time_point now) const {
   std::set<core::jobs::host_id> hosts = maintenance_.BusyHosts();
@@ -45,11 +45,11 @@
   return hosts;
 }
 
-// Two owners must not give orders for one host at about the same time. Each
-// order is recorded before it is sent, under this owner's epoch: once a new
-// owner has claimed the fleet the store refuses the record, and what was
-// recorded before tells the new owner which hosts to leave alone for a while.
-// It needn't wait for all others, so that hosts move on at once.
+// Two owners must not send orders for the same host at about the same time.
+// Each order is recorded under this owner's epoch before it is sent: once a new
+// owner has claimed the fleet, the store rejects the record, and earlier
+// records tell the new owner which hosts not to order for a while. Other hosts
+// can move immediately.
 void fleet_owner::impl::SendOrders(core::time_point now) {
   if (writer_.IsBusy()) {
     return;
@@ -68,15 +68,16 @@
   });
 }
 
-// Returns the orders for hosts for which no earlier owner may have given one.
+// Returns the queued orders for hosts that no earlier owner may have ordered
+// recently.
 std::vector<host_order> fleet_owner::impl::TakeDueOrders(core::time_point now) {
   return queue_.Take([this, now](const core::jobs::host_id& host) {
     return order_tracker_.MayOrder(host, now);
   });
 }
 
-// Returns the records of the orders, and drops those of orders that are so old
-// that a new owner needn't know of them.
+// Returns the records of the orders, and the removals of records that are so
+// old that a new owner does not need them.
 std::vector<adapter::keyed_record> fleet_owner::impl::MakeOrderRecords(
     const std::vector<host_order>& batch,
     core::time_point now) {
@@ -110,10 +111,10 @@
   }
 }
 
-// A new owner counts the time for which it leaves a host alone from its claim,
-// which may follow the record at once. This process may have been suspended
-// since it asked for the record, the store may have answered late, and orders
-// wait for one another's connections.
+// A new owner measures the time for which it does not order a host from its
+// claim, which may follow the record immediately. Since this process requested
+// the record, it may have been suspended, the store may have answered late, and
+// orders may have waited for a connection.
 bool fleet_owner::impl::MaySend(core::time_point recorded_at) const {
   return deps_.is_ownership_confirmed() &&
          BootTime() - recorded_at <= settings_.orders.max_send_delay;
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -9,7 +9,7 @@
 namespace plantainhead::jobs {
 namespace {
 
-// How metrics and logs call the list, which isn't one of the store's topics.
+// Name of the host list in metrics and logs; it is not a topic of the store.
 constexpr const char* kFleetList = "fleet list";
 
 }  // namespace
@@ -21,7 +21,7 @@
     has_new_wave = maintenance_.AddWave(wave) || has_new_wave;
   }
   if (has_new_wave) {
-    // Records of the wave may have been read before the wave.
+    // Records of the wave may have been read before the wave itself.
     for (const auto& [key, value] : deps_.world->fleet_records()) {
       ApplyRecord(key);
     }
@@ -52,7 +52,7 @@
   } else if (const auto pool = WantedVmsPoolOf(key)) {
     NoteWanted(*pool, value);
   } else if (value == nullptr) {
-    // What was done stays done.
+    // The removal of a record does not undo what it reported.
     return;
   } else if (const auto serviced = ServicedHostOf(key)) {
     maintenance_.NoteServiced(serviced->wave, serviced->host);
--- a/src/jobs/fleet_records.cc
+++ b/src/jobs/fleet_records.cc
@@ -17,7 +17,7 @@
 constexpr std::string_view kServiced = "serviced/";
 constexpr std::string_view kCompleted = "completed/";
 constexpr const char* kMarkerValue = "1";
-// Of a pool. No platform has as many VMs.
+// Maximum number of VMs that a pool may want; no platform has more.
 constexpr std::uint64_t kMaxWanted = 1'000'000;
 
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
--- a/src/jobs/fleet_records.h
+++ b/src/jobs/fleet_records.h
@@ -12,19 +12,20 @@
 #include "plantainhead/core/jobs/vacancy_manager.h"
 #include "platform/store_client.h"
 
-/// What the fleet's owner and the pools' owners tell each other through the
-/// store: the first asks for a VM to be emptied, the second tells when it is.
+/// Records by which the fleet owner and the pool owners coordinate through the
+/// store: the fleet owner requests that a VM be emptied, and the pool owner
+/// reports when it is empty.
 namespace plantainhead::jobs {
 
 adapter::keyed_record EncodeClosedVm(const core::jobs::vm_id& vm);
-/// Take the records back.
+/// These functions encode the removal of a record.
 adapter::keyed_record EncodeClosedVmRemoval(const core::jobs::vm_id& vm);
 adapter::keyed_record EncodeEmptyVmRemoval(const core::jobs::vm_id& vm);
 
-/// An owner of a pool has recorded that the VM is vacant.
+/// Reports that a pool owner has recorded the VM as vacant.
 adapter::keyed_record Encode(const core::jobs::vacancy_hint& hint);
 adapter::keyed_record EncodeOfferedVmRemoval(const core::jobs::vm_id& vm);
-/// How many VMs a pool should have, and whether it has fewer.
+/// The number of VMs that a pool wants, and whether it has fewer.
 struct wanted_vms {
   std::uint32_t count = 0;
   bool is_undersized = false;
@@ -40,25 +41,25 @@
   core::jobs::host_id host;
 };
 
-/// The host was taken down for the wave.
+/// Records that the host was taken down for service in the wave.
 adapter::keyed_record EncodeServicedHost(const serviced_host& serviced);
-/// All hosts of the wave were.
+/// Records that all hosts of the wave were serviced.
 adapter::keyed_record EncodeCompletedWave(std::uint64_t wave);
 
-/// Returns what is wrong with a record of the fleet's topic, if anything.
+/// Returns the fault of a record of the fleet topic; `nullopt` if it is valid.
 std::optional<core::jobs::record_fault> FaultOfFleetRecord(
     const adapter::keyed_record& record);
 
-/// Return the VM that a record's key names, if it is of this kind.
+/// Returns the VM of a record that closes a VM; `nullopt` for other keys.
 std::optional<core::jobs::vm_id> ClosedVmOf(const std::string& key);
-/// Returns of which VM a hint under the key tells, and why; nothing for others.
+/// Returns the VM and the reason of a vacancy hint; `nullopt` for other keys.
 std::optional<core::jobs::vacant_vm> HintedVmOf(const std::string& key);
 std::optional<core::jobs::vm_id> OfferedVmOf(const std::string& key);
-/// Returns nothing when the record is of another kind, or malformed.
+/// Returns `nullopt` if the record is of another kind or malformed.
 std::optional<core::jobs::vacancy_hint> DecodeVacancyHint(
     const std::string& key,
     const std::string& value);
-/// Returns the pool whose wanted VMs the record tells.
+/// Returns the pool of a record of wanted VMs; `nullopt` for other keys.
 std::optional<core::jobs::pool_id> WantedVmsPoolOf(const std::string& key);
 wanted_vms DecodeWantedVms(const std::string& value);
 std::optional<serviced_host> ServicedHostOf(const std::string& key);
--- a/src/jobs/group_member.cc
+++ b/src/jobs/group_member.cc
@@ -14,7 +14,7 @@
 namespace plantainhead::jobs {
 namespace {
 
-// What the names of reserves end with, in the store's list of members.
+// Suffix of the names of reserves in the store's member list.
 constexpr std::string_view kReserveSuffix = "+reserve";
 
 bool IsReserveName(std::string_view member) {
@@ -58,8 +58,8 @@
 
   void set_used_partitions(std::size_t count) { used_partitions_ = count; }
 
-  // Reserves look at different moments, so that those that look later see that
-  // others have joined.
+  // Reserves start their checks at different moments, so that later checks see
+  // which others have joined.
   void StartChecks() {
     if (settings_.role == member_role::kReserve) {
       const auto jitter = settings_.reserve_check_interval;
@@ -123,7 +123,7 @@
   void RejoinOrStandBy(const adapter::members_reply& reply,
                        std::size_t regular) {
     if (!HasLapsed()) {
-      // A join was answered since the members were asked for.
+      // A join was answered since the member list was requested.
       return;
     }
     const auto spare = static_cast<std::size_t>(
@@ -131,15 +131,16 @@
     const std::size_t sufficient =
         std::max(settings_.sufficient_members, used_partitions_ + spare);
     const bool is_known = reply.members.count(member_) != 0;
-    // A store that refuses each look may take joins, which cost it less.
+    // A store that rejects each request for the member list may accept joins,
+    // which cost it less.
     const bool are_checks_rejected =
         !reply.is_read && reply.status != 0 &&
         BootTime() - checking_since_ > settings_.time_to_live;
     const bool is_below_minimum = reply.is_read && regular < sufficient;
     if (is_below_minimum && is_standby_ && !is_known && regular > 0 &&
         !has_waited_jitter_) {
-      // Others that stay outside see the same. Those that look later see that
-      // it has joined.
+      // Other members on standby see the same. Those that check later will see
+      // that this member has joined.
       has_waited_jitter_ = true;
       const auto jitter =
           static_cast<std::size_t>(settings_.rejoin_jitter.count());
@@ -164,7 +165,7 @@
       return;
     }
     if (!is_standby_) {
-      LogMembershipLapse(regular, is_known, "isn't needed");
+      LogMembershipLapse(regular, is_known, "not needed");
     }
     EnterStandby();
     ScheduleCheck(settings_.check_interval);
@@ -180,7 +181,7 @@
     LogEvent(job_event::kMembershipLapsed, fields);
   }
 
-  // Its partitions are others' by now.
+  // Gives up the partitions, which have other owners by now.
   void EnterStandby() {
     if (!is_standby_) {
       is_standby_ = true;
@@ -188,8 +189,8 @@
     }
   }
 
-  // `is_below_minimum`: regular members are missing; `has_room`: one more
-  // member is of use.
+  // `is_below_minimum`: there are too few regular members; `has_room`: one more
+  // member would be useful.
   void UpdateReserve(bool is_below_minimum, bool has_room) {
     const bool was_below_minimum = is_below_minimum_;
     is_below_minimum_ = is_below_minimum;
@@ -201,7 +202,8 @@
     }
   }
 
-  // Its owners record their ends first, so that the next ones needn't wait.
+  // The owners record their releases before the member leaves, so that the next
+  // owners need not wait.
   void Withdraw() {
     is_member_ = false;
     is_withdrawing_ = true;
@@ -265,7 +267,7 @@
     core::time_point sent_at;
   };
 
-  // A call that is lost does no harm: the time to live ends the membership.
+  // A lost call is harmless: the membership then ends with its time to live.
   void LeaveAfterWithdrawal() {
     if (is_withdrawing_) {
       is_withdrawing_ = false;
@@ -273,9 +275,10 @@
     }
   }
 
-  // If a member whose time to live has passed joined at once, all partitions
-  // would be dealt anew: pools of owners that did their work all the while
-  // would change hands together. So it looks first whether it is needed.
+  // If a member whose time to live has passed rejoined immediately, all
+  // partitions would be reassigned, and the pools of healthy owners would
+  // change owners at the same time. It therefore checks first whether it is
+  // needed.
   bool HasLapsed() const {
     return settings_.role == member_role::kRegular && HasJoined() &&
            BootTime() >= renewed_at_ + settings_.time_to_live;
@@ -300,7 +303,7 @@
     ScheduleCall(&timer_, pause, &impl::Renew);
   }
 
-  // Replaces what the timer was to call.
+  // Replaces the pending call of the timer.
   void ScheduleCall(boost::asio::steady_timer* timer,
                     std::chrono::milliseconds pause,
                     void (impl::*action)()) {
@@ -322,8 +325,8 @@
       return;
     }
     if (!is_late) {
-      // A failed renewal is repeated sooner, so that a short outage of the
-      // store doesn't use up the time to live.
+      // A failed renewal is retried sooner, so that a short outage of the store
+      // does not exhaust the time to live.
       const bool is_urgent = !reply.is_joined && !HasLapsed();
       ScheduleRenewal(is_urgent ? settings_.renewal / 3 : settings_.renewal);
     }
@@ -339,7 +342,7 @@
     checking_since_ = {};
     has_decided_to_rejoin_ = false;
     if (is_standby_) {
-      // The store took a join that had no answer in time.
+      // The store accepted a join that was not answered in time.
       is_standby_ = false;
       ScheduleRenewal(settings_.renewal);
     }
@@ -352,7 +355,7 @@
                                                       reply.partitions.end()));
   }
 
-  // The store may have taken a join after it had taken the leave.
+  // The store may have processed a join after the leave.
   void LeaveAgain(const adapter::join_reply& reply) {
     const bool is_withdrawing = !has_left_ && is_withdrawing_;
     if (reply.is_joined && !is_withdrawing) {
@@ -360,8 +363,8 @@
     }
   }
 
-  // The answer of a later renewal may have come before; and after the time to
-  // live the partitions may be dealt to others.
+  // Returns false if the answer of a later renewal arrived earlier, or if the
+  // time to live has passed, after which the partitions may belong to others.
   bool IsNewAssignment(const renewal& sent,
                        const adapter::join_reply& reply) const {
     const bool is_later =
@@ -396,7 +399,7 @@
   boost::asio::steady_timer check_timer_;
   std::size_t used_partitions_ = 0;
   std::uint64_t last_renewal_ = 0;
-  /// The renewal whose answer was passed on last.
+  /// Number of the renewal whose answer was last passed to `on_assigned_`.
   std::uint64_t assigned_by_ = 0;
   std::uint64_t generation_ = 0;
   core::time_point renewed_at_;
@@ -404,17 +407,18 @@
   bool is_in_flight_ = false;
   bool has_left_ = false;
   bool is_checking_ = false;
-  /// Since when it looks at the others because its membership has run out.
+  /// When the checks before rejoining started; unset if none are running.
   core::time_point checking_since_;
-  /// To join again; logged once.
+  /// The decision to rejoin has been made, and logged once.
   bool has_decided_to_rejoin_ = false;
-  /// After its membership had run out it saw that it is needed.
+  /// After the membership expired, a check found that this member is needed.
   bool has_checked_ = false;
-  /// After its membership had run out it saw that it isn't needed.
+  /// After the membership expired, a check found that this member is not
+  /// needed.
   bool is_standby_ = false;
-  /// It saw that it is needed again, and gave others the time to join.
+  /// The member is needed again, and the rejoin delay has started.
   bool has_waited_jitter_ = false;
-  /// Of a reserve.
+  /// State of a reserve.
   bool is_member_ = false;
   bool is_below_minimum_ = false;
   bool is_withdrawing_ = false;
--- a/src/jobs/group_member.h
+++ b/src/jobs/group_member.h
@@ -17,7 +17,7 @@
 
 namespace plantainhead::jobs {
 
-/// Whether a process owns pools whenever it runs.
+/// Determines when a process joins the group that owns the pools.
 enum class member_role {
   kRegular,
   /// Joins only while there are too few regular members.
@@ -27,69 +27,75 @@
 struct member_settings {
   std::string group = "plantain";
   member_role role = member_role::kRegular;
-  /// Its partitions are dealt to the members; nothing is written there.
+  /// Topic whose partitions the store assigns to the members; no records are
+  /// written to it.
   std::string topic = "plantain-owners";
-  /// A member that is silent for this time loses its partitions. The store
-  /// allows no less than 1 s. An owner that dies costs its pool this time, and
-  /// one that can't reach the store for a shorter time costs nothing.
+  /// A member that does not renew for this time loses its partitions. The store
+  /// allows no less than 1 s. The crash of an owner leaves its pool without an
+  /// owner for this time; a shorter outage of the store has no effect.
   std::chrono::milliseconds time_to_live = std::chrono::milliseconds(2400);
-  /// A member learns at its next renewal that it was dealt the pool of one that
-  /// has left, so that this is what a handover takes at most, beside 50 ms. The
-  /// store counts a renewal as a tenth of a call.
+  /// Interval between renewals. A member learns at its next renewal that it was
+  /// assigned the partition of a member that has left, so a handover takes at
+  /// most this long plus 50 ms. The store charges a renewal as a tenth of a
+  /// call.
   std::chrono::milliseconds renewal = std::chrono::milliseconds(300);
-  /// Of a look at the members, and of leaving.
+  /// Timeout of requests for the member list and of leaving.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(1200);
-  /// A renewal without an answer for this time is followed by another one. Its
-  /// own answer counts all the same, up to the time to live after it was sent:
-  /// over a full link each answer is late.
+  /// A renewal without an answer for this time is followed by another one. A
+  /// late answer still counts until the time to live after its renewal was
+  /// sent: over a saturated link every answer is late.
   std::chrono::milliseconds late_threshold = std::chrono::milliseconds(500);
-  /// A process that starts beside at least this many regular members doesn't
-  /// join, unless there are more partitions with pools: each join deals
-  /// partitions anew, and a pool whose owner changes starts nothing for about
-  /// half a second. In a rolling restart of nine processes that would happen
-  /// nine times more, and twice as many pools would change their owner.
+  /// A process that starts while there are at least this many regular members
+  /// does not join, unless there are more partitions with pools: each join
+  /// reassigns partitions, and a pool whose owner changes starts no tasks for
+  /// about half a second. In a rolling restart of nine processes this would
+  /// cause nine more reassignments, and twice as many pools would change their
+  /// owner.
   std::size_t sufficient_members = 4;
-  /// A reserve joins when there are fewer regular members than this, and then
-  /// only while all members together are fewer than enough. Regular members
-  /// with half a core use a fifth of it at most where 350 VMs are shared by
-  /// six, so that few can do the work of many, and 30 reserves that joined
-  /// together dealt a pool anew four times in 3 s.
+  /// A reserve joins when there are fewer regular members than this, and only
+  /// while there are fewer members in total than are sufficient. Where six
+  /// regular members with half a core each share 350 VMs, they use at most a
+  /// fifth of it, so few can do the work of many. 30 reserves that joined
+  /// together caused a pool to be reassigned four times in 3 s.
   std::size_t min_regular_members = 2;
-  /// A member whose membership has run out, because it was cut off or frozen,
-  /// joins again only while there are fewer regular members than partitions
-  /// with pools and this many for each of them. Its partitions have owners by
-  /// then; were all dealt anew, pools of sound owners would change hands
-  /// together.
+  /// A member whose membership has expired, because it was disconnected or
+  /// suspended, rejoins only while the number of regular members is below the
+  /// number of partitions with pools times one plus this ratio. Its partitions
+  /// have other owners by then; a reassignment of all partitions would move the
+  /// pools of healthy owners at the same time.
   double spare_member_ratio = 0.5;
-  /// Those that stay outside join at different moments in this time when a
-  /// member goes, so that no more do than are needed.
+  /// When a member disappears, the members on standby rejoin at different
+  /// moments within this time, so that no more join than are needed.
   std::chrono::milliseconds rejoin_jitter = std::chrono::milliseconds(1000);
-  /// Time between two looks at whether there are still enough.
+  /// Interval between two checks of whether there are enough members.
   std::chrono::milliseconds check_interval = std::chrono::milliseconds(500);
-  /// The same of a reserve. It joins when two looks in a row have shown too few
-  /// regular members: when all processes start together the first shows none.
+  /// Check interval of a reserve. A reserve joins when two consecutive checks
+  /// find too few regular members: when all processes start together, the first
+  /// check finds none.
   std::chrono::milliseconds reserve_check_interval = std::chrono::seconds(1);
-  /// After this time a reserve that isn't needed any more leaves the group,
-  /// also when its owners haven't recorded their ends by then.
+  /// After this time a reserve that is no longer needed leaves the group, even
+  /// if its owners have not recorded their releases by then.
   std::chrono::milliseconds withdraw_timeout = std::chrono::milliseconds(1500);
 };
 
-/// Returns the processes that are members, whatever their roles.
+/// Returns the names of the processes that are members, whatever their roles.
 /// Thread safety: safe from any thread.
 std::set<std::string> ProcessesOf(const std::set<std::string>& members);
 
-/// Membership in the store's group, which deals the partitions evenly, whatever
-/// its members can do. An owner of a large pool starts several hundred tasks a
-/// second, for which an eighth of a core isn't enough; so processes with little
-/// processor time are reserves. Not thread-safe.
+/// Maintains the membership of this process in the store's group, which assigns
+/// the partitions evenly regardless of the capacity of the members. An owner of
+/// a large pool starts several hundred tasks per second, for which an eighth of
+/// a core is not enough; processes with little CPU are therefore reserves. Not
+/// thread-safe.
 class group_member {
  public:
   using change_handler =
       std::function<void(std::uint64_t generation,
                          const std::set<std::uint32_t>& partitions)>;
 
-  /// `member` names the process; it is the same after a restart. `on_assigned`
-  /// is called after each renewal.
+  /// `member` identifies the process across restarts. `on_assigned` is called
+  /// after each answered renewal, and with no partitions when the member
+  /// withdraws or enters standby.
   group_member(boost::asio::io_context* context,
                adapter::store_client* store,
                const member_settings& settings,
@@ -100,17 +106,18 @@
   ~group_member();
 
   void Start();
-  /// Sets how many partitions have pools: so many members are enough, if it is
-  /// more than the settings say. Each then has one, and more would have none.
+  /// Sets the number of partitions with pools: so many members are sufficient
+  /// if this exceeds `sufficient_members`. Each of them then has one partition,
+  /// and further members would have none.
   void SetUsedPartitions(std::size_t count);
-  /// Renews now and not only when it is due.
+  /// Renews immediately instead of waiting for the next interval.
   void RenewNow();
-  /// Gives the partitions back and renews no more.
+  /// Gives up the partitions and stops renewing, then calls `on_left`.
   void Leave(const std::function<void()>& on_left);
 
-  /// When the last renewal that was answered was sent, by `BootTime`.
+  /// Returns when the last renewal that was answered was sent, by `BootTime`.
   core::time_point RenewedAt() const;
-  /// When the store last answered a call of this member, by `BootTime`.
+  /// Returns when the store last answered a call of this member, by `BootTime`.
   core::time_point AnsweredAt() const;
 
  private:
--- a/src/jobs/ownership.cc
+++ b/src/jobs/ownership.cc
@@ -59,7 +59,7 @@
   }
 
   void OnConfiguration() {
-    // The fleet's comes on top.
+    // The fleet partition counts as one more.
     deps_.member->SetUsedPartitions(PartitionsWithPools().size() + 1);
     for (auto& [partition, owner] : owners_) {
       owner->OnConfiguration();
@@ -112,12 +112,12 @@
     return is_active ? found->second->epoch() : 0;
   }
 
-  // A member that hasn't renewed for its time to live may have lost its
-  // partitions, also when it was suspended meanwhile and hasn't noticed. If it
-  // went on, it could start a task on a VM that the new owner can't reach,
-  // after that has waited for the last lease there to end.
-  // The same holds for one that doesn't know the newest configuration: that may
-  // have changed who is dealt what.
+  // A member that has not renewed within its time to live may have lost its
+  // partitions, even if it was suspended meanwhile and has not noticed. If it
+  // continued, it could start a task on a VM that the new owner cannot reach,
+  // after the new owner has waited for the last lease there to end. The same
+  // holds for a member that does not know the newest configuration, which may
+  // have changed the assignment.
   bool IsOwnershipConfirmed() const {
     const core::time_point known_at =
         std::min(deps_.member->RenewedAt(), deps_.world->ConfigurationReadAt());
@@ -132,7 +132,7 @@
   }
 
  private:
-  // An earlier owner's announcement may be stored after this one's; see
+  // An earlier owner's announcement may be stored after this one; see
   // `OnAnnouncement`.
   void Announce(std::uint32_t partition, std::uint64_t epoch) {
     if (!deps_.peer_address.empty()) {
@@ -141,11 +141,12 @@
     }
   }
 
-  // The partitions with pools, in the order of the pools' names. The group
-  // deals its partitions to the members in turn, so that neighbours go to
-  // different members: who is dealt the one of this place owns the pools. With
-  // the partitions' own numbers, which follow from the pools' names, one member
-  // got two large pools beside others that got none.
+  // Returns the partitions with pools, ordered by pool name. The group assigns
+  // its partitions to the members in turn, so adjacent ones go to different
+  // members: the member that is assigned the group partition with the index of
+  // an element owns that element's pools. With the partitions' own numbers,
+  // which are derived from the pool names, one member got two large pools while
+  // others got none.
   std::vector<std::uint32_t> PartitionsWithPools() const {
     std::vector<std::uint32_t> partitions;
     for (const core::jobs::pool_id& pool :
@@ -176,7 +177,7 @@
       }
     }
     StopOtherOwners(wanted);
-    // New owners read what the world follows from then on.
+    // New owners read what `job_world` follows from now on.
     deps_.world->SetOwned({wanted.begin(), wanted.end()});
     for (const std::uint32_t partition : wanted) {
       if (owners_.count(partition) == 0) {
@@ -196,13 +197,13 @@
                {{"partition", std::to_string(it->first)},
                 {"epoch", std::to_string(it->second->epoch())},
                 {"generation", std::to_string(generation_)},
-                {"reason", "dealt to another member"}});
+                {"reason", "assigned to another group member"}});
       ReleaseOwner(std::move(it->second));
       it = owners_.erase(it);
     }
   }
 
-  // The records of the end of an ownership let the next owner begin at once.
+  // The release records let the next owner start immediately.
   void ReleaseOwner(std::unique_ptr<pool_owner> owner) {
     const std::shared_ptr<pool_owner> leaving = std::move(owner);
     leaving->Release([self = weak_from_this(), leaving] {
@@ -229,8 +230,8 @@
         const auto held = self.lock();
         if (held && !held->is_releasing_) {
           held->owners_.erase(partition);
-          // Tells whether the partition is still this member's; if it is, it is
-          // claimed again.
+          // The renewal shows whether the partition still belongs to this
+          // member; if so, it is claimed again.
           held->deps_.member->RenewNow();
         }
       });
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -23,10 +23,11 @@
 
 namespace plantainhead::jobs {
 
-/// What a process owns: of the partitions that the group deals to it, those
-/// with pools, and the fleet's. Begins and ends the owners as that changes. The
-/// owners live no longer than this object, but for the records of their ends.
-/// Not thread-safe: used from the thread of its `io_context` only.
+/// Starts and stops the pool owners and the fleet owner of this process as the
+/// group assigns it partitions. Owns only those assigned partitions that have
+/// pools, and the fleet. The owners live no longer than this object, except to
+/// record their releases. Not thread-safe: used from the thread of its
+/// `io_context` only.
 class ownership {
  public:
   struct dependencies {
@@ -35,14 +36,15 @@
     job_world* world = nullptr;
     job_archiver* archiver = nullptr;
     job_meters* meters = nullptr;
-    /// Deals the partitions.
+    /// Supplies the assignment of partitions.
     group_member* member = nullptr;
     std::string member_name;
-    /// Where other processes ask for what it owns; empty: nowhere.
+    /// Address at which other processes reach this one for what it owns; empty
+    /// if there is none.
     std::string peer_address;
-    /// Names the process towards the fleet.
+    /// Identifies the process to the fleet platform.
     std::string holder;
-    /// Time to live of the member.
+    /// Time to live of the group membership.
     std::chrono::milliseconds time_to_live{};
   };
 
@@ -53,30 +55,33 @@
   ownership& operator=(const ownership&) = delete;
   ~ownership();
 
-  /// Takes what the group has dealt to this process, at a renewal.
+  /// Applies the partitions that the group has assigned to this process at a
+  /// renewal.
   void OnAssignment(std::uint64_t generation,
                     const std::set<std::uint32_t>& partitions);
-  /// Ends all ownerships and begins none any more. Calls `on_released` once the
-  /// pools' ends are recorded.
+  /// Releases all ownerships and acquires no new ones. Calls `on_released` once
+  /// the releases of the pools are recorded.
   void Release(const std::function<void()>& on_released);
 
-  // What the world tells.
+  // Events of `job_world`.
   void OnJob(const std::shared_ptr<const core::jobs::job_spec>& job);
   void OnCancel(const core::jobs::job_id& job);
   void OnConfiguration();
-  /// Entries of these VMs in the registry have changed or gone.
+  /// The registry entries of these VMs have changed or were removed.
   void OnRegistry(const std::set<core::jobs::vm_id>& changed);
   void OnReport(const core::jobs::vm_id& vm, core::time_point trusted_until);
-  /// Records of the fleet under these keys have changed or gone.
+  /// The fleet records under these keys have changed or were removed.
   void OnFleetRecords(const std::set<std::string>& keys);
   void OnAnnouncement(const peers::owner_announcement& announcement);
 
-  /// Returns the epoch under which the partition's pools are scheduled here; 0
-  /// before the takeover is over, and once a newer owner was met.
+  /// Returns the epoch under which this process schedules the pools of the
+  /// partition; 0 before the takeover has completed, and after a newer owner
+  /// was found.
   std::uint64_t EpochOf(std::uint32_t pool_partition) const;
-  /// Returns whether the ownerships surely haven't passed on.
+  /// Returns whether the ownerships certainly have not passed to other
+  /// processes.
   bool IsOwnershipConfirmed() const;
-  /// Returns the counts of each pool partition that is owned.
+  /// Returns the scheduler counts of each pool partition that is owned.
   std::map<std::uint32_t, core::jobs::scheduler_counts> Counts() const;
   /// Returns the pool partitions that are owned or being taken over.
   std::vector<held_partition> HeldPartitions() const;
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -40,7 +40,7 @@
     if (size != pool_sizings_.end()) {
       size->second.arrivals.RecordArrival(*job, BootTime(), age);
     }
-    // Pages of the newest records may show a cancellation before its job.
+    // A page of newest records may contain a cancellation before its job.
     const core::jobs::directory_entry* entry =
         deps_.world->directory().Find(job->id);
     if (entry != nullptr && entry->is_cancelled) {
@@ -104,7 +104,7 @@
          deps_.world->routes().configuration().routes) {
       scheduler_->SetPolicy(route.queue, route.policy);
     }
-    // It may name pools that it didn't before.
+    // The configuration may name pools that it did not name before.
     LoadRegistry();
   }
 }
@@ -122,7 +122,7 @@
       });
 }
 
-// Plans soon; several events in a row lead to one plan.
+// Schedules one plan; events that arrive before it runs share it.
 void pool_owner::impl::SchedulePlan() {
   if (is_plan_scheduled_) {
     return;
@@ -147,7 +147,7 @@
     return;
   }
   if (scheduler_->IsFenced()) {
-    LoseOwnership("a VM is held by a newer owner");
+    LoseOwnership("a VM is held by an owner with a newer epoch");
     return;
   }
   {
@@ -179,8 +179,8 @@
   }
 }
 
-// An owner that isn't sure gives no orders and holds no VM, so that what runs
-// there lapses.
+// An owner whose ownership is not confirmed sends no orders and holds no VM, so
+// that the tasks running there lapse with their lease.
 void pool_owner::impl::LogOwnershipConfirmation(bool is_ownership_confirmed) {
   if (is_ownership_confirmed != was_confirmed_) {
     was_confirmed_ = is_ownership_confirmed;
@@ -192,7 +192,7 @@
 }
 
 // Until a takeover is settled, tasks that an earlier owner may have started
-// wait, however much room there is.
+// wait, regardless of free capacity.
 void pool_owner::impl::LogTakeoverWait(core::time_point now) {
   if (is_takeover_settled_) {
     return;
@@ -218,8 +218,8 @@
             {"last_vm", last_wait_.vm}});
 }
 
-// Tasks that could start are late while it isn't known what was cancelled, so
-// that there is a line on each such time.
+// While it is unknown which jobs were cancelled, tasks that could start are
+// delayed; each such period is logged.
 void pool_owner::impl::NoteCancellationsRead(core::time_point now) {
   const core::duration age = deps_.world->WatchedJobCopyAge();
   scheduler_->NoteCancellationsRead(now - age);
@@ -255,7 +255,7 @@
     for (const auto& [id, progress] : batch->jobs) {
       records.push_back(Encode(progress_record{id, progress}));
     }
-    // In this order: a VM that is used again was dropped before.
+    // Removals come first: a VM that is used again was removed before.
     for (const vm_id& vm : batch->dropped_vms) {
       records.push_back(Encode(vm_record{vm, "", true}));
     }
@@ -283,7 +283,7 @@
     progress_writer::result result) {
   const auto progress = Meter(loop_work::kProgress);
   if (result != progress_writer::result::kStored) {
-    LoseOwnership("the store has a newer owner");
+    LoseOwnership("the store contains a claim of a newer owner");
     return;
   }
   OnVacanciesStored();
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -24,52 +24,55 @@
 struct owner_settings {
   core::jobs::scheduler_settings scheduler;
   writer_settings writer;
-  /// For a VM's answer to an order. VMs answer within milliseconds.
+  /// Timeout of an order to a VM. VMs normally answer within milliseconds.
   std::chrono::milliseconds order_timeout = std::chrono::milliseconds(700);
-  /// For a VM's answer to a hold, beyond the hold's wait.
+  /// Timeout of a hold request, in addition to the hold's own wait.
   std::chrono::milliseconds hold_timeout = std::chrono::milliseconds(700);
-  /// And its answer is used up to this much later: it may tell of ends that the
-  /// VM need not tell again. A link that is full delays answers by seconds.
+  /// How much longer a late answer to a hold is still processed: it may report
+  /// task ends that the VM does not report again. A saturated link delays
+  /// answers by seconds.
   std::chrono::milliseconds late_hold_timeout = std::chrono::milliseconds(3000);
-  /// Pause after a hold without an answer.
+  /// Delay before the next hold after one without an answer.
   std::chrono::milliseconds hold_retry_delay = std::chrono::milliseconds(250);
-  /// Least time between two holds of a VM.
+  /// Minimum interval between two holds of a VM.
   std::chrono::milliseconds min_hold_interval = std::chrono::milliseconds(20);
-  /// The same after a listing with ends: by then their record is stored, and
-  /// the next hold acknowledges them. Until that is so a VM answers at once.
+  /// Minimum interval after a listing that reports ended tasks: by then their
+  /// record is stored, and the next hold acknowledges them. Until they are
+  /// acknowledged, the VM answers holds immediately.
   std::chrono::milliseconds min_ack_interval = std::chrono::milliseconds(45);
-  /// Least time between two plans. Each looks through all VMs and open jobs; on
-  /// an eighth of a core with 85 VMs one takes some ms.
+  /// Minimum interval between two plans. Each plan visits all VMs and open
+  /// jobs; with 85 VMs on an eighth of a core it takes several milliseconds.
   std::chrono::milliseconds min_plan_interval = std::chrono::milliseconds(5);
-  /// The same, as a multiple of the time that the last one took: where plans
-  /// are long, answers of VMs and renewals must be taken between them.
+  /// Minimum interval between two plans as a multiple of the duration of the
+  /// last one: where plans take long, answers of VMs and renewals must be
+  /// processed between them.
   int plan_interval_factor = 3;
-  /// Time between two looks at what is due.
+  /// Interval between two checks for work that is due.
   std::chrono::milliseconds tick = std::chrono::milliseconds(100);
   core::jobs::sizer_settings sizer;
   core::jobs::arrival_rate_settings arrivals;
-  /// Least time between two records of how many VMs a pool wants.
+  /// Minimum interval between two records of how many VMs a pool wants.
   std::chrono::milliseconds min_wanted_interval =
       std::chrono::milliseconds(150);
   core::jobs::vacancy_manager_settings vacancies;
-  /// Pause before a takeover that failed is tried again.
+  /// Delay before a failed takeover is retried.
   std::chrono::milliseconds takeover_retry_delay =
       std::chrono::milliseconds(150);
-  /// Time to live of a member, within which an owner that can't renew it works
-  /// on. A new owner waits as long, and a lease more, before it takes the tasks
-  /// of a VM that it can't reach for lost.
+  /// Time to live of a group member, within which an owner that cannot renew
+  /// its membership continues to work. A new owner waits for this time plus one
+  /// lease before it treats the tasks of an unreachable VM as lost.
   std::chrono::milliseconds time_to_live = std::chrono::milliseconds(2400);
-  /// How long the end of an ownership waits for a batch that is under way, and
-  /// how often it looks. Longer than an append takes when the store is slow.
+  /// How long a release waits for a batch that is being written, and how often
+  /// it checks. The timeout exceeds the duration of an append to a slow store.
   std::chrono::milliseconds release_timeout = std::chrono::milliseconds(1500);
   std::chrono::milliseconds release_poll_interval =
       std::chrono::milliseconds(10);
-  /// For the store's answer to who owns what.
+  /// Timeout of the request for the members of the group.
   std::chrono::milliseconds members_timeout = std::chrono::milliseconds(900);
 };
 
-/// Takes a partition of pools over and schedules their jobs, until it is
-/// destroyed or meets a newer owner. Not thread-safe.
+/// Owns one partition of pools: takes it over and schedules its jobs until it
+/// is destroyed or finds a newer owner. Not thread-safe.
 class pool_owner {
  public:
   struct dependencies {
@@ -79,11 +82,13 @@
     job_archiver* archiver = nullptr;
     job_meters* meters = nullptr;
     std::string member;
-    /// Whether the ownership surely hasn't passed on.
+    /// Returns whether the ownership certainly has not passed to another
+    /// process.
     std::function<bool()> is_ownership_confirmed;
-    /// The takeover under this epoch is over.
+    /// Called when the takeover under this epoch has completed.
     std::function<void(std::uint64_t epoch)> on_active;
-    /// A newer owner was met; destroys this object later.
+    /// Called when a newer owner was found. The callee must defer the
+    /// destruction of this object.
     std::function<void()> on_fenced;
   };
 
@@ -94,9 +99,11 @@
   pool_owner& operator=(const pool_owner&) = delete;
   ~pool_owner();
 
-  /// Begins to take over. `generation` is the group's; the epoch is no lower.
+  /// Starts the takeover. `generation` is that of the group; the epoch is at
+  /// least as high.
   void Start(std::uint64_t generation);
-  /// Stops giving orders, and records that it has.
+  /// Stops sending orders and records that in the store, then calls
+  /// `on_released`.
   void Release(const std::function<void()>& on_released);
 
   bool IsActive() const;
@@ -105,12 +112,12 @@
 
   void OnJob(const std::shared_ptr<const core::jobs::job_spec>& job);
   void OnCancel(const core::jobs::job_id& job);
-  /// Entries of these VMs in the registry have changed or gone.
+  /// The registry entries of these VMs have changed or were removed.
   void OnRegistry(const std::set<core::jobs::vm_id>& changed);
   /// The VM has reported its capacity; see `report_validity`.
   void OnReport(const core::jobs::vm_id& vm, core::time_point trusted_until);
   void OnConfiguration();
-  /// Records of the fleet under these keys have changed or gone.
+  /// The fleet records under these keys have changed or were removed.
   void OnFleetRecords(const std::set<std::string>& keys);
 
  private:
--- a/src/jobs/pool_owner_fleet.cc
+++ b/src/jobs/pool_owner_fleet.cc
@@ -58,8 +58,8 @@
   }
 }
 
-// Tells the owner of the fleet how many VMs each pool wants, and gives away
-// those that it can do without.
+// Publishes how many VMs each pool wants to the fleet owner, and offers the VMs
+// that a pool does not need.
 void pool_owner::impl::SizePools() {
   if (!scheduler_) {
     return;
@@ -142,12 +142,12 @@
   }
 }
 
-// Returns records of the VMs that were found vacant, and drops those of VMs
-// whose lives have been over for a while.
+// Returns records of the VMs that were found vacant, and the removals for VMs
+// whose lives ended a while ago.
 std::vector<adapter::keyed_record> pool_owner::impl::TakeVacancyRecords() {
   const core::jobs::vacancy_batch batch =
       vacancy_manager_.TakeBatch(BootTime());
-  // Those that are dropped are used again if they come back.
+  // Removed VMs are used again if they return.
   CloseVms();
   std::vector<adapter::keyed_record> records;
   for (const vm_id& vm : batch.vacant) {
@@ -173,7 +173,7 @@
   }
 }
 
-// Tells the owner of the fleet which VMs are vacant.
+// Publishes to the fleet owner which VMs are vacant.
 void pool_owner::impl::PublishVacantVms() {
   for (const core::jobs::vacant_vm& vacant :
        vacancy_manager_.TakeHints(BootTime())) {
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -26,10 +26,11 @@
 
 namespace plantainhead::jobs {
 
-/// The state of a `pool_owner`. Four files share it: how the partition is taken
-/// over and handed on (`pool_owner_takeover.cc`), calls to VMs
-/// (`pool_owner_vms.cc`), what is agreed with the fleet's owner
-/// (`pool_owner_fleet.cc`), and the work between them (`pool_owner.cc`).
+/// Implementation of `pool_owner`, split over four files: takeover and release
+/// of the partition (`pool_owner_takeover.cc`), calls to VMs
+/// (`pool_owner_vms.cc`), coordination with the fleet owner
+/// (`pool_owner_fleet.cc`), and planning and progress records
+/// (`pool_owner.cc`).
 class pool_owner::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(dependencies dependencies,
@@ -45,9 +46,9 @@
         vacancy_manager_(settings.vacancies) {}
   void Start(std::uint64_t generation);
   void Close();
-  // The record of the end lets the next owner begin without waiting for this
-  // one's time to live, and tells it how long each lease runs. So a batch that
-  // is under way is waited for.
+  // Waits for a batch that is being written, then records the release. The
+  // record lets the next owner start without waiting for this member's time to
+  // live, and states the remaining time of each lease.
   void Release(const std::function<void()>& on_released);
   bool is_active() const { return scheduler_ != nullptr; }
   std::uint64_t epoch() const { return epoch_; }
@@ -84,7 +85,7 @@
   core::jobs::takeover_bounds MakeBounds() const;
   void Activate();
 
-  // Work.
+  // Planning and progress records.
   work_meter::scope Meter(loop_work kind) {
     return {&deps_.meters->work(), kind};
   }
@@ -102,12 +103,12 @@
   static void LogLines(const std::vector<gathered_line>& lines);
 
   // VMs.
-  /// Takes over all VMs of the registry.
+  /// Passes all usable VMs of the registry to the scheduler.
   void LoadRegistry();
-  /// Takes over what has changed of the VMs that need a hold.
+  /// Updates the links for the VMs that the scheduler reports as changed.
   void SyncLinks();
   void SyncLink(const core::jobs::vm_description& vm);
-  /// Sees to it that the VM is closed if it has to be.
+  /// Closes or opens the VM in the scheduler as the vacancy manager requires.
   void SyncClosed(const core::jobs::vm_id& vm);
   std::shared_ptr<vm_link> FindLink(const core::jobs::vm_id& vm);
   void ScheduleHold(const core::jobs::vm_id& vm,
@@ -118,11 +119,12 @@
                     const std::shared_ptr<vm_link>& link,
                     core::time_point sent_at,
                     const adapter::hold_reply& reply);
-  /// Logs a VM that is heard again, or for the first time in its life.
+  /// Updates the link after a listing. Logs a VM that responds again, or for
+  /// the first time in its incarnation.
   void OnVmResponse(const core::jobs::vm_id& vm,
                     vm_link* link,
                     const core::jobs::vm_incarnation& incarnation);
-  /// How long to wait before the next hold of a VM that listed this.
+  /// Returns the delay before the next hold of a VM that returned this listing.
   std::chrono::milliseconds NextHoldDelay(
       const core::jobs::run_listing& listing) const;
   void LogLosses();
@@ -130,16 +132,17 @@
                   const std::shared_ptr<vm_link>& link,
                   const core::jobs::run_listing& listing);
   void Send(const core::jobs::start_order& order);
-  /// Returns what tells whether a start of a task of the job may still be sent.
+  /// Returns a predicate that tells whether a start of a task of the job may
+  /// still be sent.
   std::function<bool()> MakeStartCheck(const core::jobs::job_id& job);
   void NoteStart(const core::jobs::run_ref& target,
                  core::jobs::start_result result);
   void Send(const core::jobs::stop_order& order);
   void Send(const core::jobs::pace_order& order);
 
-  // Fleet.
+  // Coordination with the fleet owner.
   void ApplyFleetRecord(const std::string& key);
-  /// Closes and opens VMs as the vacancies have changed.
+  /// Closes and opens the VMs whose vacancy state has changed.
   void CloseVms();
   void SizePools();
   bool Resize(const core::jobs::pool_id& pool,
@@ -167,7 +170,7 @@
   line_gatherer lines_;
   std::uint64_t generation_ = 0;
   std::uint64_t epoch_ = 0;
-  /// Who owned before, and how it left.
+  /// The previous owner record of the partition.
   owner_record predecessor_;
   bool may_predecessor_be_active_ = false;
   std::string group_ = member_settings().group;
@@ -180,7 +183,7 @@
   bool was_confirmed_ = true;
   bool is_takeover_settled_ = false;
   std::optional<core::jobs::takeover_wait> first_wait_;
-  /// As of the last plan that waited for a VM.
+  /// State of the takeover wait at the last plan that waited for a VM.
   core::jobs::takeover_wait last_wait_;
   core::duration plan_time_{};
   core::time_point assigned_at_;
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Clocks that differ by 2% make a lease last longer; see `vm_state::Grant`.
+// A clock that runs 2% slower makes a lease last longer; see `vm_state::Grant`.
 constexpr double kMinClockRate = 0.975;
 
 }  // namespace
@@ -25,9 +25,9 @@
   ReadBeforeClaim();
 }
 
-// The record of the end lets the next owner begin without waiting for this
-// one's time to live, and tells it how long each lease runs. So a batch that
-// is under way is waited for.
+// Waits for a batch that is being written, then records the release. The record
+// lets the next owner start without waiting for this member's time to live, and
+// states the remaining time of each lease.
 void pool_owner::impl::Release(const std::function<void()>& on_released) {
   if (!is_claimed_ || is_closed_) {
     Close();
@@ -102,17 +102,17 @@
         if (is_read) {
           owner->Claim();
         } else {
-          owner->LogTakeoverFailed("the partition couldn't be read");
+          owner->LogTakeoverFailed("the partition could not be read");
           owner->RetryClaim();
         }
       });
 }
 
-// A member whose time to live has passed, and that hasn't noticed, would take
-// the pool from its new owner, who works.
+// A member whose time to live has passed without its noticing would otherwise
+// take the pool from its new, working owner.
 void pool_owner::impl::Claim() {
   if (!deps_.is_ownership_confirmed()) {
-    LogTakeoverFailed("the membership has run out");
+    LogTakeoverFailed("the group membership has expired");
     RetryClaim();
     return;
   }
@@ -132,9 +132,10 @@
 
 void pool_owner::impl::OnClaimAnswer(progress_writer::result result) {
   if (result != progress_writer::result::kStored) {
-    LogTakeoverFailed(result == progress_writer::result::kFenced
-                          ? "a newer owner has written"
-                          : "the partition was written to meanwhile");
+    LogTakeoverFailed(
+        result == progress_writer::result::kFenced
+            ? "a newer owner has claimed the partition"
+            : "another process has written to the partition since it was read");
     RetryClaim();
     return;
   }
@@ -142,9 +143,10 @@
   VerifyClaim();
 }
 
-// Two processes that read the partition at the same time claim it under one
-// epoch. The store takes the second claim for the first one, repeated, and
-// answers it alike: only the record tells whose it was.
+// Two processes that read the partition at the same time claim it under the
+// same epoch. The store treats the second claim as a repetition of the first
+// and answers both alike, so only the stored record shows whose claim was
+// accepted.
 void pool_owner::impl::VerifyClaim() {
   deps_.world->RefreshProgress(
       partition_, [self = weak_from_this()](bool is_read) {
@@ -159,14 +161,15 @@
         if (owner->is_claimed_) {
           owner->ReadAfterClaim();
         } else {
-          owner->LogTakeoverFailed("the claim wasn't read back");
+          owner->LogTakeoverFailed("the claim could not be read back");
           owner->RetryClaim();
         }
       });
 }
 
-// What an earlier owner may have acted on, it has read from the store. So all
-// that is in the store now must be known before the first order.
+// An earlier owner may have acted on anything that it read from the store.
+// Everything that is in the store now must therefore be known before the first
+// order.
 void pool_owner::impl::ReadAfterClaim() {
   const auto left = std::make_shared<int>(4);
   const auto done = [self = weak_from_this(), left] {
@@ -181,12 +184,12 @@
   CheckPredecessor(done);
 }
 
-// A member that has given up, or an earlier life of this process, gives no
-// more orders; neither does one that the group doesn't know any more, since
-// its time to live has passed. What it started runs on.
+// A member that has released the partition, or an earlier incarnation of this
+// process, sends no more orders. Neither does a member that the group no longer
+// lists, as its time to live has passed. Tasks that it started continue to run.
 void pool_owner::impl::CheckPredecessor(const std::function<void()>& done) {
   const std::string& member = predecessor_.member;
-  // Of an owner that nobody can name it can't be known whether it is gone.
+  // It cannot be determined whether an unknown owner is gone.
   may_predecessor_be_active_ = predecessor_.is_unreadable;
   if (predecessor_.is_unreadable || predecessor_.epoch == 0 || member.empty() ||
       member == deps_.member) {
@@ -201,9 +204,9 @@
         if (!owner || owner->is_closed_) {
           return;
         }
-        // With fewer members than partitions each member holds one, so that
-        // one that holds none has left or has expired. A partition without a
-        // member may still be on its way from one to another.
+        // With fewer members than partitions each member has at least one
+        // partition, so a member without one has left or expired. A partition
+        // without a member may still be moving from one member to another.
         const bool is_gone =
             reply.is_read && reply.unowned == 0 &&
             reply.members.size() < kPoolPartitions &&
@@ -213,9 +216,10 @@
       });
 }
 
-// In a rolling restart owners follow one another before any has begun to work.
-// Each hands on what it knows of the leases; if the wait for silent VMs began
-// anew with each of them, the pool would start nothing until the last one.
+// In a rolling restart several owners may follow one another before any of them
+// has completed its takeover. Each passes on what it knows of the leases; if
+// the wait for silent VMs restarted with each of them, the pool would start no
+// tasks until the last one.
 std::map<core::jobs::vm_id, core::time_point>
 pool_owner::impl::InheritedLeaseEnds() const {
   const core::jobs::takeover_bounds bounds = MakeBounds();
@@ -264,8 +268,8 @@
       continue;
     }
     ++open;
-    // An earlier owner may have read all that was stored by the claim, so
-    // that none of these jobs counts as fresh.
+    // An earlier owner may have read everything that was stored before the
+    // claim, so none of these jobs is treated as fresh.
     scheduler_->AddJob(entry.spec, deps_.world->PolicyOf(entry.queue),
                        claimed_at_,
                        core::jobs::AgeOf(*entry.spec, wall_claimed_at));
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-// How metrics and logs call what VMs answer.
+// Name of VM answers in metrics and logs.
 constexpr const char* kVmListing = "vm listing";
 
 }  // namespace
@@ -47,7 +47,7 @@
     link->known_at = BootTime();
     links_[vm.id] = link;
   } catch (const std::invalid_argument& error) {
-    // The place of its record in the partition, too, was unreadable.
+    // The VM's record in the partition was unreadable, too.
     deps_.world->faults().Note(
         adapter::kRegistryTopic, vm.id,
         {core::jobs::fault_kind::kOutOfRange, error.what()});
@@ -108,7 +108,7 @@
   link->client.Hold(
       scheduler_->NextHold(vm, sent_at), epoch_, settings_.hold_timeout, late,
       [link, take, is_late](const adapter::hold_reply& reply) {
-        // Another hold may be under way by now.
+        // Another hold may be in flight by now.
         link->is_holding = link->is_holding && *is_late;
         if (!*is_late || reply.outcome != hold_outcome::kUnanswered) {
           take(reply);
@@ -116,9 +116,10 @@
       });
 }
 
-// A VM tells of a job that hasn't been read. Until all jobs of that time have
-// been, neither the task's end can be acknowledged nor the run be stopped, and
-// partitions that aren't watched are read up to 10 s late.
+// A VM lists a task of a job that has not been read. Until all jobs stored by
+// that time have been read, the end of the task cannot be acknowledged and its
+// run cannot be stopped; partitions that are not watched are read up to 10 s
+// late.
 void pool_owner::impl::ReadUnknownJobs() {
   if (is_reading_jobs_) {
     return;
@@ -164,7 +165,7 @@
       return;
     case hold_outcome::kReplaced:
       lines_.AddVm(job_event::kVmLost, vm,
-                   {{"reason", "another life of it answered"}}, now);
+                   {{"reason", "another incarnation of the VM answered"}}, now);
       scheduler_->OnReplaced(vm, now);
       SchedulePlan();
       return;
@@ -176,7 +177,7 @@
       if (!link->is_lost) {
         link->is_lost = true;
         lines_.AddVm(job_event::kVmLost, vm,
-                     {{"reason", "a hold had no answer"},
+                     {{"reason", "a hold received no valid answer"},
                       {"status", std::to_string(reply.status)}},
                      now);
       }
@@ -200,7 +201,7 @@
   const bool begins_again =
       core::jobs::AreDifferentIncarnations(incarnation, link->incarnation);
   if (link->is_lost || begins_again) {
-    // Not before the line on its loss.
+    // The loss of the VM must be logged before its return.
     LogLines(lines_.TakeAll());
     observe::log_fields fields = {{"vm", vm}};
     if (incarnation) {
@@ -218,8 +219,8 @@
   link->incarnation = incarnation ? incarnation : link->incarnation;
 }
 
-// Ends that aren't acknowledged would be listed again at once, so the next hold
-// waits for their record to be stored.
+// Ends that are not acknowledged would be listed again immediately, so the next
+// hold waits until their record is stored.
 milliseconds pool_owner::impl::NextHoldDelay(
     const core::jobs::run_listing& listing) const {
   const milliseconds gap = listing.ended.empty() ? settings_.min_hold_interval
@@ -229,8 +230,8 @@
   return std::max(gap, delay);
 }
 
-// Which tasks a lost VM had, and which of them it had never listed, is what
-// tells a task that crashes its VMs from those beside it.
+// Which tasks a lost VM had, and which of them it had never listed,
+// distinguishes a task that crashes its VMs from other tasks there.
 void pool_owner::impl::LogLosses() {
   for (const core::jobs::lost_run& lost : scheduler_->TakeLosses()) {
     lines_.AddTask(job_event::kTaskLost, lost.run,
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -27,16 +27,16 @@
 constexpr std::string_view kVmPrefix = "vm/";
 constexpr std::string_view kVacantPrefix = "vacant/";
 constexpr std::string_view kOrderPrefix = "order/";
-// What a record of an order begins with, before the name of its holder.
+// Prefix of the holder's name in the value of an order record.
 constexpr std::string_view kHolderPrefix = "by:";
 constexpr std::string_view kCancelSuffix = "-cancel";
 constexpr const char* kMarkerValue = "1";
-// As many as a submission may have.
+// Equal to the limit of a submission.
 constexpr std::uint32_t kMaxTasksPerStep = 10000;
 constexpr std::int64_t kMaxMicroseconds = adapter::kMostMillis * 1000;
 
-// Names are one or two letters: the bytes of each record are paid for once when
-// it is written and once by every entry that reads it.
+// Field names have one or two letters: the bytes of each record are charged
+// once when it is written and once for every entry process that reads it.
 json ToJson(const step_spec& step) {
   json row = {{"n", step.task_count},
               {"c", step.need.cpu_millis},
@@ -78,7 +78,7 @@
   return rows;
 }
 
-// A field that is missing has its usual value.
+// Returns `default_value` for a missing field.
 template <typename T, typename Read>
 T Optional(const value_reader& field, T default_value, Read read) {
   return field.IsMissing() ? default_value : read(field);
@@ -103,8 +103,8 @@
   return duration(field.Whole(0, kMaxMicroseconds));
 }
 
-// Each number is that of an earlier step: the length of a chain of steps is
-// found by their order.
+// Each number must be that of an earlier step: the computation of the length of
+// a chain of steps relies on their order.
 std::vector<std::uint32_t> ReadDependencies(const value_reader& field,
                                             std::size_t number) {
   if (field.IsMissing()) {
@@ -249,7 +249,8 @@
   return job_record(std::move(submission));
 }
 
-// A mark is there or dropped; nothing else is written for it.
+// A marker is either present with a fixed value or removed; other values are
+// faults.
 std::optional<record_fault> ValidateMarker(
     const std::string& name,
     const adapter::keyed_record& record) {
--- a/src/jobs/record_codec.h
+++ b/src/jobs/record_codec.h
@@ -11,45 +11,45 @@
 #include "plantainhead/core/jobs/record_faults.h"
 #include "platform/store_client.h"
 
-/// The records that this project keeps in the store. Each has a key, and the
-/// store keeps the newest record of each key for good.
+/// Encoding and decoding of the records that this project keeps in the store.
+/// The store retains the newest record of each key indefinitely.
 namespace plantainhead::jobs {
 
-/// A job was accepted. Key: its id.
+/// Submission of an accepted job. Key: the job id.
 struct submission_record {
   core::jobs::job_spec spec;
 };
 
-/// The job was accepted and has ended. Takes the place of its submission.
+/// The final phase of a job. Replaces the job's submission record.
 struct ended_record {
   core::jobs::job_id job;
   core::jobs::job_phase phase = core::jobs::job_phase::kCompleted;
 };
 
-/// A caller cancelled the job. Key: its id and "-cancel".
+/// Cancellation of a job by a caller. Key: the job id followed by "-cancel".
 struct cancel_record {
   core::jobs::job_id job;
 };
 
-/// How far the job is, written by its pool's owner. Key: its id.
+/// Progress of a job, written by the owner of its pool. Key: the job id.
 struct progress_record {
   core::jobs::job_id job;
   core::jobs::job_progress progress;
 };
 
-/// A process has become the owner of the pools of this partition. Key: "owner".
+/// The current owner of the pools of this partition. Key: "owner".
 struct owner_record {
   std::uint64_t epoch = 0;
-  /// Empty: it gives no more orders.
+  /// Empty after a release: the owner sends no more orders.
   std::string member;
-  /// Of an owner that gives no more orders: how long the VMs' leases run yet.
+  /// After a release: the remaining time of the VMs' leases.
   std::map<core::jobs::vm_id, core::duration> leases;
-  /// There is a claim that can't be read: another owner may give orders.
+  /// The claim cannot be decoded, so an unknown owner may be active.
   bool is_unreadable = false;
 };
 
-/// The partition's owner may run tasks on the VM, or does so no more. Key:
-/// "vm/" and its id; dropped when nothing can be running there any more.
+/// A VM on which the partition's owner may run tasks. Key: "vm/" followed by
+/// the VM id; removed when nothing can be running on the VM any more.
 struct vm_record {
   core::jobs::vm_id vm;
   std::string address;
@@ -57,32 +57,33 @@
 };
 
 /// The VM is empty, and no owner of the pool uses it any more. Key: "vacant/"
-/// and the VM; dropped some time after its life.
+/// followed by the VM id; removed some time after the VM's life has ended.
 struct vacancy_record {
   core::jobs::vm_id vm;
   bool is_dropped = false;
 };
 
-/// The fleet's owner is about to give an order for the host, or gave one not
-/// long ago. Key: "order/" and the host; dropped some seconds later.
+/// The fleet owner is about to send an order for the host, or has sent one
+/// recently. Key: "order/" followed by the host id; removed after a few
+/// seconds.
 struct order_record {
   core::jobs::host_id host;
-  /// The process that gives the order; empty when the record doesn't tell.
+  /// The process that sends the order; empty if the record does not state it.
   std::string holder;
   bool is_dropped = false;
 };
 
 using job_record = std::variant<submission_record, ended_record, cancel_record>;
-/// What the key of a record in a pool's partition says it is.
+/// Kind of a record in a pool partition, derived from its key.
 enum class pool_record_kind { kProgress, kOwner, kVm, kVacancy, kOrder };
 
 struct pool_key {
   pool_record_kind kind = pool_record_kind::kProgress;
-  /// Of the job, VM or host; empty for an owner.
+  /// Id of the job, VM or host; empty for an owner.
   std::string name;
 };
 
-/// Returns what the record is of, whatever its value.
+/// Parses the key of a record in a pool partition, regardless of its value.
 pool_key PoolKeyOf(const std::string& key);
 
 using pool_record = std::variant<progress_record,
@@ -100,12 +101,12 @@
 adapter::keyed_record Encode(const vacancy_record& record);
 adapter::keyed_record Encode(const order_record& record);
 
-/// Returns whether the record of a job is, by its key and its size, one of a
-/// submission. Those of ends are shorter than any submission.
+/// Returns whether a record of the job topic is a submission, judged by its key
+/// and size. Records of ended jobs are shorter than any submission.
 bool IsSubmission(const adapter::keyed_record& record);
 
-/// Return a whole record, or what is wrong with it. Precondition: the record
-/// has a value, or is one of those that drop a mark of a pool's partition.
+/// Returns the complete record, or its fault. Precondition: the record has a
+/// value, unless it removes a VM, vacancy or order record of a pool partition.
 core::jobs::decoded<job_record> DecodeJobRecord(
     const adapter::keyed_record& record);
 core::jobs::decoded<pool_record> DecodePoolRecord(
