--- a/tests/jobs/claim_test.cc
+++ b/tests/jobs/claim_test.cc
@@ -20,7 +20,7 @@
 using testing::FreeAddress;
 using testing::RunUntil;
 
-/// A process that claims a partition of pools as if nobody else could.
+/// A process that claims a pool partition regardless of other processes.
 struct claimant {
   claimant(boost::asio::io_context* context,
            adapter::store_client* client,
@@ -61,9 +61,9 @@
   std::unique_ptr<pool_owner> owner;
 };
 
-// Guards against a member that was cut off, comes back, and takes its former
-// pool from the owner that works.
-TEST_CASE("A process whose membership has run out claims no pool") {
+// Guards against a member that was disconnected, returns, and takes its former
+// pool from the active owner.
+TEST_CASE("A process whose membership has expired claims no pool") {
   boost::asio::io_context context;
   fakes::site_store store(&context);
   const std::string address = FreeAddress();
@@ -85,13 +85,13 @@
   }
 }
 
-// Guards against two owners of one pool: both had claimed it under one epoch,
-// and the store answered the second claim as the first one, repeated.
-TEST_CASE("Of two claims under one epoch one counts") {
+// Guards against two owners of one pool: both had claimed it under the same
+// epoch, and the store treated the second claim as a repetition of the first.
+TEST_CASE("Only one of two claims under the same epoch is accepted") {
   boost::asio::io_context context;
   fakes::site_store store(&context);
   const std::string address = FreeAddress();
-  // Both have read the partition before the first claim is stored.
+  // Both processes have read the partition before the first claim is stored.
   int claims = 0;
   std::function<void()> first_claim;
   net::http_server server(
@@ -117,7 +117,7 @@
   constexpr std::uint64_t kGeneration = 15;
   first.owner->Start(kGeneration);
   second.owner->Start(kGeneration);
-  // The one whose claim didn't count claims again, under a later epoch.
+  // The process whose claim was not accepted claims again under a later epoch.
   REQUIRE(RunUntil(&context, [&] {
     return first.owner->IsActive() && second.owner->IsActive();
   }));
--- a/tests/jobs/fleet_owner_test.cc
+++ b/tests/jobs/fleet_owner_test.cc
@@ -20,8 +20,8 @@
         {"machine":"h2","pool":"spares","state":"up","labels":[],"id":null}],
         "next_token":null})";
 
-/// Answers for the users' fleet: two hosts of a spare pool, which are back at
-/// once after each service.
+/// A fake fleet platform with two hosts of a spare pool that are up again
+/// immediately after each service.
 class spare_fleet {
  public:
   explicit spare_fleet(boost::asio::io_context* context)
@@ -43,9 +43,9 @@
                 }) {}
 
   const std::string& address() const { return address_; }
-  /// Only an owner of the fleet reads the list.
+  /// Number of reads of the host list; only a fleet owner reads it.
   int listings() const { return listings_; }
-  /// The hosts for which an order to service them came, in turn.
+  /// The hosts that were ordered to be serviced, in order of arrival.
   const std::vector<std::string>& serviced() const { return serviced_; }
 
  private:
@@ -55,10 +55,10 @@
   std::vector<std::string> serviced_;
 };
 
-// An owner of the fleet has serviced a host and is lost. The next one claims
-// the fleet while the records of it can't be read, and knows the wave alone.
-// Were it to begin so, the host would be taken down a second time.
-TEST_CASE("A new owner of the fleet knows which hosts were serviced") {
+// Guards against a host that is taken down a second time: a fleet owner
+// services a host and is lost, and the next owner claims the fleet while the
+// fleet records cannot be read, so that it knows only the wave.
+TEST_CASE("A new fleet owner knows which hosts were serviced") {
   site site;
   spare_fleet fleet(&site.context);
   site.store.Put("keyed.op", "config", kSpareConfiguration);
@@ -67,7 +67,8 @@
   site.store.faults.silent_topic = "plantain-fleet";
   site.AddProcess("p1", fleet.address());
   REQUIRE(site.AwaitReady("p1"));
-  // Were this too short for an owner to begin, the test would only show less.
+  // If this were too short for an owner to become active, the test would only
+  // check less.
   site.Pass(seconds(3));
   CHECK(fleet.serviced().empty());
 
@@ -80,10 +81,10 @@
   CHECK(fleet.serviced() == std::vector<std::string>{"h2"});
 }
 
-// Guards against two holders that order one host within the lease: the store
-// answered late, and the order left long after the record that tells the next
-// owner of it.
-TEST_CASE("An order for a host is recorded again when its record is old") {
+// Guards against two owners that order one host within the lease: the
+// store answered late, and the order was sent long after the record that
+// informs the next owner of it.
+TEST_CASE("An order for a host is recorded again if its record is too old") {
   site site;
   spare_fleet fleet(&site.context);
   site.store.Put("keyed.op", "config", kSpareConfiguration);
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -9,8 +9,9 @@
 #include "platform/record_reader.h"
 #include "record_mutations.h"
 
-// Another writer has put a record into a topic of this project. It gives a
-// whole record or a fault with its place, and nothing is thrown.
+// Decoding of records that another writer has put into a topic of this project:
+// the result is a complete record or a fault with its field, and no exception
+// is thrown.
 namespace plantainhead::jobs {
 namespace {
 
@@ -51,7 +52,7 @@
   return {kId, progress};
 }
 
-// Changes that make sense all the same, as "place: change".
+// Mutations after which the record is still valid, as "field: change".
 using valid_mutations = std::set<std::string>;
 
 template <typename Decode>
@@ -83,14 +84,14 @@
   return DecodePoolRecord(record);
 };
 
-TEST_CASE("A submission of another writer is whole or a fault") {
+TEST_CASE("A foreign submission record is complete or a fault") {
   CheckMutations(
       Encode(SampleSubmission()),
       {"r: missing", "s[1].cp: missing", "s[1].d: missing", "s[1].g: missing",
        "s[1].lt: missing", "s[1].mm: missing", "s[1].rl: missing"},
       kDecodeJob);
 
-  SECTION("a time of handing in that makes no sense") {
+  SECTION("an invalid time of submission") {
     submission_record record = SampleSubmission();
     record.spec.submitted_at =
         core::time_point(std::chrono::milliseconds(1790000000123));
@@ -110,21 +111,21 @@
           record_fault{fault_kind::kWrongType, "h"});
   }
 
-  SECTION("a step that waits for itself or for a later one") {
+  SECTION("a step that depends on itself or on a later step") {
     json value = json::parse(Encode(SampleSubmission()).value.value());
     value["s"][1]["d"] = {1};
     CHECK(DecodeJobRecord({kId, value.dump()}).fault() ==
           record_fault{fault_kind::kOutOfRange, "s[1].d"});
   }
 
-  SECTION("more tasks than a process can hold") {
+  SECTION("more tasks than a submission may have") {
     json value = json::parse(Encode(SampleSubmission()).value.value());
     value["s"][0]["n"] = 4'000'000'000;
     CHECK(DecodeJobRecord({kId, value.dump()}).fault() ==
           record_fault{fault_kind::kOutOfRange, "s[0].n"});
   }
 
-  SECTION("no step, or a key that is no job's") {
+  SECTION("no step, or a key that is not a job id") {
     json value = json::parse(Encode(SampleSubmission()).value.value());
     CHECK_FALSE(DecodeJobRecord({"other", value.dump()}));
     value["s"] = json::array();
@@ -132,8 +133,9 @@
   }
 }
 
-TEST_CASE("The end and the cancelling of a job by another writer") {
-  // Without its one field it would be a submission that lacks all of its own.
+TEST_CASE("Foreign end and cancellation records are complete or a fault") {
+  // Without its only field the record is treated as a submission that lacks all
+  // fields.
   CHECK_FALSE(DecodeJobRecord({kId, "{}"}));
   for (const auto& [change, other] : testing::Replacements("failed")) {
     CAPTURE(change);
@@ -151,21 +153,21 @@
   CHECK_FALSE(DecodeJobRecord({cancel, "0"}));
 }
 
-TEST_CASE("Progress of another writer is whole or a fault") {
+TEST_CASE("A foreign progress record is complete or a fault") {
   CheckMutations(Encode(SampleProgress()),
                  {"t: missing", "t[0][7]: missing", "u: missing"}, kDecodePool);
-  // Before, such a job counted as queued again.
+  // Guards against a job with an unknown phase that is treated as queued again.
   CHECK(DecodePoolRecord({kId, R"({"s":"melted"})"}).fault() ==
         record_fault{fault_kind::kUnknownName, "s"});
 }
 
-TEST_CASE("A claim of another writer is whole or a fault") {
+TEST_CASE("A foreign owner record is complete or a fault") {
   CheckMutations(
       Encode(owner_record{7, "node", {{"vm", std::chrono::milliseconds(5)}}}),
       {"leases: missing", "leases.vm: missing"}, kDecodePool);
 }
 
-TEST_CASE("A mark of another writer is whole or a fault") {
+TEST_CASE("A foreign marker record is complete or a fault") {
   for (const char* key : {"vacant/vm", "order/host"}) {
     CHECK(DecodePoolRecord({key, "1"}));
     CHECK(DecodePoolRecord({key, std::nullopt}));
@@ -183,7 +185,7 @@
   CHECK_FALSE(DecodePoolRecord({"vm/vm", "nowhere"}));
 }
 
-TEST_CASE("A note on the fleet of another writer is whole or a fault") {
+TEST_CASE("A foreign fleet record is complete or a fault") {
   using core::jobs::vacancy_hint;
   using core::jobs::vacancy_reason;
   const adapter::keyed_record hint =
--- a/tests/jobs/foreign_site_test.cc
+++ b/tests/jobs/foreign_site_test.cc
@@ -4,14 +4,14 @@
 #include "jobs/job_world.h"
 #include "jobs/small_site.h"
 
-// Another writer puts records into the store of a deployment at work.
+// Malformed records of another writer in the store of a running deployment.
 namespace plantainhead::jobs {
 namespace {
 
 constexpr const char* kOtherId = "fedcba9876543210";
 constexpr const char* kMalformedBytes = "\xff\xfe{[";
 
-// Asks for the metrics again and again, as long as there is no fault in them.
+// Polls the metrics until they report a fault, up to a limit.
 bool AwaitFault(site* site, const std::string& process) {
   constexpr int kMaxCalls = 500;
   for (int i = 0; i < kMaxCalls; ++i) {
@@ -24,10 +24,10 @@
   return false;
 }
 
-// The entry of a VM on which tasks run turns unreadable. Its tasks end there,
-// each run once, and what starts from then on goes to other VMs: the entry may
-// stand for anything, also for a VM that leaves.
-TEST_CASE("A VM whose entry can't be read keeps its tasks and gets no other") {
+// The registry entry of a VM with running tasks becomes malformed. Its tasks
+// complete there, each run once, and later tasks start on other VMs: the entry
+// could mean anything, including a VM that is being retired.
+TEST_CASE("A VM with a malformed entry keeps its tasks and gets no new ones") {
   const std::string entry =
       GENERATE(std::string(kMalformedBytes), std::string("{}"),
                std::string(R"({"service":"pool","state":"retired"})"));
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE(
-    "A VM of a service that the configuration doesn't name gets no task") {
+    "A VM of a service that the configuration does not name gets no task") {
   site site;
   auto& malformed = site.AddVm("vm-1", milliseconds(30));
   site.store.Put("keyed.servers", "vm-1", malformed.RegistryValue("elsewhere"));
@@ -60,9 +60,9 @@
   CHECK(malformed.starts().empty());
 }
 
-// Records that can't be read stand in every topic before the process starts.
-// All others are read and acted on.
-TEST_CASE("Records that can't be read hide no others") {
+// Malformed records are in every topic before the process starts. All other
+// records are read and applied.
+TEST_CASE("Malformed records do not prevent others from being read") {
   site site;
   const std::uint32_t pool = PoolPartitionOf("pool");
   const std::string malformed = std::string("\0\0\0\2\x7fx", 6);
@@ -81,7 +81,7 @@
   REQUIRE(site.Submit("p1", kId).status == 200);
   CHECK(site.AwaitState("p1", "completed"));
 
-  SECTION("also those that come while it is at work") {
+  SECTION("including those that arrive while the process runs") {
     site.store.PutRaw("keyed.plantain-progress", pool, malformed);
     site.store.PutRaw("keyed.servers", 0, malformed);
     site.store.PutRaw("keyed.plantain-jobs", JobPartitionOf("q", kOtherId),
@@ -91,7 +91,7 @@
   }
 }
 
-TEST_CASE("A bad configuration leaves the last good one in force") {
+TEST_CASE("A malformed configuration leaves the last valid one in effect") {
   site site;
   site.AddVm("vm-1", milliseconds(30));
   site.AddProcess("p1");
@@ -105,10 +105,10 @@
   CHECK(site.AwaitState("p1", "completed"));
 }
 
-// An owner dies while its tasks run, and its claim in the partition has been
-// written over. The next owner can't tell who was before it. It takes the
-// partition over all the same, and starts no task a second time.
-TEST_CASE("A partition whose claim can't be read is taken over") {
+// An owner dies while its tasks run, and its claim in the partition is
+// overwritten. The next owner cannot determine its predecessor. It takes over
+// the partition regardless, and starts no task a second time.
+TEST_CASE("A partition with a malformed claim is taken over") {
   site site;
   site.AddVm("vm-1", milliseconds(600));
   site.AddProcess("p1");
@@ -130,11 +130,12 @@
   }
 }
 
-// The same, and the VM has fallen silent: nobody can ask it what runs there. If
-// the partition counted as one that nobody has worked on, its tasks would start
-// elsewhere at once, beside those that run on under the lease.
+// As above, and the VM does not respond, so that nobody can query what runs
+// there. If the partition were treated as one that never had an owner, its
+// tasks would start elsewhere immediately, while the first runs continue under
+// the lease.
 TEST_CASE(
-    "After a claim that can't be read silent VMs' leases are waited for") {
+    "A takeover after a malformed claim waits for the leases of silent VMs") {
   site site;
   auto& silent = site.AddVm("vm-1", seconds(100));
   site.AddProcess("p1");
--- a/tests/jobs/group_member_test.cc
+++ b/tests/jobs/group_member_test.cc
@@ -24,7 +24,7 @@
 
 constexpr std::size_t kStoreConnections = 20;
 
-/// A store, and members that join its group.
+/// A fake store and the members that join its group.
 class group {
  public:
   group() : store(&context), address_(testing::FreeAddress()) {
@@ -85,7 +85,7 @@
         });
   }
 
-  /// Sends calls that take all connections of the client for good.
+  /// Sends calls that occupy all connections of the client permanently.
   void TakeConnections() {
     for (std::size_t i = 0; i < kStoreConnections; ++i) {
       client_->ReadNewest({"keyed.topic", 0}, "", std::chrono::hours(1),
@@ -99,14 +99,15 @@
 
   boost::asio::io_context context;
   fakes::site_store store;
-  /// Of all calls that arrive from then on.
+  /// Delay of the answers to all calls that arrive from now on.
   milliseconds answer_delay{0};
   bool answers_only_joins = false;
   bool rejects_member_lists = false;
-  /// Joins of this member, and all looks at the members, have no answer.
+  /// Joins of this member and all requests for the member list are not
+  /// answered.
   std::string disconnected_member;
   milliseconds time_to_live = member_settings().time_to_live;
-  /// Joins that have arrived and aren't handled yet.
+  /// Joins that have arrived and are not processed yet.
   int delayed_joins = 0;
   std::map<std::string, std::unique_ptr<group_member>> members;
   std::map<std::string, std::set<std::uint32_t>> assigned;
@@ -117,9 +118,10 @@
   std::unique_ptr<adapter::store_client> client_;
 };
 
-// Two processes have half a core and two an eighth. Dealt evenly, large pools
-// would go to the small ones, which place tasks seconds too late. So these
-// join only while the others are too few, and give back what they were dealt.
+// Guards against small processes that own large pools and place tasks seconds
+// late, because the group assigns partitions evenly to processes with half a
+// core and with an eighth. Reserves join only while there are too few regular
+// members, and then give up what they were assigned.
 TEST_CASE("A reserve owns partitions only while regular members are missing") {
   group group;
   group.Add("small-1", member_role::kReserve);
@@ -129,14 +131,14 @@
   group.context.run_for(milliseconds(200));
   CHECK(group.store.Members() == std::set<std::string>{"large-1", "large-2"});
 
-  SECTION("One of the regular members dies, and the reserve steps in") {
+  SECTION("A regular member dies and the reserve joins") {
     group.members.erase("large-2");
     group.store.Expire("large-2");
     REQUIRE(group.Await({"large-1", "small-1+reserve"}));
     REQUIRE(RunUntil(&group.context,
                      [&] { return !group.assigned["small-1"].empty(); }));
 
-    SECTION("and gives all back when there are enough again") {
+    SECTION("and leaves when there are enough members again") {
       group.Add("large-2", member_role::kRegular);
       CHECK(group.Await({"large-1", "large-2"}));
       CHECK(group.assigned["small-1"].empty());
@@ -144,9 +146,9 @@
   }
 }
 
-// Guards against pools that all change hands at once, their owners being sound,
-// because members that were cut off for a while come back together.
-TEST_CASE("A member that comes back joins only if it is needed") {
+// Guards against all pools changing owners at once although the owners are
+// healthy, because members that were disconnected for a while return together.
+TEST_CASE("A member whose membership expired rejoins only if it is needed") {
   group group;
   group.time_to_live = milliseconds(1000);
   group.Add("large-1", member_role::kRegular);
@@ -166,27 +168,27 @@
            BootTime() > disconnected_at + group.time_to_live;
   }));
 
-  SECTION("and else gives up what it was dealt") {
+  SECTION("not needed: it gives up its partitions") {
     group.disconnected_member.clear();
     REQUIRE(RunUntil(&group.context,
                      [&] { return group.assigned["large-3"].empty(); }));
     group.context.run_for(milliseconds(200));
     CHECK(group.store.Members() == std::set<std::string>{"large-1", "large-2"});
 
-    SECTION("until others are gone") {
+    SECTION("and rejoins when another member has gone") {
       group.members.erase("large-2");
       group.store.Expire("large-2");
       CHECK(group.Await({"large-1", "large-3"}));
     }
   }
 
-  SECTION("or if the store refuses to tell who the others are") {
+  SECTION("the store rejects requests for the member list") {
     group.rejects_member_lists = true;
     group.disconnected_member.clear();
     CHECK(group.Await({"large-1", "large-2", "large-3"}));
   }
 
-  SECTION("as it is when another one has gone meanwhile") {
+  SECTION("needed because another member has gone") {
     group.members.erase("large-2");
     group.store.Expire("large-2");
     group.disconnected_member.clear();
@@ -194,9 +196,9 @@
   }
 }
 
-// Guards against a group that never forms again once all its members have
+// Guards against a group that never forms again after all regular members have
 // gone and only reserves are left.
-TEST_CASE("Reserves join when no partition has a member any more") {
+TEST_CASE("Reserves join when the group has no members left") {
   group group;
   group.Add("large-1", member_role::kRegular);
   REQUIRE(group.Await({"large-1"}));
@@ -209,16 +211,16 @@
                  [&] { return !group.assigned["small-1"].empty(); }));
 }
 
-// Guards against a reserve that owns a pool and lives, and that the next owner
-// takes for gone: the group has it under another name.
-TEST_CASE("A reserve is a member under its process's name") {
+// Guards against a new owner that considers a live reserve gone because the
+// group lists the reserve under a name with a suffix.
+TEST_CASE("ProcessesOf removes the suffix of reserves") {
   CHECK(ProcessesOf({"p1+reserve", "p2"}) == std::set<std::string>{"p1", "p2"});
 }
 
-// Guards against a membership that runs out although the store takes each
-// renewal: over a full link the answers came after the timeout and were thrown
-// away.
-TEST_CASE("A renewal whose answer arrives late counts") {
+// Guards against a membership that expires although the store accepts each
+// renewal: over a saturated link the answers arrived after the timeout and were
+// discarded.
+TEST_CASE("A renewal with a late answer is accepted") {
   group group;
   group.Add("large-1", member_role::kRegular);
   REQUIRE(RunUntil(&group.context,
@@ -230,9 +232,9 @@
       RunUntil(&group.context, [&] { return member.RenewedAt() > slow_from; }));
 }
 
-// Guards against a membership that runs out since its renewals wait for
-// connections that long reads have taken.
-TEST_CASE("A renewal doesn't wait for other calls") {
+// Guards against a membership that expires because its renewals wait for
+// connections occupied by long reads.
+TEST_CASE("A renewal does not wait for other calls") {
   group group;
   group.answers_only_joins = true;
   group.TakeConnections();
@@ -241,9 +243,10 @@
   CHECK(group.Await({"large-1"}));
 }
 
-// Guards against a pool without an owner: a join that the store took after the
-// member had left gave it its partitions again, for its whole time to live.
-TEST_CASE("A member that has left isn't joined again by a late join") {
+// Guards against a pool without an owner: a join that the store processed after
+// the member had left assigned its partitions to it again for the whole time to
+// live.
+TEST_CASE("A late join does not restore the membership of a member that left") {
   group group;
   group.Add("large-1", member_role::kRegular);
   REQUIRE(RunUntil(&group.context,
--- a/tests/jobs/moved_queue_test.cc
+++ b/tests/jobs/moved_queue_test.cc
@@ -16,7 +16,8 @@
          R"("estimate_ms":1000,"lasting":true}]})";
 }
 
-// Returns a pool whose partition another process may own than that of "pool".
+// Returns a pool whose partition may belong to another process than that of
+// "pool".
 std::string OtherPool() {
   std::string other = "other";
   while (PoolPartitionOf(other) % 2 == PoolPartitionOf("pool") % 2) {
@@ -25,7 +26,7 @@
   return other;
 }
 
-// Moves the queue to another pool.
+// Returns a configuration that moves the queue to another pool.
 std::string MovedConfiguration() {
   const std::string other = OtherPool();
   std::string configuration = kConfiguration;
@@ -39,9 +40,10 @@
   return configuration;
 }
 
-// Guards against a job that nobody starts: the process that accepted it knew
-// the configuration before the one that moved its queue to another pool.
-TEST_CASE("A job that is stored for a queue's former pool is started") {
+// Guards against a job that is never started because the process that accepted
+// it still used the configuration before the one that moved its queue to
+// another pool.
+TEST_CASE("A job stored for the former pool of its queue is started") {
   site site;
   site.AddVm("vm-1", std::chrono::milliseconds(30));
   site.AddProcess("p1");
@@ -60,7 +62,7 @@
 
   SECTION("before the queue moves") {}
 
-  SECTION("after it has moved, while another job of it is open there") {
+  SECTION("after the queue has moved, while the former pool has an open job") {
     REQUIRE(site.Call(site.addresses.at("p1"), net::method::kPost,
                       "/q/" + kOpenJob, LongRunningJob())
                 .status == 200);
@@ -69,7 +71,7 @@
     move_queue();
   }
 
-  SECTION("after it has moved") {
+  SECTION("after the queue has moved") {
     move_queue();
   }
 
--- a/tests/jobs/narrow_link_test.cc
+++ b/tests/jobs/narrow_link_test.cc
@@ -11,12 +11,13 @@
 namespace plantainhead::jobs {
 namespace {
 
-// All partitions take 4 s over the link, and each a quarter of a second.
+// At this rate a read of all partitions takes 4 s, and of each a quarter of a
+// second.
 constexpr std::int64_t kBytesPerSecond = 40'000;
 constexpr std::size_t kPayloadBytes = 4'000;
 constexpr std::uint32_t kJobsOfPartition = 2;
 
-/// Stores jobs of a pool that has no owner in each partition of jobs.
+/// Stores jobs of a pool without an owner in each job partition.
 void PutJobsOfAnotherPool(site* site) {
   constexpr std::uint32_t kFirstNumber = 10;
   for (std::uint32_t i = 0; i < kJobPartitions * kJobsOfPartition; ++i) {
@@ -33,10 +34,10 @@
   }
 }
 
-// Guards against takeovers that never end: all partitions were read at once,
-// each answer came after its timeout and was read again, and the renewals of
-// the membership waited behind them.
-TEST_CASE("A pool is taken over through a link that carries little") {
+// Guards against takeovers that never complete: all partitions were read at
+// once, each answer arrived after its timeout and was requested again, and the
+// renewals of the membership waited behind them.
+TEST_CASE("A pool is taken over through a low-bandwidth link") {
   site site;
   PutJobsOfAnotherPool(&site);
   site.AddVm("vm-1", milliseconds(30));
@@ -47,9 +48,10 @@
   CHECK(site.AwaitState("p1", "completed"));
 }
 
-// Guards against LOST: lasting tasks that lapse in a planned restart, since
-// nobody holds their VM while the next owner reads the jobs of all pools.
-TEST_CASE("A lasting task outlives a planned change of its pool's owner") {
+// Guards against long-running tasks that end as LOST in a planned restart,
+// because nobody holds their VM while the next owner reads the jobs of all
+// pools.
+TEST_CASE("A long-running task survives a planned change of its pool's owner") {
   site site;
   PutJobsOfAnotherPool(&site);
   auto& vm = site.AddVm("vm-1", seconds(100));
@@ -70,7 +72,7 @@
   site.AddProcess("p2");
   REQUIRE(site.AwaitReady("p2"));
 
-  SECTION("that stops") {
+  SECTION("the owner stops") {
     bool is_stopped = false;
     site.processes.at("p1")->Stop([&] { is_stopped = true; });
     REQUIRE(RunUntil(&site.context, [&] { return is_stopped; }));
@@ -78,12 +80,12 @@
     site.Pass(seconds(9));
   }
 
-  SECTION("that the group deals the pool away from while it works") {
+  SECTION("the group assigns the pool to another process") {
     site.store.DealAnew();
     site.Pass(seconds(9));
   }
 
-  SECTION("while deals follow one another") {
+  SECTION("several reassignments in a row") {
     for (int i = 0; i < 4; ++i) {
       site.store.DealAnew();
       site.Pass(seconds(2));
--- a/tests/jobs/ownership_test.cc
+++ b/tests/jobs/ownership_test.cc
@@ -17,7 +17,7 @@
         "services":[{"name":"pool-a"},{"name":"pool-b"},{"name":"pool-c"}]})";
 constexpr std::array<const char*, 3> kPools = {"pool-a", "pool-b", "pool-c"};
 
-/// Returns the processes that own pools, by the newest claims.
+/// Returns the processes that own pools, according to the newest claims.
 std::set<std::string> OwnersOf(const fakes::site_store& store) {
   std::set<std::string> owners;
   for (const char* pool : kPools) {
@@ -33,9 +33,9 @@
   return owners;
 }
 
-// Guards against one process that owns several large pools to the end of the
-// day, since the group had dealt it neighbouring partitions.
-TEST_CASE("Each process owns one pool, however the group deals") {
+// Guards against one process owning several large pools permanently because the
+// group assigned it adjacent partitions.
+TEST_CASE("Each process owns one pool however partitions are assigned") {
   site site;
   site.store.Put("keyed.op", "config", kThreePools);
   site.store.deals_in_blocks = true;
--- a/tests/jobs/record_codec_test.cc
+++ b/tests/jobs/record_codec_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("A job's record is read back as it was") {
+TEST_CASE("A submission record is decoded unchanged") {
   submission_record record;
   record.spec.id = "0123456789abcdef";
   record.spec.queue = "queue";
@@ -55,9 +55,9 @@
   CHECK(read.schedule->count == 9);
 }
 
-// Guards against jobs that count as just handed in whenever their owner
+// Guards against jobs that are treated as just submitted whenever their owner
 // changes.
-TEST_CASE("A job's record tells when it was handed in") {
+TEST_CASE("A submission record contains the time of submission") {
   submission_record record;
   record.spec.id = "0123456789abcdef";
   record.spec.queue = "queue";
@@ -68,14 +68,14 @@
     REQUIRE(decoded);
     return std::get<submission_record>(*decoded).spec.submitted_at;
   };
-  // Records of earlier versions don't have it.
+  // Records of earlier versions do not have the field.
   CHECK(Encode(record).value->find("\"h\"") == std::string::npos);
   CHECK_FALSE(read_back(record));
   record.spec.submitted_at = core::time_point(milliseconds(1790000000123));
   CHECK(read_back(record) == record.spec.submitted_at);
 }
 
-TEST_CASE("The short record of a job that has ended is read back") {
+TEST_CASE("The record of an ended job is decoded unchanged") {
   using core::jobs::job_phase;
   const auto decoded =
       DecodeJobRecord(Encode(ended_record{"job", job_phase::kFailed}));
@@ -86,13 +86,13 @@
       DecodeJobRecord(Encode(ended_record{"job", job_phase::kRunning})));
 }
 
-TEST_CASE("A cancellation is told from a submission by its key") {
+TEST_CASE("A cancellation is distinguished from a submission by its key") {
   const auto decoded = DecodeJobRecord(Encode(cancel_record{"job"}));
   REQUIRE(decoded);
   CHECK(std::get<cancel_record>(*decoded).job == "job");
 }
 
-TEST_CASE("A job's progress is read back as it was") {
+TEST_CASE("A progress record is decoded unchanged") {
   core::jobs::job_progress progress;
   progress.phase = core::jobs::job_phase::kRunning;
   progress.tasks.push_back({0, 1, 2, 3, {1, 2}, false, "saved", true});
@@ -116,7 +116,7 @@
   CHECK(std::get<progress_record>(*decoded).progress == progress);
 }
 
-TEST_CASE("Owners and VMs are told apart from jobs") {
+TEST_CASE("Owner and VM records are distinguished from job records") {
   const auto owner = DecodePoolRecord(
       Encode(owner_record{7, "node", {{"vm", milliseconds(5)}}}));
   REQUIRE(owner);
@@ -133,14 +133,14 @@
   CHECK(std::get<vm_record>(*dropped).is_dropped);
 }
 
-TEST_CASE("A malformed record is no record") {
+TEST_CASE("A malformed record is not decoded") {
   CHECK_FALSE(DecodeJobRecord({"0123456789abcdef", "{"}));
   CHECK_FALSE(DecodeJobRecord({"0123456789abcdef", R"({"q":1})"}));
   CHECK_FALSE(DecodeJobRecord({"0123456789abcdef", std::nullopt}));
   CHECK_FALSE(DecodePoolRecord({"job", "[]"}));
 }
 
-TEST_CASE("The fleet's records are told apart by their keys") {
+TEST_CASE("Fleet records are distinguished by their keys") {
   CHECK(ClosedVmOf(EncodeClosedVm("vm").key) == "vm");
   using core::jobs::vacancy_hint;
   using core::jobs::vacancy_reason;
--- a/tests/jobs/record_fuzz_test.cc
+++ b/tests/jobs/record_fuzz_test.cc
@@ -11,7 +11,7 @@
 namespace plantainhead::jobs {
 namespace {
 
-// As many as the fuzz target has decoders, in its order.
+// One sample for each decoder of the fuzz target, in its order.
 const std::string kSamples[] = {
     R"({"b":"x","p":"pool","q":"queue","r":[1,2,3],"s":[{"c":1,"e":5,"m":2,
         "n":3},{"c":1,"cp":true,"d":[0],"e":0,"g":1,"i":"a","lt":7,"m":0,
@@ -45,7 +45,8 @@
   CHECK(LLVMFuzzerTestOneInput(data, input.size()) == 0);
 }
 
-// Bytes that often change what a record means.
+// Returns a byte, often one of those that are likely to change the meaning of a
+// record.
 char InterestingByte(std::mt19937* random) {
   static const std::string kSpecialBytes = "\"\\{}[]:,0195-.e+ntf\xff\x80\n ";
   return (*random)() % 2 == 0
@@ -53,7 +54,7 @@
              : static_cast<char>((*random)());
 }
 
-// Replaces, inserts or takes out a few bytes, or cuts the end off.
+// Replaces, inserts or removes a few bytes, or truncates the text.
 std::string Corrupt(std::string text, std::mt19937* random) {
   constexpr int kMaxChanges = 3;
   const auto changes = 1 + (*random)() % kMaxChanges;
@@ -77,7 +78,7 @@
   return text;
 }
 
-TEST_CASE("The fuzz target of records takes its seeds") {
+TEST_CASE("The record fuzz target accepts its seeds and mutations of them") {
   constexpr unsigned kSeed = 17;
   constexpr int kTries = 2000;
   std::mt19937 random(kSeed);
--- a/tests/jobs/slow_vm_test.cc
+++ b/tests/jobs/slow_vm_test.cc
@@ -6,11 +6,11 @@
 namespace plantainhead::jobs {
 namespace {
 
-// Guards against the load of an owner's full link: its VMs answer each hold,
-// the answers arrive after the timeout and were thrown away. The VMs passed for
-// silent, and what they had told of ended tasks was lost, so that these ran
-// again.
-TEST_CASE("A VM whose answers arrive late is heard all the same") {
+// Guards against tasks that run twice because an owner's link is saturated: its
+// VMs answer each hold, but the answers arrived after the timeout and were
+// discarded. The VMs were considered silent, and their reports of ended tasks
+// were lost.
+TEST_CASE("Late answers of a VM are processed") {
   site site;
   site.AddVm("vm-1", milliseconds(30)).listing_delay = milliseconds(1500);
   site.AddProcess("p1");
@@ -21,9 +21,9 @@
   CHECK(site.StartsOf(std::string(kId) + ".0.1.0") == 1);
 }
 
-// Guards against starts that wait for a connection to their VM, and leave after
-// the caller was told that the job is cancelled.
-TEST_CASE("A start that isn't sent yet is called off by a cancellation") {
+// Guards against start orders that wait for a connection to their VM and are
+// sent after the caller was told that the job is cancelled.
+TEST_CASE("A cancellation drops start orders that are not sent yet") {
   const std::string steps =
       R"({"spec":"x","steps":[{"count":8,"cpu":100,"mem_mb":10,"estimate_ms":1000}]})";
   const std::string target = "/q/" + std::string(kId);
