--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -20,6 +20,8 @@
 
 namespace plantainhead::jobs {
 
+/// Settings of a `fleet_owner`: the platform's address, timeouts, intervals and
+/// the settings of its parts.
 struct fleet_settings {
   std::string address;
   core::jobs::maintenance_settings maintenance;
@@ -45,6 +47,7 @@
 /// pools. The only process that sends orders for hosts. Not thread-safe.
 class fleet_owner {
  public:
+  /// Objects and callbacks that the owner uses.
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
@@ -56,6 +59,8 @@
     /// Returns whether the ownership certainly has not passed to another
     /// process.
     std::function<bool()> is_ownership_confirmed;
+    /// Called when a newer owner was found. The callee must defer the
+    /// destruction of this object.
     std::function<void()> on_fenced;
   };
 
@@ -64,6 +69,8 @@
   fleet_owner& operator=(const fleet_owner&) = delete;
   ~fleet_owner();
 
+  /// Starts the takeover. `generation` is that of the group; the epoch is at
+  /// least as high.
   void Start(std::uint64_t generation);
   /// The fleet records under these keys have changed or were removed.
   void OnFleetRecords(const std::set<std::string>& keys);
--- a/src/jobs/fleet_records.h
+++ b/src/jobs/fleet_records.h
@@ -17,8 +17,9 @@
 /// reports when it is empty.
 namespace plantainhead::jobs {
 
+/// Requests that the pool owner empty the VM.
 adapter::keyed_record EncodeClosedVm(const core::jobs::vm_id& vm);
-/// These functions encode the removal of a record.
+/// Encode the removal of such a record.
 adapter::keyed_record EncodeClosedVmRemoval(const core::jobs::vm_id& vm);
 adapter::keyed_record EncodeEmptyVmRemoval(const core::jobs::vm_id& vm);
 
@@ -36,6 +37,7 @@
 adapter::keyed_record EncodeWantedVms(const core::jobs::pool_id& pool,
                                       const wanted_vms& wanted);
 
+/// A host and the wave in which it was serviced.
 struct serviced_host {
   std::uint64_t wave = 0;
   core::jobs::host_id host;
--- a/src/jobs/group_member.h
+++ b/src/jobs/group_member.h
@@ -24,6 +24,8 @@
   kReserve,
 };
 
+/// Settings of a `group_member`: role, timeouts, and how many members are
+/// sufficient.
 struct member_settings {
   std::string group = "plantain";
   member_role role = member_role::kRegular;
@@ -89,6 +91,7 @@
 /// thread-safe.
 class group_member {
  public:
+  /// Receives the generation of the group and the partitions of this member.
   using change_handler =
       std::function<void(std::uint64_t generation,
                          const std::set<std::uint32_t>& partitions)>;
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -30,6 +30,7 @@
 /// `io_context` only.
 class ownership {
  public:
+  /// Objects and names that the ownership uses.
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -21,6 +21,8 @@
 
 namespace plantainhead::jobs {
 
+/// Settings of a `pool_owner`: timeouts, retry delays, minimum intervals and
+/// the settings of its parts.
 struct owner_settings {
   core::jobs::scheduler_settings scheduler;
   writer_settings writer;
@@ -75,6 +77,7 @@
 /// is destroyed or finds a newer owner. Not thread-safe.
 class pool_owner {
  public:
+  /// Objects and callbacks that the owner uses.
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -61,6 +61,7 @@
   void OnFleetRecords(const std::set<std::string>& keys);
 
  private:
+  /// Sizing state of one pool, with the last published number of wanted VMs.
   struct pool_sizing {
     pool_sizing(const core::jobs::sizer_settings& settings,
                 const core::jobs::arrival_rate_settings& arrival_rate_settings)
--- a/src/jobs/record_codec.h
+++ b/src/jobs/record_codec.h
@@ -77,6 +77,7 @@
 /// Kind of a record in a pool partition, derived from its key.
 enum class pool_record_kind { kProgress, kOwner, kVm, kVacancy, kOrder };
 
+/// Parsed key of a record in a pool partition.
 struct pool_key {
   pool_record_kind kind = pool_record_kind::kProgress;
   /// Id of the job, VM or host; empty for an owner.
--- a/tests/jobs/fleet_owner_test.cc
+++ b/tests/jobs/fleet_owner_test.cc
@@ -81,9 +81,9 @@
   CHECK(fleet.serviced() == std::vector<std::string>{"h2"});
 }
 
-// Guards against two owners that order one host within the lease: the
-// store answered late, and the order was sent long after the record that
-// informs the next owner of it.
+// Guards against two owners that order one host within the lease: the store
+// answered late, and the order was sent long after the record that informs the
+// next owner of it.
 TEST_CASE("An order for a host is recorded again if its record is too old") {
   site site;
   spare_fleet fleet(&site.context);
