--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -69,7 +69,7 @@
 }
 
 void fleet_owner::impl::ReadBeforeClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
@@ -89,9 +89,9 @@
     RunAfter(settings_.takeover_retry_delay, &impl::ReadBeforeClaim);
     return;
   }
-  const std::uint64_t before = deps_.world->OwnerOf(kFleetPartition).epoch;
+  const std::uint64_t before = deps_.view->OwnerOf(kFleetPartition).epoch;
   epoch_ = std::max({generation_, before + 1, epoch_ + 1});
-  writer_.Claim(epoch_, deps_.member, deps_.world->CursorOf(kFleetPartition),
+  writer_.Claim(epoch_, deps_.member, deps_.view->CursorOf(kFleetPartition),
                 [self = weak_from_this()](progress_writer::result result) {
                   const auto owner = self.lock();
                   if (!owner || owner->is_closed_) {
@@ -108,14 +108,13 @@
 
 // Another process's claim may have been stored instead, as for `pool_owner`.
 void fleet_owner::impl::VerifyClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
           return;
         }
-        const owner_record newest =
-            owner->deps_.world->OwnerOf(kFleetPartition);
+        const owner_record newest = owner->deps_.view->OwnerOf(kFleetPartition);
         const bool is_own = is_read && newest.epoch == owner->epoch_ &&
                             newest.member == owner->deps_.member;
         if (is_own) {
@@ -131,7 +130,7 @@
 // has done. Without them it would close VMs of hosts that were already
 // serviced, and order their service a second time.
 void fleet_owner::impl::ReadAfterClaim() {
-  deps_.world->RefreshFleetRecords([self = weak_from_this()] {
+  deps_.view->RefreshFleetRecords([self = weak_from_this()] {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_) {
       owner->Activate();
@@ -143,8 +142,8 @@
   LogEvent(job_event::kOwnershipGained,
            {{"partition", "fleet"}, {"epoch", std::to_string(epoch_)}});
   is_active_ = true;
-  order_tracker_.Inherit(deps_.world->ordered_hosts(), BootTime());
-  for (const auto& [key, value] : deps_.world->fleet_records()) {
+  order_tracker_.Inherit(deps_.view->ordered_hosts(), BootTime());
+  for (const auto& [key, value] : deps_.view->fleet_records()) {
     ApplyRecord(key);
   }
   ApplyRecords({});
@@ -180,7 +179,7 @@
   for (const core::jobs::wave_action& action : maintenance_.Plan(now)) {
     std::visit([this](const auto& kind) { Execute(kind); }, action);
   }
-  balancer_.UpdateLeaving(deps_.world->registry().Draining());
+  balancer_.UpdateLeaving(deps_.view->registry().Draining());
   for (const core::jobs::move_host& move :
        balancer_.Plan(HostsExcludedFromMoves(now), now)) {
     queue_.Add(move);
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
+#include "jobs/store_view.h"
 #include "plantainhead/core/jobs/fleet_balancer.h"
 #include "plantainhead/core/jobs/host_order_queue.h"
 #include "plantainhead/core/jobs/host_order_tracker.h"
@@ -51,7 +51,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_meters* meters = nullptr;
     std::string member;
     /// Identifies the process to the platform.
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -17,12 +17,12 @@
 void fleet_owner::impl::ApplyRecords(const std::set<std::string>& keys) {
   const auto work = Meter();
   bool has_new_wave = false;
-  for (const auto& [number, wave] : deps_.world->waves()) {
+  for (const auto& [number, wave] : deps_.view->waves()) {
     has_new_wave = maintenance_.AddWave(wave) || has_new_wave;
   }
   if (has_new_wave) {
     // Records of the wave may have been read before the wave itself.
-    for (const auto& [key, value] : deps_.world->fleet_records()) {
+    for (const auto& [key, value] : deps_.view->fleet_records()) {
       ApplyRecord(key);
     }
   }
@@ -35,7 +35,7 @@
 }
 
 void fleet_owner::impl::ApplyRecord(const std::string& key) {
-  const auto& records = deps_.world->fleet_records();
+  const auto& records = deps_.view->fleet_records();
   const auto found = records.find(key);
   const std::string* value = found == records.end() ? nullptr : &found->second;
   if (const auto hinted = HintedVmOf(key)) {
@@ -77,8 +77,8 @@
 void fleet_owner::impl::UpdateVacancies() {
   using core::jobs::vacancy_reason;
   const auto work = Meter();
-  for (const auto& [partition, vm] : deps_.world->TakeChangedVacancies()) {
-    const bool is_vacant = deps_.world->VacantVms(partition).count(vm) != 0;
+  for (const auto& [partition, vm] : deps_.view->TakeChangedVacancies()) {
+    const bool is_vacant = deps_.view->VacantVms(partition).count(vm) != 0;
     vacancy_checker_.NoteVacant(partition, vm, is_vacant);
   }
   for (const core::jobs::vacancy_change& change :
@@ -91,7 +91,7 @@
   }
   for (const std::uint32_t partition :
        vacancy_checker_.TakePartitionsToRead()) {
-    deps_.world->RefreshProgress(
+    deps_.view->RefreshProgress(
         partition, [self = weak_from_this(), partition](bool is_read) {
           const auto owner = self.lock();
           if (owner && !owner->is_closed_) {
@@ -104,7 +104,7 @@
 void fleet_owner::impl::OnPartitionRefreshed(std::uint32_t partition,
                                              bool is_read) {
   vacancy_checker_.OnPartitionRead(partition, is_read,
-                                   deps_.world->VacantVms(partition));
+                                   deps_.view->VacantVms(partition));
   if (is_read) {
     UpdateVacancies();
     RunCycle();
@@ -132,8 +132,8 @@
 void fleet_owner::impl::OnPage(const adapter::fleet_page& reply) {
   const auto work = Meter();
   if (!reply.is_read) {
-    for (const adapter::faulty_host& row : reply.faults) {
-      deps_.world->faults().Note(kFleetList, row.host, row.fault);
+    for (const adapter::unreadable_host& row : reply.faults) {
+      deps_.view->faults().Note(kFleetList, row.host, row.fault);
     }
     is_listing_ = false;
     listed_at_ = BootTime();
@@ -142,8 +142,8 @@
   page_hosts_.insert(page_hosts_.end(), reply.hosts.begin(), reply.hosts.end());
   page_faults_.insert(page_faults_.end(), reply.faults.begin(),
                       reply.faults.end());
-  if (!reply.next.empty()) {
-    ListPage(reply.next);
+  if (!reply.next_page_token.empty()) {
+    ListPage(reply.next_page_token);
     return;
   }
   is_listing_ = false;
@@ -152,7 +152,7 @@
   RemoveStaleOffers();
   std::set<core::jobs::pool_id> spare;
   for (const core::jobs::pool_settings& pool :
-       deps_.world->routes().configuration().pools) {
+       deps_.view->routes().configuration().pools) {
     if (pool.is_spare) {
       spare.insert(pool.id);
     }
@@ -164,8 +164,8 @@
 
 void fleet_owner::impl::AddUnreadableHosts() {
   std::vector<core::jobs::host_id> faulty;
-  for (const adapter::faulty_host& row : page_faults_) {
-    deps_.world->faults().Note(kFleetList, row.host, row.fault);
+  for (const adapter::unreadable_host& row : page_faults_) {
+    deps_.view->faults().Note(kFleetList, row.host, row.fault);
     faulty.push_back(row.host);
   }
   page_hosts_ = core::jobs::AddUnreadableHosts(std::move(page_hosts_), faulty,
@@ -174,7 +174,7 @@
 }
 
 void fleet_owner::impl::RemoveStaleOffers() {
-  std::set<core::jobs::vm_id> present = deps_.world->registry().Listed();
+  std::set<core::jobs::vm_id> present = deps_.view->registry().Listed();
   for (const core::jobs::fleet_host& host : page_hosts_) {
     present.insert(host.vm);
   }
--- a/src/jobs/job_metrics.h
+++ b/src/jobs/job_metrics.h
@@ -15,13 +15,13 @@
 namespace plantainhead::jobs {
 
 /// What a process of the job scheduler reports of itself.
-struct job_figures {
+struct job_metrics_snapshot {
   submission_counts submissions;
   bool is_ready = false;
   /// By partition, of those that it owns.
   std::map<std::uint32_t, core::jobs::scheduler_counts> pools;
   std::size_t known_jobs = 0;
-  /// See `job_world::WatchedJobCopyAge`; nothing without an owned pool.
+  /// See `store_view::WatchedJobCopyAge`; nothing without an owned pool.
   std::optional<core::duration> job_copy_age;
   std::uint64_t configuration_version = 0;
   core::jobs::record_fault_counter::counts_by_fault faults;
@@ -31,7 +31,7 @@
 
 /// Returns the figures as Prometheus text (version 0.0.4).
 /// Thread safety: safe from any thread.
-std::string FormatMetrics(const job_figures& figures);
+std::string FormatMetrics(const job_metrics_snapshot& snapshot);
 
 }  // namespace plantainhead::jobs
 
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -12,15 +12,15 @@
 #include "jobs/job_archiver.h"
 #include "jobs/job_meters.h"
 #include "jobs/job_metrics.h"
-#include "jobs/job_world.h"
-#include "jobs/loop_watch.h"
+#include "jobs/loop_lag_monitor.h"
 #include "jobs/ownership.h"
-#include "jobs/state_line.h"
-#include "jobs/store_contact.h"
+#include "jobs/process_state.h"
+#include "jobs/store_outage_tracker.h"
+#include "jobs/store_view.h"
 #include "jobs/submissions.h"
 #include "net/http_server.h"
 #include "net/http_status.h"
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
@@ -36,21 +36,21 @@
 // A process that has reached neither the store nor an owner of a pool for this
 // time tells that it isn't ready: callers' jobs can't be stored here. Longer
 // than three renewals.
-constexpr milliseconds kReadyWithoutStore = milliseconds(2800);
+constexpr milliseconds kReadinessTimeout = milliseconds(2800);
 // After a request to stop new connections come for two more probes, a second
 // apart, and a little longer.
-constexpr milliseconds kProbesMissed = milliseconds(2300);
+constexpr milliseconds kMinStopTime = milliseconds(2300);
 // Cores that an owner of a pool needs. With 60 to 85 VMs it starts up to 870
 // tasks a second and takes 0.06 to 0.11 of a core over its busiest 5 s, more in
 // bursts; with 0.12 of a core it falls behind, and what it places is late. With
 // 9 to 12 VMs 0.25 of a core is plenty.
 constexpr double kOwnerCores = 0.2;
-constexpr milliseconds kStopTick = milliseconds(50);
+constexpr milliseconds kStopPollInterval = milliseconds(50);
 // A loop that is this far behind is worth a line: answers of VMs take some
 // milliseconds, and a renewal that is late by seconds loses what is owned.
 constexpr milliseconds kLoopLate = milliseconds(250);
 // Left of the grace when the process ends whatever is open.
-constexpr milliseconds kStopReserve = milliseconds(700);
+constexpr milliseconds kStopMargin = milliseconds(700);
 
 }  // namespace
 
@@ -65,12 +65,12 @@
         member_name_(settings.name),
         member_settings_(MakeMemberSettings(settings)),
         store_(context, settings.store_address, kStoreConnections),
-        world_(context,
-               &store_,
-               {},
-               settings.configuration_apply,
-               MakeListeners()),
-        owners_(context, {}),
+        view_(context,
+              &store_,
+              {},
+              settings.configuration_apply,
+              MakeListeners()),
+        owner_links_(context, {}),
         submissions_(MakeSubmissionDependencies(), {}),
         archiver_(context, &store_, MakeArchiverSettings()),
         member_(context,
@@ -84,7 +84,8 @@
         ownership_(MakeOwnershipDependencies(),
                    MakeOwnerSettings(),
                    MakeFleetSettings()),
-        loop_watch_(context, [this](core::duration lag) { NoteLag(lag); }),
+        loop_lag_monitor_(context,
+                          [this](core::duration lag) { NoteLag(lag); }),
         state_timer_(*context),
         stop_timer_(*context) {}
 
@@ -94,18 +95,18 @@
           meters_.NoteStoreCall(
               call, std::chrono::duration_cast<core::duration>(time));
         });
-    callers_ = std::make_unique<net::http_server>(
+    caller_server_ = std::make_unique<net::http_server>(
         context_, settings_.caller_address, net::http_server_options(),
         [this](const net::server_request& request,
                const net::responder& respond) {
           submissions_.Handle(request, respond);
         });
-    probes_ = std::make_unique<net::http_server>(
+    probe_server_ = std::make_unique<net::http_server>(
         context_, settings_.probe_address, net::http_server_options(),
         [this](const net::server_request& request,
                const net::responder& respond) { Probe(request, respond); });
     if (!settings_.peer_address.empty()) {
-      peers_ = std::make_unique<net::http_server>(
+      peer_server_ = std::make_unique<net::http_server>(
           context_, settings_.peer_address, net::http_server_options(),
           [this](const net::server_request& request,
                  const net::responder& respond) {
@@ -113,15 +114,15 @@
           });
     }
     if (!settings_.metrics_address.empty()) {
-      metrics_ = std::make_unique<net::http_server>(
+      metrics_server_ = std::make_unique<net::http_server>(
           context_, settings_.metrics_address, net::http_server_options(),
           [this](const net::server_request& /*request*/,
                  const net::responder& respond) { respond(Metrics()); });
     }
-    world_.Start();
+    view_.Start();
     member_.Start();
-    loop_watch_.Start();
-    AwaitState();
+    loop_lag_monitor_.Start();
+    ScheduleStateLog();
   }
 
   void SetStopGrace(core::duration grace) { settings_.stop_grace = grace; }
@@ -133,77 +134,79 @@
     is_stopping_ = true;
     on_stopped_ = std::move(on_stopped);
     stop_began_ = BootTime();
-    callers_->BeginStop();
+    caller_server_->BeginStop();
     ownership_.Release(
         [self = shared_from_this()] { self->member_.Leave([] {}); });
-    StopTick();
+    PollStop();
   }
 
  private:
   static member_settings MakeMemberSettings(
       const settings::scheduler_process_settings& settings) {
-    member_settings made;
+    member_settings result;
     if (settings.processor_cores < kOwnerCores) {
-      made.role = member_role::kReserve;
+      result.role = member_role::kReserve;
     }
-    return made;
+    return result;
   }
 
   static outbox_settings MakeArchiverSettings() {
-    outbox_settings made;
-    made.gap = kArchiveGap;
-    return made;
+    outbox_settings result;
+    result.batch_delay = kArchiveInterval;
+    return result;
   }
 
   ownership::dependencies MakeOwnershipDependencies() {
-    ownership::dependencies made;
-    made.context = context_;
-    made.store = &store_;
-    made.world = &world_;
-    made.archiver = &archiver_;
-    made.meters = &meters_;
-    made.member = &member_;
-    made.member_name = member_name_;
-    made.peer_address = settings_.peer_address;
-    made.holder = settings_.name;
-    made.time_to_live = member_settings_.time_to_live;
-    return made;
+    ownership::dependencies result;
+    result.context = context_;
+    result.store = &store_;
+    result.view = &view_;
+    result.archiver = &archiver_;
+    result.meters = &meters_;
+    result.member = &member_;
+    result.member_name = member_name_;
+    result.peer_address = settings_.peer_address;
+    result.holder = settings_.name;
+    result.time_to_live = member_settings_.time_to_live;
+    return result;
   }
 
   submissions::dependencies MakeSubmissionDependencies() {
-    submissions::dependencies made;
-    made.context = context_;
-    made.store = &store_;
-    made.world = &world_;
-    made.meters = &meters_;
-    made.relay.owners = &owners_;
-    made.relay.epoch_of = [this](std::uint32_t partition) {
+    submissions::dependencies result;
+    result.context = context_;
+    result.store = &store_;
+    result.view = &view_;
+    result.meters = &meters_;
+    result.relay.owners = &owner_links_;
+    result.relay.epoch_of = [this](std::uint32_t partition) {
       return ownership_.EpochOf(partition);
     };
-    made.relay.is_sure = [this] { return ownership_.IsOwnershipConfirmed(); };
-    return made;
+    result.relay.is_ownership_confirmed = [this] {
+      return ownership_.IsOwnershipConfirmed();
+    };
+    return result;
   }
 
   owner_settings MakeOwnerSettings() const {
-    owner_settings made;
-    made.time_to_live = member_settings_.time_to_live;
-    made.scheduler.lease =
-        std::min(made.scheduler.lease, settings_.longest_lease);
-    return made;
+    owner_settings result;
+    result.time_to_live = member_settings_.time_to_live;
+    result.scheduler.lease =
+        std::min(result.scheduler.lease, settings_.max_vm_lease);
+    return result;
   }
 
   fleet_settings MakeFleetSettings() const {
-    fleet_settings made;
-    made.address = settings_.fleet_address;
-    made.orders.holder_lease = settings_.holder_lease;
-    return made;
+    fleet_settings result;
+    result.address = settings_.fleet_address;
+    result.orders.holder_lease = settings_.holder_lease;
+    return result;
   }
 
-  job_world::listeners MakeListeners() {
-    job_world::listeners listeners;
+  store_view::listeners MakeListeners() {
+    store_view::listeners listeners;
     listeners.on_job =
         [this](const std::shared_ptr<const core::jobs::job_spec>& job) {
-          const work_meter::scope work(&meters_.work(), loop_work::kJobs);
+          const cpu_time_meter::scope work(&meters_.work(), loop_work::kJobs);
           ownership_.OnJob(job);
         };
     listeners.on_cancel = [this](const core::jobs::job_id& job) {
@@ -211,21 +214,22 @@
     };
     listeners.on_configuration = [this] { ownership_.OnConfiguration(); };
     listeners.on_registry = [this] {
-      const work_meter::scope work(&meters_.work(), loop_work::kRegistry);
-      ownership_.OnRegistry(world_.TakeChangedVms());
+      const cpu_time_meter::scope work(&meters_.work(), loop_work::kRegistry);
+      ownership_.OnRegistry(view_.TakeChangedVms());
     };
     listeners.on_report = [this](const core::jobs::vm_id& vm,
                                  core::time_point trusted_until) {
       ownership_.OnReport(vm, trusted_until);
     };
     listeners.on_fleet_records = [this] {
-      const work_meter::scope work(&meters_.work(), loop_work::kFleetRecords);
-      ownership_.OnFleetRecords(world_.TakeChangedFleetKeys());
+      const cpu_time_meter::scope work(&meters_.work(),
+                                       loop_work::kFleetRecords);
+      ownership_.OnFleetRecords(view_.TakeChangedFleetKeys());
     };
     listeners.on_announcement =
         [this](const peers::owner_announcement& announcement) {
-          owners_.book().NoteAnnouncement(announcement.partition,
-                                          announcement.owner);
+          owner_links_.directory().NoteAnnouncement(announcement.partition,
+                                                    announcement.owner);
           ownership_.OnAnnouncement(announcement);
         };
     listeners.on_store_contact = [this](bool is_answered) {
@@ -237,18 +241,18 @@
   void NoteStoreContact(bool is_answered) {
     const core::time_point now = BootTime();
     if (!is_answered) {
-      if (store_contact_.NoteFailure(now)) {
+      if (store_outage_tracker_.NoteFailure(now)) {
         observe::log_fields fields;
         AppendAge("renewed_ms_ago", member_.RenewedAt(), &fields);
         LogEvent(job_event::kStoreLost, fields);
       }
       return;
     }
-    if (const auto regained = store_contact_.NoteAnswer(now)) {
+    if (const auto regained = store_outage_tracker_.NoteAnswer(now)) {
       observe::log_fields fields = {
-          {"losses", std::to_string(regained->losses)},
+          {"losses", std::to_string(regained->interruptions)},
           {"lost_ms", MillisOf(regained->lost_for)},
-          {"held_ms", MillisOf(regained->held_for)}};
+          {"held_ms", MillisOf(regained->answered_for)}};
       AppendAge("renewed_ms_ago", member_.RenewedAt(), &fields);
       LogEvent(job_event::kStoreRegained, fields);
     }
@@ -257,64 +261,63 @@
   // Readiness and metrics.
 
   core::time_point AnsweredAt() const {
-    return std::max(member_.AnsweredAt(), owners_.AnsweredAt());
+    return std::max(member_.AnsweredAt(), owner_links_.AnsweredAt());
   }
 
   bool IsReady() const {
-    return !is_stopping_ && world_.IsLoaded() &&
-           BootTime() - AnsweredAt() < kReadyWithoutStore;
+    return !is_stopping_ && view_.IsLoaded() &&
+           BootTime() - AnsweredAt() < kReadinessTimeout;
   }
 
   void Probe(const net::server_request& request,
              const net::responder& respond) {
     if (adapter::DecodePath(request.target) != adapter::kReadinessPath) {
-      respond(adapter::EncodeFault(net::kNotFound, "unknown path"));
+      respond(adapter::EncodeError(net::kNotFound, "unknown path"));
       return;
     }
     const bool is_ready = IsReady();
     if (is_ready != was_ready_) {
       was_ready_ = is_ready;
-      observe::log_fields fields = {
-          {"ready", is_ready ? "yes" : "no"},
-          {"loaded", world_.IsLoaded() ? "yes" : "no"},
-          {"stopping", is_stopping_ ? "yes" : "no"}};
+      observe::log_fields fields = {{"ready", is_ready ? "yes" : "no"},
+                                    {"loaded", view_.IsLoaded() ? "yes" : "no"},
+                                    {"stopping", is_stopping_ ? "yes" : "no"}};
       AppendAge("answered_ms_ago", AnsweredAt(), &fields);
       LogEvent(job_event::kReadinessChanged, fields);
     }
     respond(is_ready ? net::server_response{net::kOk, {}, "{}"}
-                     : adapter::EncodeFault(net::kUnavailable, "not ready"));
+                     : adapter::EncodeError(net::kUnavailable, "not ready"));
   }
 
   net::server_response Metrics() {
-    job_figures figures;
+    job_metrics_snapshot figures;
     figures.submissions = submissions_.counts();
     figures.is_ready = IsReady();
     figures.pools = ownership_.Counts();
-    figures.known_jobs = world_.directory().entries().size();
+    figures.known_jobs = view_.directory().entries().size();
     if (!ownership_.HeldPartitions().empty()) {
-      figures.job_copy_age = world_.WatchedJobCopyAge();
+      figures.job_copy_age = view_.WatchedJobCopyAge();
     }
-    figures.configuration_version = world_.routes().configuration().version;
-    figures.faults = world_.faults().ledger().counts();
-    figures.faulty_keys = world_.faults().ledger().FaultyKeys();
+    figures.configuration_version = view_.routes().configuration().version;
+    figures.faults = view_.faults().counter().counts();
+    figures.faulty_keys = view_.faults().counter().FaultyKeys();
     net::server_response response;
     response.body = FormatMetrics(figures) + meters_.ToText();
     response.content_type = "text/plain; version=0.0.4";
     return response;
   }
 
-  void AwaitState() {
-    state_timer_.expires_after(kStateLook);
-    state_timer_.async_wait(
-        [self = weak_from_this()](const boost::system::error_code& error) {
-          const auto service = self.lock();
-          if (service && !error) {
-            if (service->state_pace_.IsDue(BootTime(), LinesWritten())) {
-              service->LogState();
-            }
-            service->AwaitState();
-          }
-        });
+  void ScheduleStateLog() {
+    state_timer_.expires_after(kStateCheckInterval);
+    state_timer_.async_wait([self = weak_from_this()](
+                                const boost::system::error_code& error) {
+      const auto service = self.lock();
+      if (service && !error) {
+        if (service->state_log_schedule_.IsDue(BootTime(), LinesWritten())) {
+          service->LogState();
+        }
+        service->ScheduleStateLog();
+      }
+    });
   }
 
   void NoteLag(core::duration lag) {
@@ -326,50 +329,51 @@
 
   void LogState() {
     process_state state;
-    state.loop_lag = loop_watch_.TakeMost();
+    state.loop_lag = loop_lag_monitor_.TakeMaxLag();
     state.pools = ownership_.HeldPartitions();
     state.owns_fleet = ownership_.OwnsFleet();
     state.is_ready = IsReady();
-    state.configuration_version = world_.routes().configuration().version;
+    state.configuration_version = view_.routes().configuration().version;
     if (member_.RenewedAt() != core::time_point()) {
       state.renewed_ago = BootTime() - member_.RenewedAt();
     }
     if (!state.pools.empty()) {
-      state.job_copy_age = world_.WatchedJobCopyAge();
+      state.job_copy_age = view_.WatchedJobCopyAge();
     }
-    state.busy = TakeBusy();
-    state.busy_within = BootTime() - std::exchange(busy_taken_at_, BootTime());
-    LogEvent(job_event::kProcessState, FormatState(state));
+    state.cpu_time = TakeBusy();
+    state.cpu_time_interval =
+        BootTime() - std::exchange(last_busy_at_, BootTime());
+    LogEvent(job_event::kProcessState, FormatProcessState(state));
   }
 
   // Returns what was used since the last call.
-  work_times TakeBusy() {
-    const work_times totals = meters_.work().Totals();
-    work_times busy{};
-    for (std::size_t kind = 0; kind < busy.size(); ++kind) {
-      busy[kind] = totals[kind] - busy_taken_[kind];
+  cpu_times TakeBusy() {
+    const cpu_times totals = meters_.work().Totals();
+    cpu_times cpu_time{};
+    for (std::size_t kind = 0; kind < cpu_time.size(); ++kind) {
+      cpu_time[kind] = totals[kind] - last_busy_totals_[kind];
     }
-    busy_taken_ = totals;
-    return busy;
+    last_busy_totals_ = totals;
+    return cpu_time;
   }
 
   // Stop.
 
-  void StopTick() {
+  void PollStop() {
     const core::duration age = BootTime() - stop_began_;
     const bool is_quiet =
-        age > kProbesMissed && callers_->ActiveRequests() == 0;
-    if (is_quiet || age > settings_.stop_grace - kStopReserve) {
-      callers_->CloseIdle();
+        age > kMinStopTime && caller_server_->ActiveRequests() == 0;
+    if (is_quiet || age > settings_.stop_grace - kStopMargin) {
+      caller_server_->CloseIdle();
       on_stopped_();
       return;
     }
-    stop_timer_.expires_after(kStopTick);
+    stop_timer_.expires_after(kStopPollInterval);
     stop_timer_.async_wait(
         [self = weak_from_this()](const boost::system::error_code& error) {
           const auto service = self.lock();
           if (service && !error) {
-            service->StopTick();
+            service->PollStop();
           }
         });
   }
@@ -379,22 +383,22 @@
   std::string member_name_;
   member_settings member_settings_;
   job_meters meters_;
-  store_contact store_contact_;
-  state_pace state_pace_;
-  work_times busy_taken_{};
-  core::time_point busy_taken_at_ = BootTime();
+  store_outage_tracker store_outage_tracker_;
+  state_log_schedule state_log_schedule_;
+  cpu_times last_busy_totals_{};
+  core::time_point last_busy_at_ = BootTime();
   adapter::store_client store_;
-  job_world world_;
-  peers::owner_links owners_;
+  store_view view_;
+  peers::owner_client owner_links_;
   submissions submissions_;
   job_archiver archiver_;
   group_member member_;
   ownership ownership_;
-  std::unique_ptr<net::http_server> callers_;
-  std::unique_ptr<net::http_server> peers_;
-  std::unique_ptr<net::http_server> probes_;
-  std::unique_ptr<net::http_server> metrics_;
-  loop_watch loop_watch_;
+  std::unique_ptr<net::http_server> caller_server_;
+  std::unique_ptr<net::http_server> peer_server_;
+  std::unique_ptr<net::http_server> probe_server_;
+  std::unique_ptr<net::http_server> metrics_server_;
+  loop_lag_monitor loop_lag_monitor_;
   boost::asio::steady_timer state_timer_;
   boost::asio::steady_timer stop_timer_;
   std::function<void()> on_stopped_;
--- a/src/jobs/ownership.cc
+++ b/src/jobs/ownership.cc
@@ -96,8 +96,8 @@
     return counts;
   }
 
-  std::vector<held_partition> HeldPartitions() const {
-    std::vector<held_partition> held;
+  std::vector<owned_partition> HeldPartitions() const {
+    std::vector<owned_partition> held;
     for (const auto& [partition, owner] : owners_) {
       held.push_back({partition, owner->epoch(), owner->IsActive()});
     }
@@ -120,7 +120,7 @@
   // have changed the assignment.
   bool IsOwnershipConfirmed() const {
     const core::time_point known_at =
-        std::min(deps_.member->RenewedAt(), deps_.world->ConfigurationReadAt());
+        std::min(deps_.member->RenewedAt(), deps_.view->ConfigurationReadAt());
     return BootTime() < known_at + deps_.time_to_live;
   }
 
@@ -150,7 +150,7 @@
   std::vector<std::uint32_t> PartitionsWithPools() const {
     std::vector<std::uint32_t> partitions;
     for (const core::jobs::pool_id& pool :
-         deps_.world->routes().WorkingPools()) {
+         deps_.view->routes().WorkingPools()) {
       const std::uint32_t partition = PoolPartitionOf(pool);
       const bool is_new = std::find(partitions.begin(), partitions.end(),
                                     partition) == partitions.end();
@@ -177,8 +177,8 @@
       }
     }
     StopOtherOwners(wanted);
-    // New owners read what `job_world` follows from now on.
-    deps_.world->SetOwned({wanted.begin(), wanted.end()});
+    // New owners read what `store_view` follows from now on.
+    deps_.view->SetOwned({wanted.begin(), wanted.end()});
     for (const std::uint32_t partition : wanted) {
       if (owners_.count(partition) == 0) {
         StartOwner(partition);
@@ -217,7 +217,7 @@
     pool_owner::dependencies deps;
     deps.context = deps_.context;
     deps.store = deps_.store;
-    deps.world = deps_.world;
+    deps.view = deps_.view;
     deps.archiver = deps_.archiver;
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
@@ -244,7 +244,7 @@
 
   void UpdateFleet(bool is_assigned) {
     const bool is_wanted = is_assigned && !fleet_settings_.address.empty();
-    deps_.world->SetFleetOwned(is_wanted);
+    deps_.view->SetFleetOwned(is_wanted);
     if (!is_wanted) {
       fleet_.reset();
       return;
@@ -255,7 +255,7 @@
     fleet_owner::dependencies deps;
     deps.context = deps_.context;
     deps.store = deps_.store;
-    deps.world = deps_.world;
+    deps.view = deps_.view;
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
     deps.holder = deps_.holder;
@@ -331,7 +331,7 @@
   return impl_->Counts();
 }
 
-std::vector<held_partition> ownership::HeldPartitions() const {
+std::vector<owned_partition> ownership::HeldPartitions() const {
   return impl_->HeldPartitions();
 }
 
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -15,9 +15,9 @@
 #include "jobs/group_member.h"
 #include "jobs/job_archiver.h"
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
 #include "jobs/pool_owner.h"
-#include "jobs/state_line.h"
+#include "jobs/process_state.h"
+#include "jobs/store_view.h"
 #include "peers/owner_announcement.h"
 #include "platform/store_client.h"
 
@@ -34,7 +34,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_archiver* archiver = nullptr;
     job_meters* meters = nullptr;
     /// Supplies the assignment of partitions.
@@ -64,7 +64,7 @@
   /// the releases of the pools are recorded.
   void Release(const std::function<void()>& on_released);
 
-  // Events of `job_world`.
+  // Events of `store_view`.
   void OnJob(const std::shared_ptr<const core::jobs::job_spec>& job);
   void OnCancel(const core::jobs::job_id& job);
   void OnConfiguration();
@@ -85,7 +85,7 @@
   /// Returns the scheduler counts of each pool partition that is owned.
   std::map<std::uint32_t, core::jobs::scheduler_counts> Counts() const;
   /// Returns the pool partitions that are owned or being taken over.
-  std::vector<held_partition> HeldPartitions() const;
+  std::vector<owned_partition> HeldPartitions() const;
   bool OwnsFleet() const;
 
  private:
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -93,7 +93,7 @@
 }
 
 void pool_owner::impl::ReadBeforeClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       partition_, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
@@ -116,12 +116,12 @@
     RetryClaim();
     return;
   }
-  predecessor_ = deps_.world->OwnerOf(partition_);
+  predecessor_ = deps_.view->OwnerOf(partition_);
   epoch_ = std::max({generation_, predecessor_.epoch + 1, epoch_ + 1});
   writer_ = std::make_unique<progress_writer>(
       deps_.context, deps_.store,
       adapter::store_partition{kProgressTopic, partition_}, settings_.writer);
-  writer_->Claim(epoch_, deps_.member, deps_.world->CursorOf(partition_),
+  writer_->Claim(epoch_, deps_.member, deps_.view->CursorOf(partition_),
                  [self = weak_from_this()](progress_writer::result result) {
                    const auto owner = self.lock();
                    if (owner && !owner->is_closed_) {
@@ -148,23 +148,22 @@
 // and answers both alike, so only the stored record shows whose claim was
 // accepted.
 void pool_owner::impl::VerifyClaim() {
-  deps_.world->RefreshProgress(
-      partition_, [self = weak_from_this()](bool is_read) {
-        const auto owner = self.lock();
-        if (!owner || owner->is_closed_) {
-          return;
-        }
-        const owner_record newest =
-            owner->deps_.world->OwnerOf(owner->partition_);
-        owner->is_claimed_ = is_read && newest.epoch == owner->epoch_ &&
-                             newest.member == owner->deps_.member;
-        if (owner->is_claimed_) {
-          owner->ReadAfterClaim();
-        } else {
-          owner->LogTakeoverFailed("the claim could not be read back");
-          owner->RetryClaim();
-        }
-      });
+  deps_.view->RefreshProgress(partition_, [self =
+                                               weak_from_this()](bool is_read) {
+    const auto owner = self.lock();
+    if (!owner || owner->is_closed_) {
+      return;
+    }
+    const owner_record newest = owner->deps_.view->OwnerOf(owner->partition_);
+    owner->is_claimed_ = is_read && newest.epoch == owner->epoch_ &&
+                         newest.member == owner->deps_.member;
+    if (owner->is_claimed_) {
+      owner->ReadAfterClaim();
+    } else {
+      owner->LogTakeoverFailed("the claim could not be read back");
+      owner->RetryClaim();
+    }
+  });
 }
 
 // An earlier owner may have acted on anything that it read from the store.
@@ -178,9 +177,9 @@
       owner->Activate();
     }
   };
-  deps_.world->RefreshAllJobs(done);
-  deps_.world->RefreshRegistry(done);
-  deps_.world->RefreshFleetRecords(done);
+  deps_.view->RefreshAllJobs(done);
+  deps_.view->RefreshRegistry(done);
+  deps_.view->RefreshFleetRecords(done);
   CheckPredecessor(done);
 }
 
@@ -208,7 +207,7 @@
         // partition, so a member without one has left or expired. A partition
         // without a member may still be moving from one member to another.
         const bool is_gone =
-            reply.is_read && reply.unowned == 0 &&
+            reply.is_read && reply.unowned_partitions == 0 &&
             reply.members.size() < kPoolPartitions &&
             ProcessesOf(reply.members).count(owner->predecessor_.member) == 0;
         owner->may_predecessor_be_active_ = !is_gone;
@@ -224,7 +223,7 @@
 pool_owner::impl::InheritedLeaseEnds() const {
   const core::jobs::takeover_bounds bounds = MakeBounds();
   std::map<core::jobs::vm_id, core::time_point> ends;
-  for (const auto& [vm, address] : deps_.world->UsedVms(partition_)) {
+  for (const auto& [vm, address] : deps_.view->UsedVms(partition_)) {
     const auto known = bounds.lease_ends.find(vm);
     ends[vm] = known == bounds.lease_ends.end() ? bounds.default_lease_end
                                                 : known->second;
@@ -260,7 +259,7 @@
   std::size_t open = 0;
   const core::time_point wall_claimed_at =
       WallTime() - (BootTime() - claimed_at_);
-  for (const auto& [id, entry] : deps_.world->directory().entries()) {
+  for (const auto& [id, entry] : deps_.view->directory().entries()) {
     if (core::jobs::IsFinal(entry.progress.phase)) {
       scheduler_->AddEndedJob(id);
     }
@@ -270,7 +269,7 @@
     ++open;
     // An earlier owner may have read everything that was stored before the
     // claim, so none of these jobs is treated as fresh.
-    scheduler_->AddJob(entry.spec, deps_.world->PolicyOf(entry.queue),
+    scheduler_->AddJob(entry.spec, deps_.view->PolicyOf(entry.queue),
                        claimed_at_,
                        core::jobs::AgeOf(*entry.spec, wall_claimed_at));
     scheduler_->RestoreJob(id, entry.progress);
@@ -286,15 +285,14 @@
             {"claimed_ms_ago", MillisOf(BootTime() - claimed_at_)},
             {"predecessor", predecessor_.member},
             {"predecessor_acts", may_predecessor_be_active_ ? "maybe" : "no"}});
-  const std::set<core::jobs::vm_id>& vacant =
-      deps_.world->VacantVms(partition_);
+  const std::set<core::jobs::vm_id>& vacant = deps_.view->VacantVms(partition_);
   scheduler_->RestoreVacantVms(vacant);
-  for (const auto& [id, address] : deps_.world->UsedVms(partition_)) {
+  for (const auto& [id, address] : deps_.view->UsedVms(partition_)) {
     scheduler_->AddKnownVm({id, address});
   }
   vacancy_manager_.Restore(vacant);
   LoadRegistry();
-  for (const auto& [key, value] : deps_.world->fleet_records()) {
+  for (const auto& [key, value] : deps_.view->fleet_records()) {
     ApplyFleetRecord(key);
   }
   SyncLinks();
--- /dev/null
+++ b/src/jobs/unavailable_response.h
@@ -0,0 +1,19 @@
+#ifndef PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
+#define PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
+
+#include <chrono>
+#include <string>
+
+#include "net/http_message.h"
+
+namespace plantainhead::jobs {
+
+/// Returns an answer (503) that says that nothing of the request was or will be
+/// done, and when to come back.
+/// Thread safety: safe from any thread.
+net::server_response MakeUnavailableResponse(const std::string& why,
+                                             std::chrono::seconds retry_after);
+
+}  // namespace plantainhead::jobs
+
+#endif  // PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
--- a/tests/jobs/fleet_owner_test.cc
+++ b/tests/jobs/fleet_owner_test.cc
@@ -69,7 +69,7 @@
   REQUIRE(site.AwaitReady("p1"));
   // If this were too short for an owner to become active, the test would only
   // check less.
-  site.Pass(seconds(3));
+  site.RunFor(seconds(3));
   CHECK(fleet.serviced().empty());
 
   site.store.faults.silent_topic.clear();
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -72,7 +72,7 @@
     REQUIRE_FALSE(record);
     CHECK(record.fault().field.rfind(change.place, 0) == 0);
   }
-  for (const std::string& text : testing::BrokenTexts(*valid.value)) {
+  for (const std::string& text : testing::MalformedTexts(*valid.value)) {
     CHECK_FALSE(decode({valid.key, text}));
   }
 }
@@ -101,7 +101,7 @@
                     "s[1].mm: missing", "s[1].rl: missing"},
                    kDecodeJob);
     json value = json::parse(Encode(record).value.value());
-    for (const json& invalid : {json(-1), json(adapter::kMostMillis + 1)}) {
+    for (const json& invalid : {json(-1), json(adapter::kMaxMillis + 1)}) {
       value["h"] = invalid;
       CHECK(DecodeJobRecord({kId, value.dump()}).fault() ==
             record_fault{fault_kind::kOutOfRange, "h"});
--- a/tests/jobs/foreign_site_test.cc
+++ b/tests/jobs/foreign_site_test.cc
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "jobs/job_world.h"
 #include "jobs/small_site.h"
+#include "jobs/store_view.h"
 
 // Malformed records of another writer in the store of a running deployment.
 namespace plantainhead::jobs {
@@ -19,7 +19,7 @@
         std::string::npos) {
       return true;
     }
-    site->Pass(milliseconds(20));
+    site->RunFor(milliseconds(20));
   }
   return false;
 }
--- a/tests/jobs/moved_queue_test.cc
+++ b/tests/jobs/moved_queue_test.cc
@@ -50,14 +50,14 @@
   site.AddProcess("p2");
   REQUIRE(site.AwaitReady("p1"));
   REQUIRE(site.AwaitReady("p2"));
-  site.Pass(std::chrono::seconds(1));
+  site.RunFor(std::chrono::seconds(1));
   REQUIRE(site.Submit("p1", kId).status == 200);
   const auto record = site.store.Newest("keyed.plantain-jobs", kId);
   REQUIRE(record);
   REQUIRE(site.AwaitState("p1", "completed"));
   const auto move_queue = [&] {
     site.store.Put("keyed.op", "config", MovedConfiguration());
-    site.Pass(std::chrono::seconds(2));
+    site.RunFor(std::chrono::seconds(2));
   };
 
   SECTION("before the queue moves") {}
@@ -79,7 +79,7 @@
                  JobPartitionOf("q", kNextJob));
   constexpr int kTries = 80;
   for (int i = 0; i < kTries && site.StartsOf(kNextJob + ".0.0.0") == 0; ++i) {
-    site.Pass(std::chrono::milliseconds(100));
+    site.RunFor(std::chrono::milliseconds(100));
   }
   CHECK(site.StartsOf(kNextJob + ".0.0.0") == 1);
 }
--- a/tests/jobs/narrow_link_test.cc
+++ b/tests/jobs/narrow_link_test.cc
@@ -77,20 +77,20 @@
     site.processes.at("p1")->Stop([&] { is_stopped = true; });
     REQUIRE(RunUntil(&site.context, [&] { return is_stopped; }));
     site.processes.erase("p1");
-    site.Pass(seconds(9));
+    site.RunFor(seconds(9));
   }
 
   SECTION("the group assigns the pool to another process") {
     site.store.DealAnew();
-    site.Pass(seconds(9));
+    site.RunFor(seconds(9));
   }
 
   SECTION("several reassignments in a row") {
     for (int i = 0; i < 4; ++i) {
       site.store.DealAnew();
-      site.Pass(seconds(2));
+      site.RunFor(seconds(2));
     }
-    site.Pass(seconds(4));
+    site.RunFor(seconds(4));
   }
 
   CHECK(lapsed == 0);
