--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
+#include "jobs/store_view.h"
 #include "plantainhead/core/jobs/fleet_balancer.h"
 #include "plantainhead/core/jobs/host_order_queue.h"
 #include "plantainhead/core/jobs/host_order_tracker.h"
--- a/src/jobs/fleet_records.cc
+++ b/src/jobs/fleet_records.cc
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <string_view>
 
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 
 namespace plantainhead::jobs {
 namespace {
--- a/src/jobs/job_archiver.cc
+++ b/src/jobs/job_archiver.cc
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <map>
 
-#include "jobs/job_world.h"
 #include "jobs/record_codec.h"
+#include "jobs/store_view.h"
 
 namespace plantainhead::jobs {
 
--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -9,7 +9,7 @@
 
 #include "jobs/clocks.h"
 #include "jobs/event_log.h"
-#include "jobs/refusal.h"
+#include "jobs/unavailable_response.h"
 #include "net/http_status.h"
 #include "platform/ingress_codec.h"
 
--- a/src/jobs/job_recorder.h
+++ b/src/jobs/job_recorder.h
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 #include "net/http_message.h"
 #include "plantainhead/core/jobs/job_types.h"
 #include "plantainhead/core/names.h"
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -15,9 +15,9 @@
 #include "jobs/group_member.h"
 #include "jobs/job_archiver.h"
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
 #include "jobs/pool_owner.h"
 #include "jobs/state_line.h"
+#include "jobs/store_view.h"
 #include "peers/owner_announcement.h"
 #include "platform/store_client.h"
 
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -10,8 +10,8 @@
 
 #include "jobs/job_archiver.h"
 #include "jobs/job_meters.h"
-#include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
+#include "jobs/store_view.h"
 #include "plantainhead/core/jobs/arrival_rate_monitor.h"
 #include "plantainhead/core/jobs/job_types.h"
 #include "plantainhead/core/jobs/pool_scheduler.h"
--- a/src/jobs/job_world.cc
+++ b/src/jobs/store_view.cc
@@ -1,4 +1,4 @@
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 
 #include <algorithm>
 #include <array>
--- a/src/jobs/job_world.h
+++ b/src/jobs/store_view.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_JOB_WORLD_H_
-#define PLANTAINHEAD_SRC_JOBS_JOB_WORLD_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_STORE_VIEW_H_
+#define PLANTAINHEAD_SRC_JOBS_STORE_VIEW_H_
 
 #include <cstdint>
 #include <functional>
@@ -263,4 +263,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_JOB_WORLD_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_STORE_VIEW_H_
--- a/src/jobs/job_world_faults.cc
+++ b/src/jobs/store_view_faults.cc
@@ -2,7 +2,7 @@
 
 #include "jobs/clocks.h"
 #include "jobs/fleet_records.h"
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 #include "plantainhead/core/jobs/record_faults.h"
 #include "platform/configuration_codec.h"
 
--- a/src/jobs/job_world_following.cc
+++ b/src/jobs/store_view_following.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "jobs/clocks.h"
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 
 // Which partitions a process reads, by what it owns.
 
--- a/src/jobs/job_world_refreshes.cc
+++ b/src/jobs/store_view_refreshes.cc
@@ -6,7 +6,7 @@
 
 #include "jobs/clocks.h"
 #include "jobs/event_log.h"
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 
 // Readings that somebody waits for.
 
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -10,7 +10,7 @@
 #include "jobs/job_partitions.h"
 #include "jobs/owner_relay.h"
 #include "jobs/record_codec.h"
-#include "jobs/refusal.h"
+#include "jobs/unavailable_response.h"
 #include "jobs/waiting_counts.h"
 #include "net/http_status.h"
 #include "peers/passed_request.h"
--- a/src/jobs/submissions.h
+++ b/src/jobs/submissions.h
@@ -7,8 +7,8 @@
 
 #include "jobs/job_meters.h"
 #include "jobs/job_recorder.h"
-#include "jobs/job_world.h"
 #include "jobs/owner_relay.h"
+#include "jobs/store_view.h"
 #include "net/http_message.h"
 #include "platform/store_client.h"
 
--- a/src/jobs/refusal.cc
+++ b/src/jobs/unavailable_response.cc
@@ -1,4 +1,4 @@
-#include "jobs/refusal.h"
+#include "jobs/unavailable_response.h"
 
 #include "net/http_status.h"
 #include "platform/ingress_codec.h"
--- a/src/jobs/refusal.h
+++ b/src/jobs/unavailable_response.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_REFUSAL_H_
-#define PLANTAINHEAD_SRC_JOBS_REFUSAL_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
+#define PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
 
 #include <chrono>
 #include <string>
@@ -16,4 +16,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_REFUSAL_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_UNAVAILABLE_RESPONSE_H_
--- a/tests/jobs/foreign_site_test.cc
+++ b/tests/jobs/foreign_site_test.cc
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "jobs/job_world.h"
 #include "jobs/small_site.h"
+#include "jobs/store_view.h"
 
 // Another writer puts records into the store of a deployment at work.
 namespace plantainhead::jobs {
--- a/tests/jobs/job_service_test.cc
+++ b/tests/jobs/job_service_test.cc
@@ -4,9 +4,9 @@
 #include <optional>
 #include <string>
 
-#include "jobs/job_world.h"
 #include "jobs/record_codec.h"
 #include "jobs/small_site.h"
+#include "jobs/store_view.h"
 #include "net/http_client.h"
 #include "run_until.h"
 
--- a/tests/jobs/job_world_test.cc
+++ b/tests/jobs/store_view_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
