--- a/src/jobs/caller_request.h
+++ b/src/jobs/caller_request.h
@@ -15,11 +15,11 @@
   core::jobs::job_id id;
   net::server_request request;
   net::responder respond;
-  core::time_point give_up_at;
+  core::time_point deadline;
   /// Wall time at which it came to this process.
-  core::time_point came_at;
+  core::time_point received_at;
   /// An owner that left it unanswered may have stored what it asks for.
-  bool may_land = false;
+  bool may_be_appended = false;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -66,7 +66,7 @@
 }
 
 void fleet_owner::impl::ReadBeforeClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
@@ -85,9 +85,9 @@
     After(settings_.takeover_retry, &impl::ReadBeforeClaim);
     return;
   }
-  const std::uint64_t before = deps_.world->OwnerOf(kFleetPartition).epoch;
+  const std::uint64_t before = deps_.view->OwnerOf(kFleetPartition).epoch;
   epoch_ = std::max({generation_, before + 1, epoch_ + 1});
-  writer_.Claim(epoch_, deps_.member, deps_.world->CursorOf(kFleetPartition),
+  writer_.Claim(epoch_, deps_.member, deps_.view->CursorOf(kFleetPartition),
                 [self = weak_from_this()](progress_writer::result result) {
                   const auto owner = self.lock();
                   if (!owner || owner->is_closed_) {
@@ -104,14 +104,13 @@
 
 // See `pool_owner`: another process's claim may have been stored in its place.
 void fleet_owner::impl::ReadClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       kFleetPartition, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
           return;
         }
-        const owner_record newest =
-            owner->deps_.world->OwnerOf(kFleetPartition);
+        const owner_record newest = owner->deps_.view->OwnerOf(kFleetPartition);
         const bool is_own = is_read && newest.epoch == owner->epoch_ &&
                             newest.member == owner->deps_.member;
         if (is_own) {
@@ -126,7 +125,7 @@
 // have read yet. Without them it would close VMs of hosts that were serviced
 // already, and order their service a second time.
 void fleet_owner::impl::ReadAfterClaim() {
-  deps_.world->RefreshFleetRecords([self = weak_from_this()] {
+  deps_.view->RefreshFleetRecords([self = weak_from_this()] {
     const auto owner = self.lock();
     if (owner && !owner->is_closed_) {
       owner->Begin();
@@ -138,8 +137,8 @@
   LogEvent(job_event::kOwnershipGained,
            {{"partition", "fleet"}, {"epoch", std::to_string(epoch_)}});
   is_active_ = true;
-  ledger_.Inherit(deps_.world->ordered_hosts(), BootTime());
-  for (const auto& [key, value] : deps_.world->fleet_records()) {
+  ledger_.Inherit(deps_.view->ordered_hosts(), BootTime());
+  for (const auto& [key, value] : deps_.view->fleet_records()) {
     TakeRecord(key);
   }
   TakeRecords({});
@@ -175,7 +174,7 @@
   for (const core::jobs::wave_action& action : keeper_.Plan(now)) {
     std::visit([this](const auto& kind) { Do(kind); }, action);
   }
-  balancer_.UpdateLeaving(deps_.world->registry().Draining());
+  balancer_.UpdateLeaving(deps_.view->registry().Draining());
   for (const core::jobs::move_host& move :
        balancer_.Plan(HostsNotToMove(now), now)) {
     queue_.Add(move);
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -48,7 +48,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_meters* meters = nullptr;
     std::string member;
     /// Names the process towards the platform.
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -17,12 +17,12 @@
 void fleet_owner::impl::TakeRecords(const std::set<std::string>& keys) {
   const auto work = Meter();
   bool has_new_wave = false;
-  for (const auto& [number, wave] : deps_.world->waves()) {
+  for (const auto& [number, wave] : deps_.view->waves()) {
     has_new_wave = keeper_.AddWave(wave) || has_new_wave;
   }
   if (has_new_wave) {
     // Records of the wave may have been read before the wave.
-    for (const auto& [key, value] : deps_.world->fleet_records()) {
+    for (const auto& [key, value] : deps_.view->fleet_records()) {
       TakeRecord(key);
     }
   }
@@ -35,7 +35,7 @@
 }
 
 void fleet_owner::impl::TakeRecord(const std::string& key) {
-  const auto& records = deps_.world->fleet_records();
+  const auto& records = deps_.view->fleet_records();
   const auto found = records.find(key);
   const std::string* value = found == records.end() ? nullptr : &found->second;
   if (const auto hinted = HintedVmOf(key)) {
@@ -77,8 +77,8 @@
 void fleet_owner::impl::TakeVacancies() {
   using core::jobs::vacancy_reason;
   const auto work = Meter();
-  for (const auto& [partition, vm] : deps_.world->TakeChangedVacancies()) {
-    const bool is_vacant = deps_.world->VacantVms(partition).count(vm) != 0;
+  for (const auto& [partition, vm] : deps_.view->TakeChangedVacancies()) {
+    const bool is_vacant = deps_.view->VacantVms(partition).count(vm) != 0;
     vacancies_.NoteVacant(partition, vm, is_vacant);
   }
   for (const core::jobs::vacancy_change& change : vacancies_.TakeChanges()) {
@@ -89,7 +89,7 @@
     }
   }
   for (const std::uint32_t partition : vacancies_.TakePartitionsToRead()) {
-    deps_.world->RefreshProgress(
+    deps_.view->RefreshProgress(
         partition, [self = weak_from_this(), partition](bool is_read) {
           const auto owner = self.lock();
           if (owner && !owner->is_closed_) {
@@ -101,7 +101,7 @@
 
 void fleet_owner::impl::TakeReading(std::uint32_t partition, bool is_read) {
   vacancies_.OnPartitionRead(partition, is_read,
-                             deps_.world->VacantVms(partition));
+                             deps_.view->VacantVms(partition));
   if (is_read) {
     TakeVacancies();
     Work();
@@ -130,7 +130,7 @@
   const auto work = Meter();
   if (!reply.is_read) {
     for (const adapter::faulty_host& row : reply.faults) {
-      deps_.world->faults().Note(kFleetList, row.host, row.fault);
+      deps_.view->faults().Note(kFleetList, row.host, row.fault);
     }
     is_listing_ = false;
     listed_at_ = BootTime();
@@ -149,7 +149,7 @@
   DropOffersOfGoneVms();
   std::set<core::jobs::pool_id> spare;
   for (const core::jobs::pool_settings& pool :
-       deps_.world->routes().configuration().pools) {
+       deps_.view->routes().configuration().pools) {
     if (pool.is_spare) {
       spare.insert(pool.id);
     }
@@ -162,7 +162,7 @@
 void fleet_owner::impl::AddUnreadableHosts() {
   std::vector<core::jobs::host_id> faulty;
   for (const adapter::faulty_host& row : page_faults_) {
-    deps_.world->faults().Note(kFleetList, row.host, row.fault);
+    deps_.view->faults().Note(kFleetList, row.host, row.fault);
     faulty.push_back(row.host);
   }
   page_hosts_ = core::jobs::AddUnreadableHosts(std::move(page_hosts_), faulty,
@@ -171,7 +171,7 @@
 }
 
 void fleet_owner::impl::DropOffersOfGoneVms() {
-  std::set<core::jobs::vm_id> present = deps_.world->registry().Listed();
+  std::set<core::jobs::vm_id> present = deps_.view->registry().Listed();
   for (const core::jobs::fleet_host& host : page_hosts_) {
     present.insert(host.vm);
   }
--- a/src/jobs/job_archiver.h
+++ b/src/jobs/job_archiver.h
@@ -16,7 +16,7 @@
 
 /// Time between two rounds. Each writes to the partitions of the jobs that have
 /// ended meanwhile; every call is paid for, and nobody waits for it.
-inline constexpr std::chrono::milliseconds kArchiveGap =
+inline constexpr std::chrono::milliseconds kArchiveInterval =
     std::chrono::seconds(3);
 
 /// Replaces the records of accepted jobs that have ended by short ones.
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -36,7 +36,7 @@
   count("queried", counts.queries);
   count("unknown_route", counts.unknown_route);
   count("malformed", counts.malformed);
-  count("passed_on", counts.relayed.passed_on);
+  count("passed_on", counts.relayed.forwarded);
   count("owner_failed", counts.relayed.owner_failures);
 }
 
--- a/src/jobs/job_metrics.h
+++ b/src/jobs/job_metrics.h
@@ -21,7 +21,7 @@
   /// By partition, of those that it owns.
   std::map<std::uint32_t, core::jobs::scheduler_counts> pools;
   std::size_t known_jobs = 0;
-  /// See `job_world::WatchedJobCopyAge`; nothing without an owned pool.
+  /// See `store_view::WatchedJobCopyAge`; nothing without an owned pool.
   std::optional<core::duration> job_copy_age;
   std::uint64_t configuration_version = 0;
   core::jobs::record_fault_counter::counts_by_fault faults;
--- a/src/jobs/job_partitions.cc
+++ b/src/jobs/job_partitions.cc
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-std::array<std::uint32_t, kPartitionsOfQueue> JobPartitionsOf(
+std::array<std::uint32_t, kPartitionsPerQueue> JobPartitionsOf(
     const core::jobs::queue_id& queue) {
-  std::array<std::uint32_t, kPartitionsOfQueue> partitions{};
-  for (std::uint32_t i = 0; i < kPartitionsOfQueue; ++i) {
+  std::array<std::uint32_t, kPartitionsPerQueue> partitions{};
+  for (std::uint32_t i = 0; i < kPartitionsPerQueue; ++i) {
     partitions.at(i) =
         static_cast<std::uint32_t>((Hash(queue) + i) % kJobPartitions);
   }
@@ -25,7 +25,7 @@
 
 std::uint32_t JobPartitionOf(const core::jobs::queue_id& queue,
                              const core::jobs::job_id& job) {
-  return JobPartitionsOf(queue).at(Hash(job) % kPartitionsOfQueue);
+  return JobPartitionsOf(queue).at(Hash(job) % kPartitionsPerQueue);
 }
 
 std::uint32_t PoolPartitionOf(const core::jobs::pool_id& pool) {
--- a/src/jobs/job_partitions.h
+++ b/src/jobs/job_partitions.h
@@ -20,7 +20,7 @@
 /// four, 0.888 in place of 0.863 of what callers asked was earned on a day with
 /// a store 95 times as slow for 4.5 s (six seeds), and 0.858 in place of 0.827
 /// on one of 350 VMs (one play). It costs an owner four more waiting reads.
-inline constexpr std::uint32_t kPartitionsOfQueue = 8;
+inline constexpr std::uint32_t kPartitionsPerQueue = 8;
 /// Partitions over which the pools are spread; each has an owner of its own.
 /// The store makes 32 of each topic. The last one is the fleet's.
 inline constexpr std::uint32_t kPoolPartitions = 31;
@@ -28,7 +28,7 @@
 
 /// Returns the partitions over which the jobs of the queue are spread.
 /// Thread safety: safe from any thread.
-std::array<std::uint32_t, kPartitionsOfQueue> JobPartitionsOf(
+std::array<std::uint32_t, kPartitionsPerQueue> JobPartitionsOf(
     const core::jobs::queue_id& queue);
 
 /// Returns where the submission is stored. It depends on the queue and the id
--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -22,19 +22,20 @@
  public:
   impl(boost::asio::io_context* context,
        adapter::store_client* store,
-       job_world* world,
+       store_view* view,
        job_meters* meters,
        const recorder_settings& settings)
       : context_(*context),
         store_(*store),
-        world_(*world),
+        view_(*view),
         meters_(*meters),
         settings_(settings) {}
 
   void Store(const record_request& request, const net::responder& respond) {
     record_ptr& known = pending_[request.record.key];
     if (known) {
-      known->request.may_land = known->request.may_land || request.may_land;
+      known->request.may_be_appended =
+          known->request.may_be_appended || request.may_be_appended;
       known->waiting.push_back(respond);
       return;
     }
@@ -43,8 +44,8 @@
     pending->request = request;
     pending->began_at = BootTime();
     pending->waiting.push_back(respond);
-    LookLater(pending);
-    lanes_[request.partition].waiting.push_back(pending);
+    ScheduleCheck(pending);
+    partition_queues_[request.partition].waiting.push_back(pending);
     Flush(request.partition);
   }
 
@@ -54,17 +55,17 @@
   /// One record that callers wait for.
   struct pending_record {
     explicit pending_record(boost::asio::io_context& context)
-        : look_timer(context) {}
+        : check_timer(context) {}
     record_request request;
     core::time_point began_at;
     std::vector<net::responder> waiting;
     bool is_answered = false;
-    boost::asio::steady_timer look_timer;
+    boost::asio::steady_timer check_timer;
   };
   using record_ptr = std::shared_ptr<pending_record>;
 
   /// The records for one partition.
-  struct lane {
+  struct partition_queue {
     std::vector<record_ptr> waiting;
     std::size_t in_flight = 0;
   };
@@ -72,8 +73,8 @@
   // A slow store takes appends one by one, so that what arrives while some are
   // under way goes into one append.
   void Flush(std::uint32_t partition) {
-    lane& next = lanes_[partition];
-    if (next.waiting.empty() || next.in_flight >= settings_.most_in_flight) {
+    partition_queue& next = partition_queues_[partition];
+    if (next.waiting.empty() || next.in_flight >= settings_.max_in_flight) {
       return;
     }
     ++next.in_flight;
@@ -92,46 +93,47 @@
                     if (!service) {
                       return;
                     }
-                    --service->lanes_[partition].in_flight;
+                    --service->partition_queues_[partition].in_flight;
                     for (const record_ptr& pending : *batch) {
-                      service->TakeReply(pending, reply);
+                      service->HandleReply(pending, reply);
                     }
                     service->Flush(partition);
                   });
   }
 
-  void LookLater(const record_ptr& pending) {
-    pending->look_timer.expires_after(settings_.look_interval);
-    pending->look_timer.async_wait([self = weak_from_this(), pending](
-                                       const boost::system::error_code& error) {
-      const auto service = self.lock();
-      if (service && !error && !pending->is_answered) {
-        service->Look(pending);
-      }
-    });
+  void ScheduleCheck(const record_ptr& pending) {
+    pending->check_timer.expires_after(settings_.check_interval);
+    pending->check_timer.async_wait(
+        [self = weak_from_this(),
+         pending](const boost::system::error_code& error) {
+          const auto service = self.lock();
+          if (service && !error && !pending->is_answered) {
+            service->CheckStored(pending);
+          }
+        });
   }
 
-  void Look(const record_ptr& pending) {
-    if (BootTime() >= pending->request.give_up_at) {
-      GiveUp(pending, {append_outcome::kUnknown, 0, 0, 0});
+  void CheckStored(const record_ptr& pending) {
+    if (BootTime() >= pending->request.deadline) {
+      Fail(pending, {append_outcome::kUnknown, 0, 0, 0});
       return;
     }
-    world_.RefreshJobs(pending->request.partition,
-                       [self = weak_from_this(), pending](bool /*is_read*/) {
-                         const auto service = self.lock();
-                         if (!service || pending->is_answered) {
-                           return;
-                         }
-                         if (service->IsStored(*pending)) {
-                           service->Succeed(pending, "found in the store");
-                         } else {
-                           service->LookLater(pending);
-                         }
-                       });
+    view_.RefreshJobs(pending->request.partition,
+                      [self = weak_from_this(), pending](bool /*is_read*/) {
+                        const auto service = self.lock();
+                        if (!service || pending->is_answered) {
+                          return;
+                        }
+                        if (service->IsStored(*pending)) {
+                          service->Succeed(pending, "found in the store");
+                        } else {
+                          service->ScheduleCheck(pending);
+                        }
+                      });
   }
 
   bool IsStored(const pending_record& pending) const {
-    const directory_entry* entry = world_.directory().Find(pending.request.id);
+    const directory_entry* entry = view_.directory().Find(pending.request.id);
     return entry != nullptr &&
            (pending.request.purpose == record_purpose::kJob ||
             entry->is_cancelled);
@@ -148,12 +150,12 @@
               {"part", std::to_string(pending->request.partition)},
               {"how", how},
               {"ms", Elapsed(*pending)}});
-    world_.NoteJobRecord(pending->request.partition, pending->request.record);
+    view_.NoteJobRecord(pending->request.partition, pending->request.record);
     Answer(pending, {net::kOk, {}, "{}"});
   }
 
-  void TakeReply(const record_ptr& pending,
-                 const adapter::append_reply& reply) {
+  void HandleReply(const record_ptr& pending,
+                   const adapter::append_reply& reply) {
     if (pending->is_answered) {
       return;
     }
@@ -163,16 +165,17 @@
       return;
     }
     if (reply.outcome == append_outcome::kUnknown) {
-      pending->request.may_land = true;
+      pending->request.may_be_appended = true;
     }
     const core::time_point now = BootTime();
-    const bool is_hopeless = !pending->request.may_land &&
-                             now - pending->began_at > settings_.refusal_limit;
-    const bool is_invalid =
-        reply.outcome == append_outcome::kInvalid && !pending->request.may_land;
-    if (is_invalid || is_hopeless ||
-        now + settings_.retry_pause >= pending->request.give_up_at) {
-      GiveUp(pending, reply);
+    const bool is_out_of_time =
+        !pending->request.may_be_appended &&
+        now - pending->began_at > settings_.max_rejection_time;
+    const bool is_invalid = reply.outcome == append_outcome::kInvalid &&
+                            !pending->request.may_be_appended;
+    if (is_invalid || is_out_of_time ||
+        now + settings_.retry_pause >= pending->request.deadline) {
+      Fail(pending, reply);
       return;
     }
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_);
@@ -181,7 +184,8 @@
                        timer](const boost::system::error_code& error) {
       const auto service = self.lock();
       if (service && !error && !pending->is_answered) {
-        service->lanes_[pending->request.partition].waiting.push_back(pending);
+        service->partition_queues_[pending->request.partition]
+            .waiting.push_back(pending);
         service->Flush(pending->request.partition);
       }
     });
@@ -190,16 +194,16 @@
   // A caller that is told "refused" may believe that its job never runs, so
   // after an append without an answer, or with one under way, there is no such
   // word.
-  void GiveUp(const record_ptr& pending, const adapter::append_reply& reply) {
-    const bool may_land =
-        pending->request.may_land || reply.outcome == append_outcome::kUnknown;
+  void Fail(const record_ptr& pending, const adapter::append_reply& reply) {
+    const bool may_be_appended = pending->request.may_be_appended ||
+                                 reply.outcome == append_outcome::kUnknown;
     observe::log_fields fields = {
         {"job", pending->request.id},
         {"what", std::string(core::NameOf(pending->request.purpose))},
         {"store", std::string(core::NameOf(reply.outcome))},
         {"status", std::to_string(reply.status)},
         {"ms", Elapsed(*pending)}};
-    if (may_land) {
+    if (may_be_appended) {
       ++counts_.unanswered;
       LogEvent(job_event::kJobUnanswered, fields);
       Answer(pending, adapter::EncodeFault(
@@ -209,8 +213,8 @@
     }
     ++counts_.refused;
     LogEvent(job_event::kJobRefused, fields);
-    Answer(pending,
-           Refuse("the store refused the record", settings_.retry_after));
+    Answer(pending, MakeUnavailableResponse("the store refused the record",
+                                            settings_.retry_after));
   }
 
   static std::string Elapsed(const pending_record& pending) {
@@ -219,7 +223,7 @@
 
   void Answer(const record_ptr& pending, const net::server_response& response) {
     pending->is_answered = true;
-    pending->look_timer.cancel();
+    pending->check_timer.cancel();
     pending_.erase(pending->request.record.key);
     for (const net::responder& respond : pending->waiting) {
       respond(response);
@@ -228,20 +232,20 @@
 
   boost::asio::io_context& context_;
   adapter::store_client& store_;
-  job_world& world_;
+  store_view& view_;
   job_meters& meters_;
   recorder_settings settings_;
   recorder_counts counts_;
   std::map<std::string, record_ptr> pending_;
-  std::map<std::uint32_t, lane> lanes_;
+  std::map<std::uint32_t, partition_queue> partition_queues_;
 };
 
 job_recorder::job_recorder(boost::asio::io_context* context,
                            adapter::store_client* store,
-                           job_world* world,
+                           store_view* view,
                            job_meters* meters,
                            const recorder_settings& settings)
-    : impl_(std::make_shared<impl>(context, store, world, meters, settings)) {}
+    : impl_(std::make_shared<impl>(context, store, view, meters, settings)) {}
 
 job_recorder::~job_recorder() = default;
 
--- a/src/jobs/job_recorder.h
+++ b/src/jobs/job_recorder.h
@@ -24,14 +24,14 @@
   std::chrono::milliseconds append_timeout = std::chrono::milliseconds(1400);
   /// An append without an answer is looked for in the store at this interval: a
   /// caller whose job is stored needn't wait for an answer that was lost.
-  std::chrono::milliseconds look_interval = std::chrono::milliseconds(350);
+  std::chrono::milliseconds check_interval = std::chrono::milliseconds(350);
   /// Appends to one partition that are under way at once: a second one carries
   /// on while the first, whose answer was lost, is waited for.
-  std::size_t most_in_flight = 2;
+  std::size_t max_in_flight = 2;
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(60);
   /// How long a request is tried while the store refuses it, which it does
   /// within milliseconds: outages that end within it aren't noticed.
-  std::chrono::milliseconds refusal_limit = std::chrono::milliseconds(500);
+  std::chrono::milliseconds max_rejection_time = std::chrono::milliseconds(500);
   /// What a caller is told to wait after a refusal. Outages of the store last
   /// seconds; a shorter time would bring the caller back into the same one.
   std::chrono::seconds retry_after = std::chrono::seconds(1);
@@ -55,9 +55,9 @@
   core::jobs::job_id id;
   /// Of the topic of jobs.
   std::uint32_t partition = 0;
-  core::time_point give_up_at;
+  core::time_point deadline;
   /// Another process may have appended the record already, or may yet.
-  bool may_land = false;
+  bool may_be_appended = false;
 };
 
 struct recorder_counts {
@@ -76,7 +76,7 @@
  public:
   job_recorder(boost::asio::io_context* context,
                adapter::store_client* store,
-               job_world* world,
+               store_view* view,
                job_meters* meters,
                const recorder_settings& settings);
   job_recorder(const job_recorder&) = delete;
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -36,21 +36,21 @@
 // A process that has reached neither the store nor an owner of a pool for this
 // time tells that it isn't ready: callers' jobs can't be stored here. Longer
 // than three renewals.
-constexpr milliseconds kReadyWithoutStore = milliseconds(2800);
+constexpr milliseconds kReadinessTimeout = milliseconds(2800);
 // After a request to stop new connections come for two more probes, a second
 // apart, and a little longer.
-constexpr milliseconds kProbesMissed = milliseconds(2300);
+constexpr milliseconds kMinStopTime = milliseconds(2300);
 // Cores that an owner of a pool needs. With 60 to 85 VMs it starts up to 870
 // tasks a second and takes 0.06 to 0.11 of a core over its busiest 5 s, more in
 // bursts; with 0.12 of a core it falls behind, and what it places is late. With
 // 9 to 12 VMs 0.25 of a core is plenty.
 constexpr double kOwnerCores = 0.2;
-constexpr milliseconds kStopTick = milliseconds(50);
+constexpr milliseconds kStopPollInterval = milliseconds(50);
 // A loop that is this far behind is worth a line: answers of VMs take some
 // milliseconds, and a renewal that is late by seconds loses what is owned.
-constexpr milliseconds kLoopLate = milliseconds(250);
+constexpr milliseconds kLoopLagThreshold = milliseconds(250);
 // Left of the grace when the process ends whatever is open.
-constexpr milliseconds kStopReserve = milliseconds(700);
+constexpr milliseconds kStopMargin = milliseconds(700);
 
 }  // namespace
 
@@ -65,11 +65,11 @@
         member_name_(settings.name),
         member_settings_(MakeMemberSettings(settings)),
         store_(context, settings.store_address, kStoreConnections),
-        world_(context,
-               &store_,
-               {},
-               settings.configuration_apply,
-               MakeListeners()),
+        view_(context,
+              &store_,
+              {},
+              settings.configuration_apply,
+              MakeListeners()),
         owners_(context, {}),
         submissions_(MakeSubmissionDependencies(), {}),
         archiver_(context, &store_, MakeArchiverSettings()),
@@ -118,10 +118,10 @@
           [this](const net::server_request& /*request*/,
                  const net::responder& respond) { respond(Metrics()); });
     }
-    world_.Start();
+    view_.Start();
     member_.Start();
     loop_watch_.Start();
-    AwaitState();
+    ScheduleStateLog();
   }
 
   void SetStopGrace(core::duration grace) { settings_.stop_grace = grace; }
@@ -136,7 +136,7 @@
     callers_->BeginStop();
     ownership_.Release(
         [self = shared_from_this()] { self->member_.Leave([] {}); });
-    StopTick();
+    PollStop();
   }
 
  private:
@@ -151,7 +151,7 @@
 
   static outbox_settings MakeArchiverSettings() {
     outbox_settings made;
-    made.gap = kArchiveGap;
+    made.batch_delay = kArchiveInterval;
     return made;
   }
 
@@ -159,7 +159,7 @@
     ownership::dependencies made;
     made.context = context_;
     made.store = &store_;
-    made.world = &world_;
+    made.view = &view_;
     made.archiver = &archiver_;
     made.meters = &meters_;
     made.member = &member_;
@@ -174,13 +174,13 @@
     submissions::dependencies made;
     made.context = context_;
     made.store = &store_;
-    made.world = &world_;
+    made.view = &view_;
     made.meters = &meters_;
     made.relay.owners = &owners_;
     made.relay.epoch_of = [this](std::uint32_t partition) {
       return ownership_.EpochOf(partition);
     };
-    made.relay.is_sure = [this] { return ownership_.IsSure(); };
+    made.relay.is_ownership_confirmed = [this] { return ownership_.IsSure(); };
     return made;
   }
 
@@ -199,8 +199,8 @@
     return made;
   }
 
-  job_world::listeners MakeListeners() {
-    job_world::listeners listeners;
+  store_view::listeners MakeListeners() {
+    store_view::listeners listeners;
     listeners.on_job =
         [this](const std::shared_ptr<const core::jobs::job_spec>& job) {
           const work_meter::scope work(&meters_.work(), loop_work::kJobs);
@@ -212,7 +212,7 @@
     listeners.on_configuration = [this] { ownership_.OnConfiguration(); };
     listeners.on_registry = [this] {
       const work_meter::scope work(&meters_.work(), loop_work::kRegistry);
-      ownership_.OnRegistry(world_.TakeChangedVms());
+      ownership_.OnRegistry(view_.TakeChangedVms());
     };
     listeners.on_report = [this](const core::jobs::vm_id& vm,
                                  core::time_point trusted_until) {
@@ -220,7 +220,7 @@
     };
     listeners.on_fleet_records = [this] {
       const work_meter::scope work(&meters_.work(), loop_work::kFleetRecords);
-      ownership_.OnFleetRecords(world_.TakeChangedFleetKeys());
+      ownership_.OnFleetRecords(view_.TakeChangedFleetKeys());
     };
     listeners.on_announcement =
         [this](const peers::owner_announcement& announcement) {
@@ -261,8 +261,8 @@
   }
 
   bool IsReady() const {
-    return !is_stopping_ && world_.IsLoaded() &&
-           BootTime() - AnsweredAt() < kReadyWithoutStore;
+    return !is_stopping_ && view_.IsLoaded() &&
+           BootTime() - AnsweredAt() < kReadinessTimeout;
   }
 
   void Probe(const net::server_request& request,
@@ -274,10 +274,9 @@
     const bool is_ready = IsReady();
     if (is_ready != was_ready_) {
       was_ready_ = is_ready;
-      observe::log_fields fields = {
-          {"ready", is_ready ? "yes" : "no"},
-          {"loaded", world_.IsLoaded() ? "yes" : "no"},
-          {"stopping", is_stopping_ ? "yes" : "no"}};
+      observe::log_fields fields = {{"ready", is_ready ? "yes" : "no"},
+                                    {"loaded", view_.IsLoaded() ? "yes" : "no"},
+                                    {"stopping", is_stopping_ ? "yes" : "no"}};
       AppendAge("answered_ms_ago", AnsweredAt(), &fields);
       LogEvent(job_event::kReadinessChanged, fields);
     }
@@ -290,20 +289,20 @@
     figures.submissions = submissions_.counts();
     figures.is_ready = IsReady();
     figures.pools = ownership_.Counts();
-    figures.known_jobs = world_.directory().entries().size();
+    figures.known_jobs = view_.directory().entries().size();
     if (!ownership_.Held().empty()) {
-      figures.job_copy_age = world_.WatchedJobCopyAge();
+      figures.job_copy_age = view_.WatchedJobCopyAge();
     }
-    figures.configuration_version = world_.routes().configuration().version;
-    figures.faults = world_.faults().ledger().counts();
-    figures.faulty_keys = world_.faults().ledger().FaultyKeys();
+    figures.configuration_version = view_.routes().configuration().version;
+    figures.faults = view_.faults().ledger().counts();
+    figures.faulty_keys = view_.faults().ledger().FaultyKeys();
     net::server_response response;
     response.body = FormatMetrics(figures) + meters_.ToText();
     response.content_type = "text/plain; version=0.0.4";
     return response;
   }
 
-  void AwaitState() {
+  void ScheduleStateLog() {
     state_timer_.expires_after(kStateLook);
     state_timer_.async_wait(
         [self = weak_from_this()](const boost::system::error_code& error) {
@@ -312,14 +311,14 @@
             if (service->state_pace_.IsDue(BootTime(), LinesWritten())) {
               service->LogState();
             }
-            service->AwaitState();
+            service->ScheduleStateLog();
           }
         });
   }
 
   void NoteLag(core::duration lag) {
     meters_.NoteLoopLag(lag);
-    if (lag >= kLoopLate) {
+    if (lag >= kLoopLagThreshold) {
       LogEvent(job_event::kLoopLate, {{"ms", MillisOf(lag)}});
     }
   }
@@ -330,15 +329,15 @@
     state.pools = ownership_.Held();
     state.owns_fleet = ownership_.OwnsFleet();
     state.is_ready = IsReady();
-    state.configuration_version = world_.routes().configuration().version;
+    state.configuration_version = view_.routes().configuration().version;
     if (member_.RenewedAt() != core::time_point()) {
       state.renewed_ago = BootTime() - member_.RenewedAt();
     }
     if (!state.pools.empty()) {
-      state.job_copy_age = world_.WatchedJobCopyAge();
+      state.job_copy_age = view_.WatchedJobCopyAge();
     }
     state.busy = TakeBusy();
-    state.busy_within = BootTime() - std::exchange(busy_taken_at_, BootTime());
+    state.busy_within = BootTime() - std::exchange(last_busy_at_, BootTime());
     LogEvent(job_event::kProcessState, FormatState(state));
   }
 
@@ -347,29 +346,28 @@
     const work_times totals = meters_.work().Totals();
     work_times busy{};
     for (std::size_t kind = 0; kind < busy.size(); ++kind) {
-      busy[kind] = totals[kind] - busy_taken_[kind];
+      busy[kind] = totals[kind] - last_busy_totals_[kind];
     }
-    busy_taken_ = totals;
+    last_busy_totals_ = totals;
     return busy;
   }
 
   // Stop.
 
-  void StopTick() {
+  void PollStop() {
     const core::duration age = BootTime() - stop_began_;
-    const bool is_quiet =
-        age > kProbesMissed && callers_->ActiveRequests() == 0;
-    if (is_quiet || age > settings_.stop_grace - kStopReserve) {
+    const bool is_quiet = age > kMinStopTime && callers_->ActiveRequests() == 0;
+    if (is_quiet || age > settings_.stop_grace - kStopMargin) {
       callers_->CloseIdle();
       on_stopped_();
       return;
     }
-    stop_timer_.expires_after(kStopTick);
+    stop_timer_.expires_after(kStopPollInterval);
     stop_timer_.async_wait(
         [self = weak_from_this()](const boost::system::error_code& error) {
           const auto service = self.lock();
           if (service && !error) {
-            service->StopTick();
+            service->PollStop();
           }
         });
   }
@@ -381,10 +379,10 @@
   job_meters meters_;
   store_contact store_contact_;
   state_pace state_pace_;
-  work_times busy_taken_{};
-  core::time_point busy_taken_at_ = BootTime();
+  work_times last_busy_totals_{};
+  core::time_point last_busy_at_ = BootTime();
   adapter::store_client store_;
-  job_world world_;
+  store_view view_;
   peers::owner_links owners_;
   submissions submissions_;
   job_archiver archiver_;
--- a/src/jobs/log_follower.cc
+++ b/src/jobs/log_follower.cc
@@ -39,7 +39,7 @@
         on_record_(std::move(on_record)),
         on_contact_(std::move(on_contact)),
         timer_(*context),
-        pause_(settings.least_pause) {}
+        pause_(settings.min_pause) {}
 
   void Start(follow_mode mode) {
     mode_ = mode;
@@ -52,10 +52,10 @@
   // tasks ran on for 7 s. So it reads anew at once. What the older read brings
   // is taken when it is news, and leads to no further read.
   void SetMode(follow_mode mode) {
-    const bool hastens =
+    const bool starts_watching =
         mode == follow_mode::kWatch && mode_ != follow_mode::kWatch;
     mode_ = mode;
-    if (!hastens) {
+    if (!starts_watching) {
       return;
     }
     if (is_pausing_) {
@@ -63,7 +63,7 @@
       is_pausing_ = false;
       Resume();
     } else if (is_loaded_) {
-      Follow();
+      ReadNext();
     }
   }
 
@@ -94,7 +94,7 @@
     current_refresh_.clear();
   }
 
-  void Abandon() {
+  void Abort() {
     std::vector<std::function<void(bool)>> done;
     done.swap(current_refresh_);
     done.insert(done.end(), next_refresh_.begin(), next_refresh_.end());
@@ -122,7 +122,7 @@
   // waits for that would take its pool over and start nothing.
   void Resume() {
     if (is_loaded_) {
-      Follow();
+      ReadNext();
     } else {
       Load("");
     }
@@ -148,11 +148,11 @@
   void PauseAfterFailure(void (impl::*action)()) {
     Pause(pause_, action);
     pause_ = std::min(2 * pause_, mode_ == follow_mode::kWatch
-                                      ? settings_.most_watch_pause
-                                      : settings_.most_pause);
+                                      ? settings_.max_watch_pause
+                                      : settings_.max_pause);
   }
 
-  void LoadAgain() { Load(""); }
+  void Reload() { Load(""); }
 
   // Reads the newest records, page by page, from the one after `after`.
   void Load(const std::string& after) {
@@ -161,7 +161,7 @@
     }
     const core::time_point asked_at = BootTime();
     loader_.Load({weak_from_this(), partition_, after, settings_.timeout,
-                  settings_.load_rank},
+                  settings_.load_priority},
                  [self = weak_from_this(), after,
                   asked_at](const adapter::newest_reply& reply) {
                    const auto follower = self.lock();
@@ -169,20 +169,21 @@
                      if (!reply.is_read) {
                        follower->LogUnanswered("load", asked_at, reply.status);
                      }
-                     follower->TakePage(after, reply);
+                     follower->HandlePage(after, reply);
                    }
                  });
   }
 
-  void TakePage(const std::string& after, const adapter::newest_reply& reply) {
+  void HandlePage(const std::string& after,
+                  const adapter::newest_reply& reply) {
     on_contact_(reply.is_read);
     // A page that ends where it began would come again for ever.
     const bool is_stuck = reply.has_more && reply.last_key == after;
     if (!reply.is_read || is_stuck) {
-      PauseAfterFailure(&impl::LoadAgain);
+      PauseAfterFailure(&impl::Reload);
       return;
     }
-    pause_ = settings_.least_pause;
+    pause_ = settings_.min_pause;
     if (after.empty()) {
       // Later pages may show records that are newer than this end; those before
       // it are all in the pages.
@@ -199,8 +200,8 @@
     }
     cursor_ = std::max(cursor_, load_end_);
     is_loaded_ = true;
-    NoteComplete(load_began_at_);
-    Follow();
+    AdvanceCompleteAt(load_began_at_);
+    ReadNext();
     std::vector<std::function<void()>> awaiting;
     awaiting.swap(awaiting_load_);
     for (const auto& on_loaded : awaiting) {
@@ -220,7 +221,7 @@
   }
 
   // Supersedes any read that is under way: only the newest one is continued.
-  void Follow() {
+  void ReadNext() {
     const milliseconds wait = NextWait();
     const sent_read sent{++last_read_, BootTime(), mode_};
     store_.Read(
@@ -228,19 +229,20 @@
         [self = weak_from_this(), sent](const adapter::read_reply& reply) {
           const auto follower = self.lock();
           if (follower && !follower->is_closed_) {
-            follower->TakeFollowed(sent, reply);
+            follower->HandleReadReply(sent, reply);
           }
         });
   }
 
-  void TakeFollowed(const sent_read& sent, const adapter::read_reply& reply) {
+  void HandleReadReply(const sent_read& sent,
+                       const adapter::read_reply& reply) {
     const bool is_failed = reply.outcome == read_outcome::kFailed;
     if (is_failed) {
       LogUnanswered(core::NameOf(sent.mode), sent.at, reply.status);
     }
-    const bool is_news = TakeRecords(reply);
+    const bool has_new_records = ApplyRecords(reply);
     if (reply.outcome == read_outcome::kRead && cursor_ >= reply.end) {
-      NoteComplete(sent.at);
+      AdvanceCompleteAt(sent.at);
     }
     // A record may have hastened this follower, too.
     const bool is_superseded = sent.number != last_read_;
@@ -250,25 +252,25 @@
     on_contact_(!is_failed);
     has_failed_ = is_failed;
     if (is_failed) {
-      PauseAfterFailure(&impl::Follow);
+      PauseAfterFailure(&impl::ReadNext);
       return;
     }
     // The same bytes would come again for ever. The newest record of each key
     // is all that counts, and pages of those are framed in another way.
     if (reply.outcome == read_outcome::kUnframed) {
       LogUnframed();
-      PauseAfterFailure(&impl::LoadAgain);
+      PauseAfterFailure(&impl::Reload);
       return;
     }
-    pause_ = settings_.least_pause;
+    pause_ = settings_.min_pause;
     if (reply.outcome == read_outcome::kTrimmed) {
       Load("");
       return;
     }
-    if (is_news && mode_ == follow_mode::kBackground) {
-      Pause(settings_.background_pause, &impl::Follow);
+    if (has_new_records && mode_ == follow_mode::kBackground) {
+      Pause(settings_.background_pause, &impl::ReadNext);
     } else {
-      Follow();
+      ReadNext();
     }
   }
 
@@ -292,23 +294,23 @@
               {"fault", "the records can't be told apart"}});
   }
 
-  void NoteComplete(core::time_point asked_at) {
+  void AdvanceCompleteAt(core::time_point asked_at) {
     complete_at_ = std::max(complete_at_, asked_at);
   }
 
   // Returns whether there was one that hadn't been read.
-  bool TakeRecords(const adapter::read_reply& reply) {
-    bool is_news = false;
+  bool ApplyRecords(const adapter::read_reply& reply) {
+    bool has_new_records = false;
     const core::time_point began = BootTime();
     for (const adapter::keyed_record& record : reply.records) {
       if (record.offset >= cursor_) {
         cursor_ = record.offset + 1;
         on_record_(record);
-        is_news = true;
+        has_new_records = true;
       }
     }
     LogIfSlow(reply.records.size(), began);
-    return is_news;
+    return has_new_records;
   }
 
   // All else that the process does waits meanwhile, renewals too.
@@ -337,21 +339,22 @@
         [self = weak_from_this(), sent_at](const adapter::read_reply& reply) {
           const auto follower = self.lock();
           if (follower && !follower->is_closed_) {
-            follower->TakeRefresh(sent_at, reply);
+            follower->HandleRefreshReply(sent_at, reply);
           }
         });
   }
 
-  void TakeRefresh(core::time_point sent_at, const adapter::read_reply& reply) {
+  void HandleRefreshReply(core::time_point sent_at,
+                          const adapter::read_reply& reply) {
     const bool is_read = reply.outcome == read_outcome::kRead;
     on_contact_(reply.outcome != read_outcome::kFailed);
     if (is_read) {
-      TakeRecords(reply);
+      ApplyRecords(reply);
       if (cursor_ < reply.end && !reply.records.empty()) {
         ReadForRefresh();
         return;
       }
-      NoteComplete(sent_at);
+      AdvanceCompleteAt(sent_at);
     }
     std::vector<std::function<void(bool)>> done;
     done.swap(current_refresh_);
@@ -418,8 +421,8 @@
   impl_->Refresh(std::move(on_done));
 }
 
-void log_follower::Abandon() {
-  impl_->Abandon();
+void log_follower::Abort() {
+  impl_->Abort();
 }
 
 void log_follower::AwaitLoaded(std::function<void()> on_loaded) {
--- a/src/jobs/log_follower.h
+++ b/src/jobs/log_follower.h
@@ -49,13 +49,13 @@
   /// How long the store may take to answer: 4 ms as a rule, 0.25 s when it is
   /// slow.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(900);
-  jobs::load_rank load_rank = jobs::load_rank::kFirst;
+  jobs::load_priority load_priority = jobs::load_priority::kHigh;
   /// Pause after a failed read; it doubles up to the most of its mode.
-  std::chrono::milliseconds least_pause = std::chrono::milliseconds(50);
-  std::chrono::milliseconds most_pause = std::chrono::milliseconds(800);
+  std::chrono::milliseconds min_pause = std::chrono::milliseconds(50);
+  std::chrono::milliseconds max_pause = std::chrono::milliseconds(800);
   /// An owner starts nothing until it has read what it watches, so that this is
   /// lost when the store has been away.
-  std::chrono::milliseconds most_watch_pause = std::chrono::milliseconds(100);
+  std::chrono::milliseconds max_watch_pause = std::chrono::milliseconds(100);
 };
 
 /// Reads one partition of a topic that keeps the newest record of each key:
@@ -90,7 +90,7 @@
 
   /// Ends all refreshes that are under way: as failed, since whoever waits for
   /// one has a caller that waits. Reads nothing any more.
-  void Abandon();
+  void Abort();
 
   /// Calls `on_loaded` when the partition is loaded: at once, or later.
   void AwaitLoaded(std::function<void()> on_loaded);
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -18,55 +18,55 @@
 
 // An owner that refused may be the one that the store refuses, so that this
 // process tries itself before it tells the caller so.
-bool IsSettled(const pass_reply& reply) {
+bool IsConclusive(const pass_reply& reply) {
   return reply.outcome == pass_outcome::kAnswered &&
          reply.status != net::kUnavailable &&
          reply.status != net::kGatewayTimeout;
 }
 
-bool MayLand(const pass_reply& reply) {
+bool MayBeAppended(const pass_reply& reply) {
   return reply.outcome == pass_outcome::kUnknown ||
          reply.status == net::kGatewayTimeout;
 }
 
-void Relay(const caller_request& asked, const pass_reply& reply) {
+void RespondWith(const caller_request& incoming, const pass_reply& reply) {
   net::server_response response;
   response.status = reply.status;
   response.body = reply.body;
-  asked.respond(std::move(response));
+  incoming.respond(std::move(response));
 }
 
 }  // namespace
 
 class owner_relay::impl : public std::enable_shared_from_this<impl> {
  public:
-  impl(const dependencies& dependencies, double owner_share)
-      : deps_(dependencies), owner_share_(owner_share) {}
+  impl(const dependencies& dependencies, double owner_time_share)
+      : deps_(dependencies), owner_time_share_(owner_time_share) {}
 
   bool Schedules(const pool_id& pool) const {
     return deps_.epoch_of(PoolPartitionOf(pool)) != 0;
   }
 
   bool Owns(const pool_id& pool) const {
-    return Schedules(pool) && deps_.is_sure();
+    return Schedules(pool) && deps_.is_ownership_confirmed();
   }
 
-  void Ask(const caller_request& asked,
-           const pool_id& pool,
-           const unsettled_handler& otherwise) {
+  void Forward(const caller_request& incoming,
+               const pool_id& pool,
+               const fallback_handler& fallback) {
     const std::uint32_t partition = PoolPartitionOf(pool);
-    if (!MayPassOn(asked) || !HasOwnerElsewhere(partition)) {
-      otherwise(false);
+    if (!CanForward(incoming) || !HasNewerOwner(partition)) {
+      fallback(false);
       return;
     }
-    ++counts_.passed_on;
-    const auto left = std::chrono::duration_cast<milliseconds>(
-        (asked.give_up_at - BootTime()) * owner_share_);
+    ++counts_.forwarded;
+    const auto timeout = std::chrono::duration_cast<milliseconds>(
+        (incoming.deadline - BootTime()) * owner_time_share_);
     deps_.owners->Pass(
-        partition, asked.request, left,
-        [self = weak_from_this(), asked, otherwise](const pass_reply& reply) {
+        partition, incoming.request, timeout,
+        [self = weak_from_this(), incoming, fallback](const pass_reply& reply) {
           if (const auto relay = self.lock()) {
-            relay->TakeReply(asked, reply, otherwise);
+            relay->HandleReply(incoming, reply, fallback);
           }
         });
   }
@@ -74,37 +74,38 @@
   const relay_counts& counts() const { return counts_; }
 
  private:
-  static bool MayPassOn(const caller_request& asked) {
-    return peers::HopsOf(asked.request) < peers::kMostHops;
+  static bool CanForward(const caller_request& incoming) {
+    return peers::HopsOf(incoming.request) < peers::kMostHops;
   }
 
   // An owner that isn't sure any more would only ask itself, until it knows of
   // the one that follows.
-  bool HasOwnerElsewhere(std::uint32_t partition) const {
+  bool HasNewerOwner(std::uint32_t partition) const {
     return deps_.owners->book().Latest(partition).epoch >
            deps_.epoch_of(partition);
   }
 
-  void TakeReply(const caller_request& asked,
-                 const pass_reply& reply,
-                 const unsettled_handler& otherwise) {
+  void HandleReply(const caller_request& incoming,
+                   const pass_reply& reply,
+                   const fallback_handler& fallback) {
     if (reply.outcome != pass_outcome::kAnswered) {
       ++counts_.owner_failures;
     }
-    if (IsSettled(reply)) {
-      Relay(asked, reply);
+    if (IsConclusive(reply)) {
+      RespondWith(incoming, reply);
     } else {
-      otherwise(MayLand(reply));
+      fallback(MayBeAppended(reply));
     }
   }
 
   dependencies deps_;
-  double owner_share_;
+  double owner_time_share_;
   relay_counts counts_;
 };
 
-owner_relay::owner_relay(const dependencies& dependencies, double owner_share)
-    : impl_(std::make_shared<impl>(dependencies, owner_share)) {}
+owner_relay::owner_relay(const dependencies& dependencies,
+                         double owner_time_share)
+    : impl_(std::make_shared<impl>(dependencies, owner_time_share)) {}
 
 owner_relay::~owner_relay() = default;
 
@@ -116,10 +117,10 @@
   return impl_->Owns(pool);
 }
 
-void owner_relay::Ask(const caller_request& asked,
-                      const pool_id& pool,
-                      const unsettled_handler& otherwise) {
-  impl_->Ask(asked, pool, otherwise);
+void owner_relay::Forward(const caller_request& incoming,
+                          const pool_id& pool,
+                          const fallback_handler& fallback) {
+  impl_->Forward(incoming, pool, fallback);
 }
 
 const relay_counts& owner_relay::counts() const {
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -13,7 +13,7 @@
 
 struct relay_counts {
   /// Passed on to an owner, and of those the ones that it didn't answer.
-  std::uint64_t passed_on = 0;
+  std::uint64_t forwarded = 0;
   std::uint64_t owner_failures = 0;
 };
 
@@ -29,14 +29,14 @@
     /// when it doesn't.
     std::function<std::uint64_t(std::uint32_t pool_partition)> epoch_of;
     /// Whether that surely hasn't passed on to another process.
-    std::function<bool()> is_sure;
+    std::function<bool()> is_ownership_confirmed;
   };
-  /// `may_land`: the owner may have done what was asked for, or may yet.
-  using unsettled_handler = std::function<void(bool may_land)>;
+  /// `may_be_appended`: the owner may have done what was asked for, or may yet.
+  using fallback_handler = std::function<void(bool may_be_appended)>;
 
-  /// Of the time that a request has left, an owner gets `owner_share` to answer
-  /// it. Precondition: `owner_share` is from 0 to 1.
-  owner_relay(const dependencies& dependencies, double owner_share);
+  /// Of the time that a request has left, an owner gets `owner_time_share` to
+  /// answer it. Precondition: `owner_time_share` is from 0 to 1.
+  owner_relay(const dependencies& dependencies, double owner_time_share);
   owner_relay(const owner_relay&) = delete;
   owner_relay& operator=(const owner_relay&) = delete;
   /// Requests that are under way end without their handlers being called.
@@ -48,11 +48,11 @@
   bool Owns(const core::jobs::pool_id& pool) const;
 
   /// Passes the request on to the pool's owner. Responds with the owner's
-  /// answer if that settles the request. Otherwise calls `otherwise` once: at
+  /// answer if that settles the request. Otherwise calls `fallback` once: at
   /// once when there is nobody to ask.
-  void Ask(const caller_request& asked,
-           const core::jobs::pool_id& pool,
-           const unsettled_handler& otherwise);
+  void Forward(const caller_request& incoming,
+               const core::jobs::pool_id& pool,
+               const fallback_handler& fallback);
 
   /// The reference is valid as long as the object.
   const relay_counts& counts() const;
--- a/src/jobs/ownership.cc
+++ b/src/jobs/ownership.cc
@@ -120,7 +120,7 @@
   // have changed who is dealt what.
   bool IsSure() const {
     const core::time_point known_at =
-        std::min(deps_.member->RenewedAt(), deps_.world->ConfigurationReadAt());
+        std::min(deps_.member->RenewedAt(), deps_.view->ConfigurationReadAt());
     return BootTime() < known_at + deps_.time_to_live;
   }
 
@@ -149,7 +149,7 @@
   std::vector<std::uint32_t> PartitionsWithPools() const {
     std::vector<std::uint32_t> partitions;
     for (const core::jobs::pool_id& pool :
-         deps_.world->routes().WorkingPools()) {
+         deps_.view->routes().WorkingPools()) {
       const std::uint32_t partition = PoolPartitionOf(pool);
       const bool is_new = std::find(partitions.begin(), partitions.end(),
                                     partition) == partitions.end();
@@ -177,7 +177,7 @@
     }
     EndOthers(wanted);
     // New owners read what the world follows from then on.
-    deps_.world->SetOwned({wanted.begin(), wanted.end()});
+    deps_.view->SetOwned({wanted.begin(), wanted.end()});
     for (const std::uint32_t partition : wanted) {
       if (owners_.count(partition) == 0) {
         Own(partition);
@@ -216,7 +216,7 @@
     pool_owner::dependencies deps;
     deps.context = deps_.context;
     deps.store = deps_.store;
-    deps.world = deps_.world;
+    deps.view = deps_.view;
     deps.archiver = deps_.archiver;
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
@@ -243,7 +243,7 @@
 
   void UpdateFleet(bool is_dealt) {
     const bool is_wanted = is_dealt && !fleet_settings_.address.empty();
-    deps_.world->SetFleetOwned(is_wanted);
+    deps_.view->SetFleetOwned(is_wanted);
     if (!is_wanted) {
       fleet_.reset();
       return;
@@ -254,7 +254,7 @@
     fleet_owner::dependencies deps;
     deps.context = deps_.context;
     deps.store = deps_.store;
-    deps.world = deps_.world;
+    deps.view = deps_.view;
     deps.meters = deps_.meters;
     deps.member = deps_.member_name;
     deps.holder = deps_.holder;
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -32,7 +32,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_archiver* archiver = nullptr;
     job_meters* meters = nullptr;
     /// Deals the partitions.
--- a/src/jobs/partition_loader.cc
+++ b/src/jobs/partition_loader.cc
@@ -27,26 +27,26 @@
   explicit impl(adapter::store_client* store)
       : store_(*store), window_(LoadWindow()) {}
 
-  void Load(const wanted_page& page, page_handler on_page) {
+  void Load(const page_request& page, page_handler on_page) {
     auto& waiting =
-        page.rank == load_rank::kFirst ? waiting_first_ : waiting_last_;
+        page.priority == load_priority::kHigh ? high_priority_ : low_priority_;
     waiting.push_back({page, std::move(on_page)});
-    SendNext();
+    SendQueued();
   }
 
  private:
-  struct waiting_page {
-    wanted_page page;
+  struct queued_page {
+    page_request page;
     page_handler on_page;
   };
 
-  void SendNext() {
-    while (under_way_ < window_.size()) {
-      auto& waiting = waiting_first_.empty() ? waiting_last_ : waiting_first_;
+  void SendQueued() {
+    while (in_flight_ < window_.size()) {
+      auto& waiting = high_priority_.empty() ? low_priority_ : high_priority_;
       if (waiting.empty()) {
         return;
       }
-      const waiting_page next = std::move(waiting.front());
+      const queued_page next = std::move(waiting.front());
       waiting.pop_front();
       if (!next.page.reader.expired()) {
         Send(next);
@@ -54,36 +54,36 @@
     }
   }
 
-  void Send(const waiting_page& next) {
-    ++under_way_;
+  void Send(const queued_page& next) {
+    ++in_flight_;
     const core::time_point sent_at = BootTime();
     store_.ReadNewest(next.page.partition, next.page.after, next.page.timeout,
                       [self = weak_from_this(), sent_at,
                        next](const adapter::newest_reply& reply) {
                         if (const auto loader = self.lock()) {
-                          loader->TakeReply(next, sent_at, reply);
+                          loader->HandleReply(next, sent_at, reply);
                         }
                       });
   }
 
-  void TakeReply(const waiting_page& sent,
-                 core::time_point sent_at,
-                 const adapter::newest_reply& reply) {
-    --under_way_;
+  void HandleReply(const queued_page& sent,
+                   core::time_point sent_at,
+                   const adapter::newest_reply& reply) {
+    --in_flight_;
     const core::time_point now = BootTime();
     // One that fails sooner was refused, and says nothing about the link.
     if (reply.is_read || now - sent_at >= sent.page.timeout) {
       window_.NoteResult(now - sent_at, now);
     }
     sent.on_page(reply);
-    SendNext();
+    SendQueued();
   }
 
   adapter::store_client& store_;
   core::jobs::send_window window_;
-  std::deque<waiting_page> waiting_first_;
-  std::deque<waiting_page> waiting_last_;
-  std::size_t under_way_ = 0;
+  std::deque<queued_page> high_priority_;
+  std::deque<queued_page> low_priority_;
+  std::size_t in_flight_ = 0;
 };
 
 partition_loader::partition_loader(adapter::store_client* store)
@@ -91,7 +91,7 @@
 
 partition_loader::~partition_loader() = default;
 
-void partition_loader::Load(const wanted_page& page, page_handler on_page) {
+void partition_loader::Load(const page_request& page, page_handler on_page) {
   impl_->Load(page, std::move(on_page));
 }
 
--- a/src/jobs/partition_loader.h
+++ b/src/jobs/partition_loader.h
@@ -10,13 +10,13 @@
 
 namespace plantainhead::jobs {
 
-enum class load_rank {
+enum class load_priority {
   /// Read before all pages of the other rank that wait.
-  kFirst,
-  kLast,
+  kHigh,
+  kLow,
 };
 
-struct wanted_page {
+struct page_request {
   /// The page isn't read once this is gone.
   std::weak_ptr<void> reader;
   adapter::store_partition partition;
@@ -24,7 +24,7 @@
   std::string after;
   /// Counts from the moment the read is sent.
   std::chrono::milliseconds timeout{0};
-  load_rank rank = load_rank::kFirst;
+  load_priority priority = load_priority::kHigh;
 };
 
 /// Reads pages of the newest records of partitions, a few at a time: no more
@@ -46,7 +46,7 @@
   /// Reads a page; those of the same rank in the order of the calls. A page
   /// whose reader is gone when its turn comes isn't read. `on_page` is called
   /// later, never by this call.
-  void Load(const wanted_page& page, page_handler on_page);
+  void Load(const page_request& page, page_handler on_page);
 
  private:
   class impl;
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -35,14 +35,14 @@
     lines_.AddJob(job_event::kJobRead, job->id,
                   {{"partition", std::to_string(partition_)}}, BootTime());
     const core::duration age = core::jobs::AgeOf(*job, WallTime());
-    scheduler_->AddJob(job, deps_.world->PolicyOf(job->queue), BootTime(), age);
+    scheduler_->AddJob(job, deps_.view->PolicyOf(job->queue), BootTime(), age);
     const auto size = sizes_.find(job->pool);
     if (size != sizes_.end()) {
       size->second.arrivals.RecordArrival(*job, BootTime(), age);
     }
     // Pages of the newest records may show a cancellation before its job.
     const core::jobs::directory_entry* entry =
-        deps_.world->directory().Find(job->id);
+        deps_.view->directory().Find(job->id);
     if (entry != nullptr && entry->is_cancelled) {
       scheduler_->CancelJob(job->id);
     }
@@ -62,15 +62,15 @@
   if (!scheduler_) {
     return;
   }
-  const core::jobs::vm_registry& registry = deps_.world->registry();
+  const core::jobs::vm_registry& registry = deps_.view->registry();
   for (const vm_id& id : changed) {
     const vm_description* vm = registry.Find(id);
     const bool is_own = vm != nullptr &&
-                        deps_.world->routes().HasPool(vm->pool) &&
+                        deps_.view->routes().HasPool(vm->pool) &&
                         PoolPartitionOf(vm->pool) == partition_;
     if (is_own) {
       scheduler_->UpdateVm(*vm, BootTime());
-      if (const auto until = deps_.world->report_validity().TrustedUntil(id)) {
+      if (const auto until = deps_.view->report_validity().TrustedUntil(id)) {
         scheduler_->NoteReport(id, *until);
       }
     } else {
@@ -89,19 +89,19 @@
 }
 
 void pool_owner::impl::TakeRegistry() {
-  const std::vector<vm_description> vms = deps_.world->registry().Usable(
-      deps_.world->routes(), [this](const core::jobs::pool_id& pool) {
+  const std::vector<vm_description> vms = deps_.view->registry().Usable(
+      deps_.view->routes(), [this](const core::jobs::pool_id& pool) {
         return PoolPartitionOf(pool) == partition_;
       });
   scheduler_->UpdateVms(vms, BootTime());
-  scheduler_->NoteReports(deps_.world->report_validity().trusted_until());
+  scheduler_->NoteReports(deps_.view->report_validity().trusted_until());
   Kick();
 }
 
 void pool_owner::impl::OnConfiguration() {
   if (scheduler_) {
     for (const core::jobs::queue_route& route :
-         deps_.world->routes().configuration().routes) {
+         deps_.view->routes().configuration().routes) {
       scheduler_->SetPolicy(route.queue, route.policy);
     }
     // It may name pools that it didn't before.
@@ -219,7 +219,7 @@
 // Tasks that could start are late while it isn't known what was cancelled, so
 // that there is a line on each such time.
 void pool_owner::impl::NoteCancellationsRead(core::time_point now) {
-  const core::duration age = deps_.world->WatchedJobCopyAge();
+  const core::duration age = deps_.view->WatchedJobCopyAge();
   scheduler_->NoteCancellationsRead(now - age);
   const bool may_start = scheduler_->MayStart(now);
   if (may_start != may_start_) {
@@ -287,7 +287,7 @@
   NoteVacanciesStored();
   if (batch) {
     for (const auto& [id, progress] : batch->jobs) {
-      deps_.world->NoteProgress(id, progress);
+      deps_.view->NoteProgress(id, progress);
     }
     for (const core::jobs::job_result& job : batch->results) {
       NoteJobEnd(job);
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -72,7 +72,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_archiver* archiver = nullptr;
     job_meters* meters = nullptr;
     std::string member;
--- a/src/jobs/pool_owner_fleet.cc
+++ b/src/jobs/pool_owner_fleet.cc
@@ -24,7 +24,7 @@
 }
 
 void pool_owner::impl::TakeFleetRecord(const std::string& key) {
-  const auto& records = deps_.world->fleet_records();
+  const auto& records = deps_.view->fleet_records();
   const auto record = records.find(key);
   const bool is_there = record != records.end();
   if (const auto vm = ClosedVmOf(key)) {
@@ -51,7 +51,7 @@
     scheduler_->CloseVm(vm, BootTime());
     const bool is_held = links_.count(vm) != 0;
     vacancies_.NotePresence(
-        vm, {is_held, is_held || deps_.world->registry().IsListed(vm)},
+        vm, {is_held, is_held || deps_.view->registry().IsListed(vm)},
         BootTime());
   } else {
     scheduler_->OpenVm(vm);
@@ -67,7 +67,7 @@
   const auto sizing = Meter(loop_work::kSizing);
   const core::time_point now = BootTime();
   for (const core::jobs::pool_settings& pool :
-       deps_.world->routes().configuration().pools) {
+       deps_.view->routes().configuration().pools) {
     if (pool.is_spare || PoolPartitionOf(pool.id) != partition_) {
       continue;
     }
@@ -125,8 +125,8 @@
             {"unheard", std::to_string(load.stages.unheard)},
             {"unrecorded", std::to_string(load.stages.unrecorded)},
             {"untrusted", std::to_string(load.stages.untrusted)},
-            {"vm_copy_ms", MillisOf(deps_.world->RegistryCopyAge())},
-            {"fleet_copy_ms", MillisOf(deps_.world->FleetCopyAge())},
+            {"vm_copy_ms", MillisOf(deps_.view->RegistryCopyAge())},
+            {"fleet_copy_ms", MillisOf(deps_.view->FleetCopyAge())},
             {"rising_millis", std::to_string(load.rising.cpu_millis)},
             {"used_millis", std::to_string(load.used.cpu_millis)},
             {"waiting_millis", std::to_string(load.waiting.cpu_millis)}});
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -93,7 +93,7 @@
 }
 
 void pool_owner::impl::ReadBeforeClaim() {
-  deps_.world->RefreshProgress(
+  deps_.view->RefreshProgress(
       partition_, [self = weak_from_this()](bool is_read) {
         const auto owner = self.lock();
         if (!owner || owner->is_closed_) {
@@ -116,12 +116,12 @@
     RetryClaim();
     return;
   }
-  predecessor_ = deps_.world->OwnerOf(partition_);
+  predecessor_ = deps_.view->OwnerOf(partition_);
   epoch_ = std::max({generation_, predecessor_.epoch + 1, epoch_ + 1});
   writer_ = std::make_unique<progress_writer>(
       deps_.context, deps_.store,
       adapter::store_partition{kProgressTopic, partition_}, settings_.writer);
-  writer_->Claim(epoch_, deps_.member, deps_.world->CursorOf(partition_),
+  writer_->Claim(epoch_, deps_.member, deps_.view->CursorOf(partition_),
                  [self = weak_from_this()](progress_writer::result result) {
                    const auto owner = self.lock();
                    if (owner && !owner->is_closed_) {
@@ -146,23 +146,22 @@
 // epoch. The store takes the second claim for the first one, repeated, and
 // answers it alike: only the record tells whose it was.
 void pool_owner::impl::ReadClaim() {
-  deps_.world->RefreshProgress(
-      partition_, [self = weak_from_this()](bool is_read) {
-        const auto owner = self.lock();
-        if (!owner || owner->is_closed_) {
-          return;
-        }
-        const owner_record newest =
-            owner->deps_.world->OwnerOf(owner->partition_);
-        owner->is_claimed_ = is_read && newest.epoch == owner->epoch_ &&
-                             newest.member == owner->deps_.member;
-        if (owner->is_claimed_) {
-          owner->ReadAfterClaim();
-        } else {
-          owner->LogTakeoverFailed("the claim wasn't read back");
-          owner->RetryClaim();
-        }
-      });
+  deps_.view->RefreshProgress(partition_, [self =
+                                               weak_from_this()](bool is_read) {
+    const auto owner = self.lock();
+    if (!owner || owner->is_closed_) {
+      return;
+    }
+    const owner_record newest = owner->deps_.view->OwnerOf(owner->partition_);
+    owner->is_claimed_ = is_read && newest.epoch == owner->epoch_ &&
+                         newest.member == owner->deps_.member;
+    if (owner->is_claimed_) {
+      owner->ReadAfterClaim();
+    } else {
+      owner->LogTakeoverFailed("the claim wasn't read back");
+      owner->RetryClaim();
+    }
+  });
 }
 
 // What an earlier owner may have acted on, it has read from the store. So all
@@ -175,9 +174,9 @@
       owner->Begin();
     }
   };
-  deps_.world->RefreshAllJobs(done);
-  deps_.world->RefreshRegistry(done);
-  deps_.world->RefreshFleetRecords(done);
+  deps_.view->RefreshAllJobs(done);
+  deps_.view->RefreshRegistry(done);
+  deps_.view->RefreshFleetRecords(done);
   AskForPredecessor(done);
 }
 
@@ -220,7 +219,7 @@
 pool_owner::impl::InheritedLeaseEnds() const {
   const core::jobs::takeover_bounds bounds = MakeBounds();
   std::map<core::jobs::vm_id, core::time_point> ends;
-  for (const auto& [vm, address] : deps_.world->UsedVms(partition_)) {
+  for (const auto& [vm, address] : deps_.view->UsedVms(partition_)) {
     const auto known = bounds.lease_ends.find(vm);
     ends[vm] = known == bounds.lease_ends.end() ? bounds.default_lease_end
                                                 : known->second;
@@ -254,7 +253,7 @@
   std::size_t open = 0;
   const core::time_point wall_claimed_at =
       WallTime() - (BootTime() - claimed_at_);
-  for (const auto& [id, entry] : deps_.world->directory().entries()) {
+  for (const auto& [id, entry] : deps_.view->directory().entries()) {
     if (core::jobs::IsFinal(entry.progress.phase)) {
       scheduler_->AddEndedJob(id);
     }
@@ -264,7 +263,7 @@
     ++open;
     // An earlier owner may have read all that was stored by the claim, so
     // that none of these jobs counts as fresh.
-    scheduler_->AddJob(entry.spec, deps_.world->PolicyOf(entry.queue),
+    scheduler_->AddJob(entry.spec, deps_.view->PolicyOf(entry.queue),
                        claimed_at_,
                        core::jobs::AgeOf(*entry.spec, wall_claimed_at));
     scheduler_->RestoreJob(id, entry.progress);
@@ -280,15 +279,14 @@
             {"claimed_ms_ago", MillisOf(BootTime() - claimed_at_)},
             {"predecessor", predecessor_.member},
             {"predecessor_acts", may_predecessor_act_ ? "maybe" : "no"}});
-  const std::set<core::jobs::vm_id>& vacant =
-      deps_.world->VacantVms(partition_);
+  const std::set<core::jobs::vm_id>& vacant = deps_.view->VacantVms(partition_);
   scheduler_->RestoreVacantVms(vacant);
-  for (const auto& [id, address] : deps_.world->UsedVms(partition_)) {
+  for (const auto& [id, address] : deps_.view->UsedVms(partition_)) {
     scheduler_->AddKnownVm({id, address});
   }
   vacancies_.Restore(vacant);
   TakeRegistry();
-  for (const auto& [key, value] : deps_.world->fleet_records()) {
+  for (const auto& [key, value] : deps_.view->fleet_records()) {
     TakeFleetRecord(key);
   }
   SyncLinks();
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -48,7 +48,7 @@
     links_[vm.id] = link;
   } catch (const std::invalid_argument& error) {
     // The place of its record in the partition, too, was unreadable.
-    deps_.world->faults().Note(
+    deps_.view->faults().Note(
         adapter::kRegistryTopic, vm.id,
         {core::jobs::fault_kind::kOutOfRange, error.what()});
     return;
@@ -128,7 +128,7 @@
     return;
   }
   is_reading_jobs_ = true;
-  deps_.world->RefreshAllJobs(
+  deps_.view->RefreshAllJobs(
       [self = weak_from_this(), unknown = *unknown, began = BootTime()] {
         if (const auto owner = self.lock()) {
           owner->is_reading_jobs_ = false;
@@ -152,7 +152,7 @@
     case hold_outcome::kListed:
       NoteHeard(vm, link.get(), reply.listing.incarnation);
       LogNewEnds(vm, link, reply.listing);
-      scheduler_->NoteJobsRead(deps_.world->AllJobsReadAt());
+      scheduler_->NoteJobsRead(deps_.view->AllJobsReadAt());
       scheduler_->OnListing(vm, sent_at, reply.listing, now);
       ReadUnknownJobs();
       Kick();
@@ -171,7 +171,7 @@
     case hold_outcome::kFailed:
     case hold_outcome::kUnanswered:
       if (reply.fault) {
-        deps_.world->faults().Note(kVmListing, vm, *reply.fault);
+        deps_.view->faults().Note(kVmListing, vm, *reply.fault);
       }
       if (!link->is_lost) {
         link->is_lost = true;
--- a/src/jobs/progress_writer.cc
+++ b/src/jobs/progress_writer.cc
@@ -41,7 +41,9 @@
   }
 
   bool is_writing() const { return on_done_ != nullptr; }
-  bool is_busy() const { return on_done_ != nullptr || BootTime() < free_at_; }
+  bool is_busy() const {
+    return on_done_ != nullptr || BootTime() < next_write_at_;
+  }
 
   void Close() {
     timer_.cancel();
@@ -55,12 +57,12 @@
         [self = weak_from_this()](const adapter::append_reply& reply) {
           const auto writer = self.lock();
           if (writer && writer->on_done_) {
-            writer->TakeReply(reply);
+            writer->HandleReply(reply);
           }
         });
   }
 
-  void TakeReply(const adapter::append_reply& reply) {
+  void HandleReply(const adapter::append_reply& reply) {
     const bool is_claim = call_.expected_end.has_value();
     switch (reply.outcome) {
       case append_outcome::kStored:
@@ -100,7 +102,7 @@
   }
 
   void Finish(result outcome) {
-    free_at_ = BootTime() + settings_.gap;
+    next_write_at_ = BootTime() + settings_.min_interval;
     const done_handler on_done = std::move(on_done_);
     on_done_ = nullptr;
     on_done(outcome);
@@ -111,7 +113,7 @@
   boost::asio::steady_timer timer_;
   adapter::append_call call_;
   done_handler on_done_;
-  core::time_point free_at_;
+  core::time_point next_write_at_;
 };
 
 progress_writer::progress_writer(boost::asio::io_context* context,
--- a/src/jobs/progress_writer.h
+++ b/src/jobs/progress_writer.h
@@ -20,7 +20,7 @@
   std::chrono::milliseconds timeout = std::chrono::milliseconds(1000);
   /// Least time between two appends. All that changes meanwhile goes into the
   /// next one; it adds half of this to the time until a job is seen to end.
-  std::chrono::milliseconds gap = std::chrono::milliseconds(35);
+  std::chrono::milliseconds min_interval = std::chrono::milliseconds(35);
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(100);
 };
 
--- a/src/jobs/record_outbox.cc
+++ b/src/jobs/record_outbox.cc
@@ -26,7 +26,7 @@
     waiting_[key] = std::move(record);
     if (!is_busy_) {
       is_busy_ = true;
-      FlushAfter(settings_.gap);
+      FlushAfter(settings_.batch_delay);
     }
   }
 
@@ -59,13 +59,13 @@
         call, settings_.timeout,
         [self = weak_from_this(), call](const adapter::append_reply& reply) {
           if (const auto outbox = self.lock()) {
-            outbox->TakeReply(call, reply);
+            outbox->HandleReply(call, reply);
           }
         });
   }
 
-  void TakeReply(const adapter::append_call& call,
-                 const adapter::append_reply& reply) {
+  void HandleReply(const adapter::append_call& call,
+                   const adapter::append_reply& reply) {
     if (reply.outcome == adapter::append_outcome::kInvalid) {
       LogEvent(job_event::kRecordInvalid,
                {{"topic", partition_.topic},
@@ -82,7 +82,7 @@
     if (waiting_.empty()) {
       is_busy_ = false;
     } else {
-      FlushAfter(settings_.gap);
+      FlushAfter(settings_.batch_delay);
     }
   }
 
--- a/src/jobs/record_outbox.h
+++ b/src/jobs/record_outbox.h
@@ -16,7 +16,7 @@
   /// For the store's answer: 6 ms as a rule, 0.4 s when it is slow.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(1000);
   /// How long the first record waits for others that go with it.
-  std::chrono::milliseconds gap = std::chrono::milliseconds(0);
+  std::chrono::milliseconds batch_delay = std::chrono::milliseconds(0);
   /// Pause after an append that wasn't stored, or may not be.
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(200);
 };
--- a/src/jobs/state_line.h
+++ b/src/jobs/state_line.h
@@ -32,7 +32,7 @@
   std::optional<core::duration> renewed_ago;
   /// The most since the last line; see `loop_watch`.
   core::duration loop_lag{};
-  /// See `job_world::WatchedJobCopyAge`; nothing without an owned pool.
+  /// See `store_view::WatchedJobCopyAge`; nothing without an owned pool.
   std::optional<core::duration> job_copy_age;
   /// Processor time since the last line, and how long ago that was.
   std::optional<work_times> busy;
--- a/src/jobs/store_view.cc
+++ b/src/jobs/store_view.cc
@@ -18,16 +18,16 @@
 
 // Processes that can't read the store learn of a configuration some seconds
 // later than it applies, and what they store may itself land late.
-constexpr std::chrono::seconds kFormerRoute(30);
+constexpr std::chrono::seconds kFormerRouteRetention(30);
 
 // Each process reads what operators publish, and each idle read is a call to
 // the store, so that those who own nothing wait longer. A read that hangs is
 // given up, and the next one answered, within the time that is allowed.
 follower_settings OperatorSettings(follower_settings settings,
                                    core::duration apply) {
-  constexpr int kReadsWithin = 2;
+  constexpr int kReadsPerApplyTime = 2;
   const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
-      apply / kReadsWithin - settings.timeout);
+      apply / kReadsPerApplyTime - settings.timeout);
   settings.background_wait = std::max(settings.watch_wait, wait);
   settings.background_pause = std::chrono::milliseconds(0);
   return settings;
@@ -45,34 +45,35 @@
 
 }  // namespace
 
-job_world::job_world(boost::asio::io_context* context,
-                     adapter::store_client* store,
-                     const follower_settings& settings,
-                     core::duration configuration_apply,
-                     listeners listeners)
+store_view::store_view(boost::asio::io_context* context,
+                       adapter::store_client* store,
+                       const follower_settings& settings,
+                       core::duration configuration_apply,
+                       listeners listeners)
     : context_(context),
       store_(store),
       loader_(store),
       settings_(settings),
       listeners_(std::move(listeners)),
-      registry_news_(context, [this] { listeners_.on_registry(); }),
-      fleet_records_news_(context, [this] { listeners_.on_fleet_records(); }) {
+      registry_notification_(context, [this] { listeners_.on_registry(); }),
+      fleet_records_notification_(context,
+                                  [this] { listeners_.on_fleet_records(); }) {
   operators_ = MakeFollower(
       {adapter::kOperatorTopic, 0},
       OperatorSettings(settings, configuration_apply),
-      [this](const adapter::keyed_record& r) { TakeOperatorRecord(r); });
+      [this](const adapter::keyed_record& r) { ApplyOperatorRecord(r); });
   addresses_ = MakeFollower(
       {adapter::kAddressTopic, 0}, AddressSettings(settings),
-      [this](const adapter::keyed_record& r) { TakeAnnouncement(r); });
+      [this](const adapter::keyed_record& r) { ApplyAnnouncement(r); });
 }
 
-std::shared_ptr<log_follower> job_world::MakeFollower(
+std::shared_ptr<log_follower> store_view::MakeFollower(
     const adapter::store_partition& partition,
     log_follower::record_handler on_record) {
   return MakeFollower(partition, settings_, std::move(on_record));
 }
 
-std::shared_ptr<log_follower> job_world::MakeFollower(
+std::shared_ptr<log_follower> store_view::MakeFollower(
     const adapter::store_partition& partition,
     const follower_settings& settings,
     log_follower::record_handler on_record) {
@@ -81,21 +82,21 @@
       [this](bool is_answered) { listeners_.on_store_contact(is_answered); });
 }
 
-void job_world::Start() {
+void store_view::Start() {
   operators_->Start(follow_mode::kBackground);
   addresses_->Start(follow_mode::kWatch);
 }
 
-bool job_world::IsLoaded() const {
+bool store_view::IsLoaded() const {
   return routes_.configuration().version > 0;
 }
 
-core::time_point job_world::ConfigurationReadAt() const {
+core::time_point store_view::ConfigurationReadAt() const {
   return operators_->CompleteAt();
 }
 
 template <typename Partitions>
-core::duration job_world::CopyAgeOf(const Partitions& partitions) const {
+core::duration store_view::CopyAgeOf(const Partitions& partitions) const {
   const core::time_point now = BootTime();
   core::time_point oldest = now;
   for (const std::uint32_t partition : partitions) {
@@ -107,33 +108,34 @@
   return now - oldest;
 }
 
-core::time_point job_world::AllJobsReadAt() const {
+core::time_point store_view::AllJobsReadAt() const {
   std::array<std::uint32_t, kJobPartitions> all{};
   std::iota(all.begin(), all.end(), 0U);
-  return std::max(all_read_at_, BootTime() - CopyAgeOf(all));
+  return std::max(all_jobs_read_at_, BootTime() - CopyAgeOf(all));
 }
 
-core::duration job_world::JobCopyAge(const core::jobs::queue_id& queue) const {
+core::duration store_view::JobCopyAge(const core::jobs::queue_id& queue) const {
   return CopyAgeOf(JobPartitionsOf(queue));
 }
 
-core::duration job_world::WatchedJobCopyAge() const {
-  return CopyAgeOf(watched_);
+core::duration store_view::WatchedJobCopyAge() const {
+  return CopyAgeOf(watched_job_partitions_);
 }
 
-core::duration job_world::AgeOf(const std::shared_ptr<log_follower>& follower) {
+core::duration store_view::AgeOf(
+    const std::shared_ptr<log_follower>& follower) {
   return BootTime() - (follower ? follower->CompleteAt() : core::time_point());
 }
 
-core::duration job_world::RegistryCopyAge() const {
+core::duration store_view::RegistryCopyAge() const {
   return AgeOf(registry_follower_);
 }
 
-core::duration job_world::FleetCopyAge() const {
+core::duration store_view::FleetCopyAge() const {
   return AgeOf(fleet_follower_);
 }
 
-bool job_world::KnowsQueue(const core::jobs::queue_route& route) const {
+bool store_view::IsQueueLoaded(const core::jobs::queue_route& route) const {
   const auto partitions = JobPartitionsOf(route.queue);
   return std::all_of(
       partitions.begin(), partitions.end(), [this](std::uint32_t partition) {
@@ -142,35 +144,35 @@
       });
 }
 
-core::jobs::queue_policy job_world::PolicyOf(
+core::jobs::queue_policy store_view::PolicyOf(
     const core::jobs::queue_id& queue) const {
   const auto found = policies_.find(queue);
   return found == policies_.end() ? core::jobs::queue_policy() : found->second;
 }
 
-owner_record job_world::OwnerOf(std::uint32_t pool_partition) const {
+owner_record store_view::OwnerOf(std::uint32_t pool_partition) const {
   const auto found = owners_.find(pool_partition);
   return found == owners_.end() ? owner_record() : found->second;
 }
 
-std::uint64_t job_world::CursorOf(std::uint32_t pool_partition) const {
+std::uint64_t store_view::CursorOf(std::uint32_t pool_partition) const {
   const auto found = pool_followers_.find(pool_partition);
   return found == pool_followers_.end() ? 0 : found->second->cursor();
 }
 
-void job_world::NoteJobRecord(std::uint32_t partition,
-                              const adapter::keyed_record& record) {
+void store_view::NoteJobRecord(std::uint32_t partition,
+                               const adapter::keyed_record& record) {
   if (job_followers_.count(partition) != 0) {
-    TakeJobRecord(record);
+    ApplyJobRecord(record);
   }
 }
 
-void job_world::NoteProgress(const core::jobs::job_id& id,
-                             core::jobs::job_progress progress) {
+void store_view::NoteProgress(const core::jobs::job_id& id,
+                              core::jobs::job_progress progress) {
   directory_.NoteProgress(id, std::move(progress));
 }
 
-void job_world::TakeJobRecord(const adapter::keyed_record& record) {
+void store_view::ApplyJobRecord(const adapter::keyed_record& record) {
   const bool is_dropped = !record.value && !record.fault;
   if (is_dropped) {
     return;
@@ -206,12 +208,12 @@
              *decoded);
 }
 
-void job_world::TakePoolRecord(std::uint32_t partition,
-                               const adapter::keyed_record& record) {
+void store_view::ApplyPoolRecord(std::uint32_t partition,
+                                 const adapter::keyed_record& record) {
   auto decoded = DecodePoolRecord(record);
   if (!decoded) {
     if (record.value || record.fault) {
-      TakePoolFault(partition, record, decoded.fault());
+      ApplyPoolFault(partition, record, decoded.fault());
     }
     return;
   }
@@ -221,9 +223,9 @@
                                                  std::move(progress.progress));
                        },
                        [this, partition](owner_record& owner) {
-                         owner_record& note = owners_[partition];
-                         if (owner.epoch >= note.epoch) {
-                           note = std::move(owner);
+                         owner_record& current = owners_[partition];
+                         if (owner.epoch >= current.epoch) {
+                           current = std::move(owner);
                          }
                        },
                        [this, partition](vm_record& vm) {
@@ -253,7 +255,7 @@
       *decoded);
 }
 
-void job_world::TakeOperatorRecord(const adapter::keyed_record& record) {
+void store_view::ApplyOperatorRecord(const adapter::keyed_record& record) {
   if (record.fault) {
     faults_.Note(adapter::kOperatorTopic, record.key, *record.fault);
     return;
@@ -262,7 +264,7 @@
     return;
   }
   if (record.key == adapter::kConfigurationKey) {
-    TakeConfiguration(*record.value);
+    ApplyConfiguration(*record.value);
     return;
   }
   if (HasPrefix(record.key, adapter::kWaveKeyPrefix)) {
@@ -277,11 +279,11 @@
     }
     // Records may be read again; the first reading tells the time.
     waves_.try_emplace(wave->number, std::move(*wave));
-    fleet_records_news_.Request();
+    fleet_records_notification_.Request();
   }
 }
 
-void job_world::NoteFormerRoutes(
+void store_view::RetainFormerRoutes(
     const core::jobs::routing_configuration& next) {
   for (const core::jobs::queue_route& route : routes_.configuration().routes) {
     const bool stays = std::any_of(
@@ -289,12 +291,13 @@
           return other.queue == route.queue && other.pool == route.pool;
         });
     if (!stays) {
-      former_routes_[{route.pool, route.queue}] = BootTime() + kFormerRoute;
+      former_routes_[{route.pool, route.queue}] =
+          BootTime() + kFormerRouteRetention;
     }
   }
 }
 
-void job_world::TakeConfiguration(const std::string& value) {
+void store_view::ApplyConfiguration(const std::string& value) {
   auto decoded = adapter::DecodeConfiguration(value);
   if (!decoded) {
     faults_.Note(adapter::kOperatorTopic, adapter::kConfigurationKey,
@@ -310,7 +313,7 @@
   if (decoded->version <= routes_.configuration().version) {
     return;
   }
-  NoteFormerRoutes(*decoded);
+  RetainFormerRoutes(*decoded);
   routes_ = core::jobs::routing_table(std::move(*decoded));
   for (const core::jobs::queue_route& route : routes_.configuration().routes) {
     policies_[route.queue] = route.policy;
@@ -322,7 +325,7 @@
   listeners_.on_configuration();
 }
 
-void job_world::TakeAnnouncement(const adapter::keyed_record& record) {
+void store_view::ApplyAnnouncement(const adapter::keyed_record& record) {
   if (!record.value && !record.fault) {
     return;
   }
--- a/src/jobs/store_view.h
+++ b/src/jobs/store_view.h
@@ -41,11 +41,11 @@
 /// them: all readers share the store's bandwidth, and when each of some hundred
 /// processes read every job, reads took longer than their timeouts, were sent
 /// again by all, and none came through any more.
-/// Four files share its state: what is known (`job_world.cc`), records that
+/// Four files share its state: what is known (`store_view.cc`), records that
 /// can't be used (`job_world_faults.cc`), which partitions are read
 /// (`job_world_following.cc`), and readings that somebody waits for
 /// (`job_world_refreshes.cc`). Not thread-safe.
-class job_world {
+class store_view {
  public:
   /// What may have changed. `on_registry` and `on_fleet_records` are called
   /// once for many records, soon after these are known; see `TakeChangedVms`
@@ -65,13 +65,13 @@
   };
 
   /// `configuration_apply`: within this time a configuration must be known.
-  job_world(boost::asio::io_context* context,
-            adapter::store_client* store,
-            const follower_settings& settings,
-            core::duration configuration_apply,
-            listeners listeners);
-  job_world(const job_world&) = delete;
-  job_world& operator=(const job_world&) = delete;
+  store_view(boost::asio::io_context* context,
+             adapter::store_client* store,
+             const follower_settings& settings,
+             core::duration configuration_apply,
+             listeners listeners);
+  store_view(const store_view&) = delete;
+  store_view& operator=(const store_view&) = delete;
 
   void Start();
   /// True when there is a configuration.
@@ -93,11 +93,11 @@
   core::duration FleetCopyAge() const;
   /// Returns how far VMs' entries are trusted; valid as long as the object.
   const core::jobs::report_validity& report_validity() const {
-    return report_ages_;
+    return report_validity_;
   }
   /// Returns whether the partitions that tell of the queue's jobs are being
   /// read, and have been read once.
-  bool KnowsQueue(const core::jobs::queue_route& route) const;
+  bool IsQueueLoaded(const core::jobs::queue_route& route) const;
 
   const core::jobs::routing_table& routes() const { return routes_; }
   const core::jobs::job_directory& directory() const { return directory_; }
@@ -178,36 +178,36 @@
   void SetFleetOwned(bool is_owned);
 
  private:
-  void TakeJobRecord(const adapter::keyed_record& record);
-  void TakePoolRecord(std::uint32_t partition,
-                      const adapter::keyed_record& record);
+  void ApplyJobRecord(const adapter::keyed_record& record);
+  void ApplyPoolRecord(std::uint32_t partition,
+                       const adapter::keyed_record& record);
   /// Does what the fault of a record of the partition asks for.
-  void TakePoolFault(std::uint32_t partition,
-                     const adapter::keyed_record& record,
-                     const core::jobs::record_fault& fault);
-  void TakeFleetRecord(const adapter::keyed_record& record);
-  void TakeOperatorRecord(const adapter::keyed_record& record);
+  void ApplyPoolFault(std::uint32_t partition,
+                      const adapter::keyed_record& record,
+                      const core::jobs::record_fault& fault);
+  void ApplyFleetRecord(const adapter::keyed_record& record);
+  void ApplyOperatorRecord(const adapter::keyed_record& record);
   /// Notes the queues' routes that the next configuration doesn't have.
-  void NoteFormerRoutes(const core::jobs::routing_configuration& next);
-  void TakeConfiguration(const std::string& value);
-  void TakeRegistryRecord(const adapter::keyed_record& record);
-  void TakeAnnouncement(const adapter::keyed_record& record);
+  void RetainFormerRoutes(const core::jobs::routing_configuration& next);
+  void ApplyConfiguration(const std::string& value);
+  void ApplyRegistryRecord(const adapter::keyed_record& record);
+  void ApplyAnnouncement(const adapter::keyed_record& record);
   void FollowJobs();
-  void LeaveJobs(std::uint32_t partition);
+  void UnfollowJobs(std::uint32_t partition);
   void FollowPools();
   void FollowFleet();
-  void LeaveFleet();
+  void UnfollowFleet();
   bool IsPoolFollowed(std::uint32_t partition) const;
   void RefreshUntilRead(const std::weak_ptr<log_follower>& reader,
                         const std::function<void()>& on_read);
-  void RepeatRefresh(const std::weak_ptr<log_follower>& reader,
-                     const std::function<void()>& on_read);
+  void RetryRefresh(const std::weak_ptr<log_follower>& reader,
+                    const std::function<void()>& on_read);
   static core::duration AgeOf(const std::shared_ptr<log_follower>& follower);
   template <typename Partitions>
   core::duration CopyAgeOf(const Partitions& partitions) const;
   std::set<std::uint32_t> WatchedJobPartitions() const;
   void UpdateFollowers();
-  void EndReadingOfAll();
+  void EndFullRefresh();
   log_follower& PoolFollower(std::uint32_t partition);
   std::shared_ptr<log_follower> MakeFollower(
       const adapter::store_partition& partition,
@@ -223,12 +223,12 @@
   follower_settings settings_;
   listeners listeners_;
   /// Many records come at once, and what listens to them looks through all.
-  paced_action registry_news_;
-  paced_action fleet_records_news_;
+  paced_action registry_notification_;
+  paced_action fleet_records_notification_;
   core::jobs::routing_table routes_;
   core::jobs::job_directory directory_;
   core::jobs::vm_registry registry_;
-  core::jobs::report_validity report_ages_;
+  core::jobs::report_validity report_validity_;
   fault_log faults_;
   std::map<std::uint64_t, core::jobs::maintenance_wave> waves_;
   std::map<std::string, std::string> fleet_records_;
@@ -245,13 +245,13 @@
   std::map<std::uint32_t, std::map<core::jobs::vm_id, std::string>> used_vms_;
   std::map<std::uint32_t, std::set<core::jobs::vm_id>> vacant_vms_;
   std::map<core::jobs::host_id, std::string> ordered_hosts_;
-  std::vector<std::uint32_t> owned_;
-  std::set<std::uint32_t> watched_;
+  std::vector<std::uint32_t> owned_pool_partitions_;
+  std::set<std::uint32_t> watched_job_partitions_;
   bool is_fleet_owned_ = false;
 
   /// Readings of all jobs that are under way.
-  std::size_t readings_of_all_ = 0;
-  core::time_point all_read_at_;
+  std::size_t full_refreshes_ = 0;
+  core::time_point all_jobs_read_at_;
 
   std::shared_ptr<log_follower> operators_;
   std::shared_ptr<log_follower> addresses_;
--- a/src/jobs/store_view_faults.cc
+++ b/src/jobs/store_view_faults.cc
@@ -28,7 +28,7 @@
   return record_use::kProgress;
 }
 
-core::jobs::decoded<core::jobs::vm_description> DecodeEntry(
+core::jobs::decoded<core::jobs::vm_description> DecodeVmEntry(
     const adapter::keyed_record& record) {
   if (record.fault) {
     return *record.fault;
@@ -38,9 +38,9 @@
 
 }  // namespace
 
-void job_world::TakePoolFault(std::uint32_t partition,
-                              const adapter::keyed_record& record,
-                              const core::jobs::record_fault& fault) {
+void store_view::ApplyPoolFault(std::uint32_t partition,
+                                const adapter::keyed_record& record,
+                                const core::jobs::record_fault& fault) {
   faults_.Note(kProgressTopic, record.key, fault);
   const pool_key key = PoolKeyOf(record.key);
   switch (EffectOf(UseOf(key.kind))) {
@@ -65,7 +65,7 @@
   }
 }
 
-void job_world::TakeFleetRecord(const adapter::keyed_record& record) {
+void store_view::ApplyFleetRecord(const adapter::keyed_record& record) {
   if (const auto fault = FaultOfFleetRecord(record)) {
     faults_.Note(kFleetTopic, record.key, *fault);
     return;
@@ -77,19 +77,19 @@
     fleet_records_.erase(record.key);
   }
   changed_fleet_keys_.insert(record.key);
-  fleet_records_news_.Request();
+  fleet_records_notification_.Request();
 }
 
-void job_world::TakeRegistryRecord(const adapter::keyed_record& record) {
+void store_view::ApplyRegistryRecord(const adapter::keyed_record& record) {
   const bool is_dropped = !record.value && !record.fault;
   if (is_dropped) {
-    report_ages_.Drop(record.key);
+    report_validity_.Drop(record.key);
     registry_.Drop(record.key);
     faults_.NoteValid(adapter::kRegistryTopic, record.key);
-  } else if (auto vm = DecodeEntry(record)) {
-    const bool is_named =
+  } else if (auto vm = DecodeVmEntry(record)) {
+    const bool is_pool_configured =
         routes_.configuration().version == 0 || routes_.HasPool(vm->pool);
-    if (is_named) {
+    if (is_pool_configured) {
       faults_.NoteValid(adapter::kRegistryTopic, record.key);
     } else {
       // A configuration that names it may still come.
@@ -98,9 +98,9 @@
     }
     // The record was written after what had been read before it.
     const bool is_loaded = registry_follower_ && registry_follower_->IsLoaded();
-    report_ages_.Note(
+    report_validity_.Note(
         record.key, is_loaded ? registry_follower_->CompleteAt() : BootTime());
-    if (const auto until = report_ages_.TrustedUntil(record.key)) {
+    if (const auto until = report_validity_.TrustedUntil(record.key)) {
       listeners_.on_report(record.key, *until);
     }
     if (!registry_.Put(std::move(*vm))) {
@@ -113,7 +113,7 @@
     }
   }
   changed_vms_.insert(record.key);
-  registry_news_.Request();
+  registry_notification_.Request();
 }
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/store_view_following.cc
+++ b/src/jobs/store_view_following.cc
@@ -13,32 +13,33 @@
 // An owner claims its pool before it knows all jobs, and an owner that doesn't
 // know the configuration gives no orders.
 follower_settings JobSettings(follower_settings settings) {
-  settings.load_rank = load_rank::kLast;
+  settings.load_priority = load_priority::kLow;
   return settings;
 }
 
 }  // namespace
 
-log_follower& job_world::PoolFollower(std::uint32_t partition) {
+log_follower& store_view::PoolFollower(std::uint32_t partition) {
   std::shared_ptr<log_follower>& follower = pool_followers_[partition];
   if (!follower) {
     follower = MakeFollower({kProgressTopic, partition},
                             [this, partition](const adapter::keyed_record& r) {
-                              TakePoolRecord(partition, r);
+                              ApplyPoolRecord(partition, r);
                             });
     follower->Start(follow_mode::kBackground);
   }
   return *follower;
 }
 
-bool job_world::IsPoolFollowed(std::uint32_t partition) const {
-  const auto owned = std::find(owned_.begin(), owned_.end(), partition);
-  return is_fleet_owned_ || owned != owned_.end();
+bool store_view::IsPoolFollowed(std::uint32_t partition) const {
+  const auto owned = std::find(owned_pool_partitions_.begin(),
+                               owned_pool_partitions_.end(), partition);
+  return is_fleet_owned_ || owned != owned_pool_partitions_.end();
 }
 
 // What the partitions told is forgotten when they are read no more: nothing
 // would take out of it what is dropped from the store meanwhile.
-void job_world::FollowPools() {
+void store_view::FollowPools() {
   for (auto it = pool_followers_.begin(); it != pool_followers_.end();) {
     const std::uint32_t partition = it->first;
     if (IsPoolFollowed(partition)) {
@@ -61,12 +62,12 @@
   }
 }
 
-void job_world::SetOwned(const std::vector<std::uint32_t>& pool_partitions) {
-  owned_ = pool_partitions;
+void store_view::SetOwned(const std::vector<std::uint32_t>& pool_partitions) {
+  owned_pool_partitions_ = pool_partitions;
   UpdateFollowers();
 }
 
-void job_world::SetFleetOwned(bool is_owned) {
+void store_view::SetFleetOwned(bool is_owned) {
   is_fleet_owned_ = is_owned;
   changed_vacancies_.clear();
   UpdateFollowers();
@@ -75,13 +76,14 @@
 // An owner must learn of new jobs at once, and of cancellations also of jobs
 // whose queue has moved to another pool since: read in the background these
 // came 7 s late.
-std::set<std::uint32_t> job_world::WatchedJobPartitions() const {
+std::set<std::uint32_t> store_view::WatchedJobPartitions() const {
   std::set<std::uint32_t> watched;
   const auto watch = [&](const core::jobs::pool_id& pool,
                          const core::jobs::queue_id& queue) {
     const auto owned =
-        std::find(owned_.begin(), owned_.end(), PoolPartitionOf(pool));
-    if (owned != owned_.end()) {
+        std::find(owned_pool_partitions_.begin(), owned_pool_partitions_.end(),
+                  PoolPartitionOf(pool));
+    if (owned != owned_pool_partitions_.end()) {
       const auto partitions = JobPartitionsOf(queue);
       watched.insert(partitions.begin(), partitions.end());
     }
@@ -100,13 +102,13 @@
   return watched;
 }
 
-void job_world::FollowJobs() {
-  watched_ = WatchedJobPartitions();
-  const bool reads_all = readings_of_all_ > 0;
+void store_view::FollowJobs() {
+  watched_job_partitions_ = WatchedJobPartitions();
+  const bool reads_all = full_refreshes_ > 0;
   for (std::uint32_t i = 0; i < kJobPartitions; ++i) {
-    const bool is_watched = watched_.count(i) != 0;
+    const bool is_watched = watched_job_partitions_.count(i) != 0;
     if (!is_watched && !reads_all) {
-      LeaveJobs(i);
+      UnfollowJobs(i);
       continue;
     }
     const follow_mode mode =
@@ -118,29 +120,29 @@
     }
     follower = MakeFollower(
         {kJobTopic, i}, JobSettings(settings_),
-        [this](const adapter::keyed_record& r) { TakeJobRecord(r); });
+        [this](const adapter::keyed_record& r) { ApplyJobRecord(r); });
     follower->Start(mode);
   }
 }
 
-void job_world::LeaveJobs(std::uint32_t partition) {
+void store_view::UnfollowJobs(std::uint32_t partition) {
   const auto found = job_followers_.find(partition);
   if (found != job_followers_.end()) {
     const auto follower = std::move(found->second);
     job_followers_.erase(found);
-    follower->Abandon();
+    follower->Abort();
   }
 }
 
-void job_world::UpdateFollowers() {
+void store_view::UpdateFollowers() {
   FollowJobs();
   FollowPools();
-  const bool owns_any = !owned_.empty() || is_fleet_owned_;
+  const bool owns_any = !owned_pool_partitions_.empty() || is_fleet_owned_;
   // An owner gives no orders while it doesn't know what operators want.
   operators_->SetMode(owns_any ? follow_mode::kWatch
                                : follow_mode::kBackground);
   if (!owns_any) {
-    LeaveFleet();
+    UnfollowFleet();
     return;
   }
   FollowFleet();
@@ -148,25 +150,25 @@
   registry_follower_->SetMode(follow_mode::kWatch);
 }
 
-void job_world::FollowFleet() {
+void store_view::FollowFleet() {
   if (registry_follower_) {
     return;
   }
   registry_follower_ = MakeFollower(
       {adapter::kRegistryTopic, 0},
-      [this](const adapter::keyed_record& r) { TakeRegistryRecord(r); });
+      [this](const adapter::keyed_record& r) { ApplyRegistryRecord(r); });
   registry_follower_->Start(follow_mode::kBackground);
   fleet_follower_ = MakeFollower(
       {kFleetTopic, 0},
-      [this](const adapter::keyed_record& r) { TakeFleetRecord(r); });
+      [this](const adapter::keyed_record& r) { ApplyFleetRecord(r); });
   fleet_follower_->Start(follow_mode::kWatch);
 }
 
-void job_world::LeaveFleet() {
+void store_view::UnfollowFleet() {
   registry_follower_.reset();
   fleet_follower_.reset();
   registry_ = core::jobs::vm_registry();
-  report_ages_.Clear();
+  report_validity_.Clear();
   fleet_records_.clear();
   changed_vms_.clear();
   changed_fleet_keys_.clear();
--- a/src/jobs/store_view_refreshes.cc
+++ b/src/jobs/store_view_refreshes.cc
@@ -12,8 +12,8 @@
 
 namespace plantainhead::jobs {
 
-void job_world::RefreshJobs(std::uint32_t partition,
-                            std::function<void(bool)> on_done) {
+void store_view::RefreshJobs(std::uint32_t partition,
+                             std::function<void(bool)> on_done) {
   const auto found = job_followers_.find(partition);
   if (found == job_followers_.end()) {
     on_done(false);
@@ -22,14 +22,14 @@
   found->second->Refresh(std::move(on_done));
 }
 
-void job_world::RefreshQueue(const core::jobs::queue_route& route,
-                             std::function<void(bool)> on_done) {
-  struct reading {
+void store_view::RefreshQueue(const core::jobs::queue_route& route,
+                              std::function<void(bool)> on_done) {
+  struct refresh_state {
     std::size_t left = 0;
     bool is_read = true;
     std::function<void(bool)> on_done;
   };
-  const auto state = std::make_shared<reading>();
+  const auto state = std::make_shared<refresh_state>();
   state->on_done = std::move(on_done);
   const auto partitions = JobPartitionsOf(route.queue);
   state->left = partitions.size();
@@ -43,34 +43,34 @@
   }
 }
 
-void job_world::RefreshAllJobs(const std::function<void()>& on_done) {
+void store_view::RefreshAllJobs(const std::function<void()>& on_done) {
   const core::time_point began = BootTime();
-  ++readings_of_all_;
+  ++full_refreshes_;
   FollowJobs();
   const auto left = std::make_shared<std::size_t>(job_followers_.size());
   for (const auto& [partition, follower] : job_followers_) {
     RefreshUntilRead(follower, [this, left, began, on_done] {
       if (--*left == 0) {
-        all_read_at_ = std::max(all_read_at_, began);
+        all_jobs_read_at_ = std::max(all_jobs_read_at_, began);
         on_done();
-        EndReadingOfAll();
+        EndFullRefresh();
       }
     });
   }
 }
 
 // Followers that aren't needed any more may be among the callers of this.
-void job_world::EndReadingOfAll() {
+void store_view::EndFullRefresh() {
   boost::asio::post(*context_, [this] {
-    --readings_of_all_;
+    --full_refreshes_;
     FollowJobs();
   });
 }
 
 // Repeats what has failed, and not what other partitions have read already. A
 // partition that isn't read here any more needs no reading.
-void job_world::RefreshUntilRead(const std::weak_ptr<log_follower>& reader,
-                                 const std::function<void()>& on_read) {
+void store_view::RefreshUntilRead(const std::weak_ptr<log_follower>& reader,
+                                  const std::function<void()>& on_read) {
   const auto follower = reader.lock();
   if (!follower) {
     return;
@@ -84,13 +84,13 @@
       if (is_read) {
         on_read();
       } else {
-        RepeatRefresh(reader, on_read);
+        RetryRefresh(reader, on_read);
       }
     });
   });
 }
 
-void job_world::RepeatRefresh(const std::weak_ptr<log_follower>& reader,
+void store_view::RetryRefresh(const std::weak_ptr<log_follower>& reader,
                               const std::function<void()>& on_read) {
   const auto follower = reader.lock();
   if (!follower) {
@@ -100,15 +100,15 @@
            {{"topic", follower->partition().topic},
             {"part", std::to_string(follower->partition().number)}});
   const auto timer = std::make_shared<boost::asio::steady_timer>(*context_);
-  timer->expires_after(settings_.least_pause);
+  timer->expires_after(settings_.min_pause);
   timer->async_wait([this, reader, on_read,
                      timer](const boost::system::error_code& /*error*/) {
     RefreshUntilRead(reader, on_read);
   });
 }
 
-void job_world::RefreshProgress(std::uint32_t partition,
-                                std::function<void(bool)> on_done) {
+void store_view::RefreshProgress(std::uint32_t partition,
+                                 std::function<void(bool)> on_done) {
   log_follower& follower = PoolFollower(partition);
   const std::weak_ptr<log_follower> reader = pool_followers_.at(partition);
   follower.AwaitLoaded([reader, on_done = std::move(on_done)] {
@@ -118,11 +118,11 @@
   });
 }
 
-void job_world::RefreshRegistry(const std::function<void()>& on_done) {
+void store_view::RefreshRegistry(const std::function<void()>& on_done) {
   RefreshUntilRead(registry_follower_, on_done);
 }
 
-void job_world::RefreshFleetRecords(const std::function<void()>& on_done) {
+void store_view::RefreshFleetRecords(const std::function<void()>& on_done) {
   RefreshUntilRead(fleet_follower_, on_done);
 }
 
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -30,25 +30,26 @@
 class submissions::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(const dependencies& dependencies, const submission_settings& settings)
-      : world_(*dependencies.world),
+      : view_(*dependencies.view),
         settings_(settings),
-        relay_(dependencies.relay, settings.owner_share),
+        relay_(dependencies.relay, settings.owner_time_share),
         recorder_(dependencies.context,
                   dependencies.store,
-                  dependencies.world,
+                  dependencies.view,
                   dependencies.meters,
                   settings.recorder),
-        waiting_counts_(dependencies.world, settings.retry_after) {}
+        waiting_counts_(dependencies.view, settings.retry_after) {}
 
   void Handle(const net::server_request& request,
               const net::responder& respond) {
-    if (world_.routes().configuration().version == 0) {
-      respond(NotHere(request, "no configuration has been read yet"));
+    if (view_.routes().configuration().version == 0) {
+      respond(MisdirectedOrUnavailable(request,
+                                       "no configuration has been read yet"));
       return;
     }
     const std::string path = adapter::DecodePath(request.target);
     const std::string host = adapter::DecodeHost(request.host);
-    const route_match match = world_.routes().Find(host, path);
+    const route_match match = view_.routes().Find(host, path);
     if (match.route == nullptr) {
       ++counts_.unknown_route;
       // The process that passed the request on knows the queue.
@@ -57,17 +58,17 @@
                   : adapter::EncodeFault(net::kNotFound, "no such queue"));
       return;
     }
-    const caller_request asked{
+    const caller_request incoming{
         *match.route, job_id(match.path_suffix), request,
-        respond,      GiveUpAt(request),         WallTime(),
+        respond,      ResponseDeadline(request), WallTime(),
         false};
-    const bool asks_for_number =
-        asked.id.empty() && request.verb == net::method::kGet;
-    if (asks_for_number) {
+    const bool is_count_query =
+        incoming.id.empty() && request.verb == net::method::kGet;
+    if (is_count_query) {
       ++counts_.queries;
-      Count(asked);
+      Count(incoming);
     } else {
-      HandleJob(asked);
+      HandleJob(incoming);
     }
   }
 
@@ -79,228 +80,234 @@
   }
 
  private:
-  using step = void (impl::*)(const caller_request&);
+  using handler = void (impl::*)(const caller_request&);
 
-  void HandleJob(const caller_request& asked) {
-    if (!adapter::IsJobId(asked.id)) {
+  void HandleJob(const caller_request& incoming) {
+    if (!adapter::IsJobId(incoming.id)) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
-                                         "the path doesn't end in a job's id"));
+      incoming.respond(adapter::EncodeFault(
+          net::kBadRequest, "the path doesn't end in a job's id"));
       return;
     }
-    switch (asked.request.verb) {
+    switch (incoming.request.verb) {
       case net::method::kPost:
-        Submit(asked);
+        Submit(incoming);
         return;
       case net::method::kGet:
         ++counts_.queries;
-        Query(asked);
+        Query(incoming);
         return;
       case net::method::kDelete:
-        Cancel(asked);
+        Cancel(incoming);
         return;
       case net::method::kOther:
-        asked.respond(adapter::EncodeFault(net::kMethodNotAllowed,
-                                           "use POST, GET or DELETE"));
+        incoming.respond(adapter::EncodeFault(net::kMethodNotAllowed,
+                                              "use POST, GET or DELETE"));
         return;
     }
   }
 
-  net::server_response Refusal(const std::string& why) const {
-    return Refuse(why, settings_.retry_after);
+  net::server_response Unavailable(const std::string& why) const {
+    return MakeUnavailableResponse(why, settings_.retry_after);
   }
 
   // A process that passed a request on asks elsewhere; a caller comes back.
-  net::server_response NotHere(const net::server_request& request,
-                               const std::string& why) const {
+  net::server_response MisdirectedOrUnavailable(
+      const net::server_request& request,
+      const std::string& why) const {
     return peers::HopsOf(request) > 0
                ? adapter::EncodeFault(net::kMisdirected, why)
-               : Refusal(why);
+               : Unavailable(why);
   }
 
-  core::time_point GiveUpAt(const net::server_request& request) const {
-    const milliseconds patience =
-        adapter::DecodePatience(request).value_or(settings_.default_patience);
+  core::time_point ResponseDeadline(const net::server_request& request) const {
+    const milliseconds timeout =
+        adapter::DecodePatience(request).value_or(settings_.default_timeout);
     const milliseconds usable =
-        std::max(patience - settings_.answer_reserve, patience / 2);
+        std::max(timeout - settings_.response_margin, timeout / 2);
     return BootTime() + usable;
   }
 
   // Whether this process owns the queue's pool, and knows which of its jobs are
   // in the store.
-  bool KnowsJobsOf(const queue_route& route) const {
-    return relay_.Owns(route.pool) && world_.KnowsQueue(route);
+  bool HasAllJobsOf(const queue_route& route) const {
+    return relay_.Owns(route.pool) && view_.IsQueueLoaded(route);
   }
 
   // Leaves a request that stores a record to the pool's owner. Where none
-  // settles it this process goes on with `without_owner`.
-  void TryOwner(const caller_request& asked, step without_owner) {
-    if (peers::HopsOf(asked.request) > 0) {
-      asked.respond(NotHere(asked.request, "another process owns the pool"));
+  // settles it this process goes on with `handle_locally`.
+  void ForwardOrElse(const caller_request& incoming, handler handle_locally) {
+    if (peers::HopsOf(incoming.request) > 0) {
+      incoming.respond(MisdirectedOrUnavailable(
+          incoming.request, "another process owns the pool"));
       return;
     }
-    relay_.Ask(
-        asked, asked.route.pool,
-        [self = shared_from_this(), asked, without_owner](bool may_land) {
-          caller_request left = asked;
-          left.may_land = may_land;
-          (self.get()->*without_owner)(left);
-        });
+    relay_.Forward(incoming, incoming.route.pool,
+                   [self = shared_from_this(), incoming,
+                    handle_locally](bool may_be_appended) {
+                     caller_request unhandled = incoming;
+                     unhandled.may_be_appended = may_be_appended;
+                     (self.get()->*handle_locally)(unhandled);
+                   });
   }
 
   // Reads what the store has of the partition that holds the job, and goes on
-  // with `known` if the job is there.
-  void ReadJob(const caller_request& asked, step known) {
-    world_.RefreshJobs(
-        JobPartitionOf(asked.route.queue, asked.id),
-        [self = shared_from_this(), asked, known](bool is_read) {
-          if (self->world_.directory().Find(asked.id) != nullptr) {
-            (self.get()->*known)(asked);
+  // with `on_found` if the job is there.
+  void ReadJob(const caller_request& incoming, handler on_found) {
+    view_.RefreshJobs(
+        JobPartitionOf(incoming.route.queue, incoming.id),
+        [self = shared_from_this(), incoming, on_found](bool is_read) {
+          if (self->view_.directory().Find(incoming.id) != nullptr) {
+            (self.get()->*on_found)(incoming);
           } else {
-            asked.respond(self->UnknownJob(is_read));
+            incoming.respond(self->UnknownJob(is_read));
           }
         });
   }
 
   net::server_response UnknownJob(bool is_read) const {
     return is_read ? adapter::EncodeFault(net::kGone, "no such job")
-                   : Refusal("the store can't be read");
+                   : Unavailable("the store can't be read");
   }
 
   // Jobs.
 
-  void Submit(const caller_request& asked) {
-    if (relay_.Owns(asked.route.pool)) {
-      SubmitHere(asked);
+  void Submit(const caller_request& incoming) {
+    if (relay_.Owns(incoming.route.pool)) {
+      SubmitHere(incoming);
     } else {
-      TryOwner(asked, &impl::SubmitHere);
+      ForwardOrElse(incoming, &impl::SubmitHere);
     }
   }
 
-  void SubmitHere(const caller_request& asked) {
-    if (world_.directory().Find(asked.id) != nullptr) {
+  void SubmitHere(const caller_request& incoming) {
+    if (view_.directory().Find(incoming.id) != nullptr) {
       ++counts_.repeated;
-      asked.respond({net::kOk, {}, "{}"});
+      incoming.respond({net::kOk, {}, "{}"});
       return;
     }
-    adapter::decoded_job decoded = adapter::DecodeJob(asked.request.body);
+    adapter::decoded_job decoded = adapter::DecodeJob(incoming.request.body);
     if (!decoded.spec) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
-                                         "malformed: " + decoded.fault));
+      incoming.respond(adapter::EncodeFault(net::kBadRequest,
+                                            "malformed: " + decoded.fault));
       return;
     }
-    if (asked.route.needs_advice) {
+    if (incoming.route.needs_advice) {
       ++counts_.refused;
-      asked.respond(Refusal("queues with an advisor are not supported yet"));
+      incoming.respond(
+          Unavailable("queues with an advisor are not supported yet"));
       return;
     }
-    decoded.spec->id = asked.id;
-    decoded.spec->queue = asked.route.queue;
-    decoded.spec->pool = asked.route.pool;
-    decoded.spec->submitted_at = asked.came_at;
-    Store(asked, Encode(submission_record{std::move(*decoded.spec)}),
+    decoded.spec->id = incoming.id;
+    decoded.spec->queue = incoming.route.queue;
+    decoded.spec->pool = incoming.route.pool;
+    decoded.spec->submitted_at = incoming.received_at;
+    Store(incoming, Encode(submission_record{std::move(*decoded.spec)}),
           record_purpose::kJob);
   }
 
-  void Store(const caller_request& asked,
+  void Store(const caller_request& incoming,
              adapter::keyed_record record,
              record_purpose purpose) {
     record_request wanted;
     wanted.record = std::move(record);
     wanted.purpose = purpose;
-    wanted.id = asked.id;
-    wanted.partition = JobPartitionOf(asked.route.queue, asked.id);
-    wanted.give_up_at = asked.give_up_at;
-    wanted.may_land = asked.may_land;
-    recorder_.Store(wanted, asked.respond);
+    wanted.id = incoming.id;
+    wanted.partition = JobPartitionOf(incoming.route.queue, incoming.id);
+    wanted.deadline = incoming.deadline;
+    wanted.may_be_appended = incoming.may_be_appended;
+    recorder_.Store(wanted, incoming.respond);
   }
 
   // Cancellations.
 
-  void Cancel(const caller_request& asked) {
-    if (KnowsJobsOf(asked.route)) {
-      CancelHere(asked);
+  void Cancel(const caller_request& incoming) {
+    if (HasAllJobsOf(incoming.route)) {
+      CancelHere(incoming);
     } else {
       // Whether there is such a job isn't known here. A cancellation holds for
       // an id, and does nothing where there is no job.
-      TryOwner(asked, &impl::StoreCancel);
+      ForwardOrElse(incoming, &impl::StoreCancel);
     }
   }
 
-  void CancelHere(const caller_request& asked) {
-    if (world_.directory().Find(asked.id) != nullptr) {
-      CancelKnown(asked);
+  void CancelHere(const caller_request& incoming) {
+    if (view_.directory().Find(incoming.id) != nullptr) {
+      CancelKnown(incoming);
     } else {
-      ReadJob(asked, &impl::CancelKnown);
+      ReadJob(incoming, &impl::CancelKnown);
     }
   }
 
-  void CancelKnown(const caller_request& asked) {
-    const directory_entry* entry = world_.directory().Find(asked.id);
+  void CancelKnown(const caller_request& incoming) {
+    const directory_entry* entry = view_.directory().Find(incoming.id);
     if (entry->is_cancelled || core::jobs::IsFinal(entry->progress.phase)) {
-      asked.respond({net::kOk, {}, "{}"});
+      incoming.respond({net::kOk, {}, "{}"});
       return;
     }
-    StoreCancel(asked);
+    StoreCancel(incoming);
   }
 
-  void StoreCancel(const caller_request& asked) {
-    Store(asked, Encode(cancel_record{asked.id}), record_purpose::kCancel);
+  void StoreCancel(const caller_request& incoming) {
+    Store(incoming, Encode(cancel_record{incoming.id}),
+          record_purpose::kCancel);
   }
 
   // Questions.
 
-  void Query(const caller_request& asked) {
-    const directory_entry* entry = world_.directory().Find(asked.id);
+  void Query(const caller_request& incoming) {
+    const directory_entry* entry = view_.directory().Find(incoming.id);
     if (entry != nullptr && core::jobs::IsFinal(entry->Phase())) {
-      asked.respond(adapter::EncodePhase(entry->Phase()));
+      incoming.respond(adapter::EncodePhase(entry->Phase()));
       return;
     }
     if (entry != nullptr) {
-      QueryKnown(asked);
-    } else if (KnowsJobsOf(asked.route)) {
-      ReadJob(asked, &impl::QueryKnown);
+      QueryKnown(incoming);
+    } else if (HasAllJobsOf(incoming.route)) {
+      ReadJob(incoming, &impl::QueryKnown);
     } else {
-      QueryOwner(asked, asked.route.pool);
+      QueryOwner(incoming, incoming.route.pool);
     }
   }
 
   // A job stays with the pool that it was accepted for when its queue moves.
-  void QueryKnown(const caller_request& asked) {
-    const directory_entry* entry = world_.directory().Find(asked.id);
+  void QueryKnown(const caller_request& incoming) {
+    const directory_entry* entry = view_.directory().Find(incoming.id);
     if (relay_.Schedules(entry->pool)) {
-      asked.respond(adapter::EncodePhase(entry->Phase()));
+      incoming.respond(adapter::EncodePhase(entry->Phase()));
     } else {
-      QueryOwner(asked, entry->pool);
+      QueryOwner(incoming, entry->pool);
     }
   }
 
-  void QueryOwner(const caller_request& asked,
+  void QueryOwner(const caller_request& incoming,
                   const core::jobs::pool_id& pool) {
-    relay_.Ask(
-        asked, pool, [self = shared_from_this(), asked](bool /*may_land*/) {
-          asked.respond(self->NotHere(
-              asked.request, "the owner of the job's pool can't be asked"));
+    relay_.Forward(
+        incoming, pool,
+        [self = shared_from_this(), incoming](bool /*may_be_appended*/) {
+          incoming.respond(self->MisdirectedOrUnavailable(
+              incoming.request, "the owner of the job's pool can't be asked"));
         });
   }
 
-  void Count(const caller_request& asked) {
-    if (relay_.Owns(asked.route.pool)) {
-      waiting_counts_.Answer(asked.route, asked.respond);
+  void Count(const caller_request& incoming) {
+    if (relay_.Owns(incoming.route.pool)) {
+      waiting_counts_.Answer(incoming.route, incoming.respond);
       return;
     }
-    relay_.Ask(asked, asked.route.pool,
-               [self = shared_from_this(), asked](bool /*may_land*/) {
-                 LogEvent(job_event::kCountRefused,
-                          {{"queue", asked.route.queue},
-                           {"reason", "the pool's owner can't be asked"}});
-                 asked.respond(self->NotHere(
-                     asked.request, "the owner of the pool can't be asked"));
-               });
+    relay_.Forward(
+        incoming, incoming.route.pool,
+        [self = shared_from_this(), incoming](bool /*may_be_appended*/) {
+          LogEvent(job_event::kCountRefused,
+                   {{"queue", incoming.route.queue},
+                    {"reason", "the pool's owner can't be asked"}});
+          incoming.respond(self->MisdirectedOrUnavailable(
+              incoming.request, "the owner of the pool can't be asked"));
+        });
   }
 
-  job_world& world_;
+  store_view& view_;
   submission_settings settings_;
   submission_counts counts_;
   owner_relay relay_;
--- a/src/jobs/submissions.h
+++ b/src/jobs/submissions.h
@@ -17,12 +17,12 @@
 struct submission_settings {
   recorder_settings recorder;
   /// A caller without a header waits this long.
-  std::chrono::milliseconds default_patience = std::chrono::seconds(3);
+  std::chrono::milliseconds default_timeout = std::chrono::seconds(3);
   /// An answer leaves this long before the caller gives up.
-  std::chrono::milliseconds answer_reserve = std::chrono::milliseconds(250);
+  std::chrono::milliseconds response_margin = std::chrono::milliseconds(250);
   /// Of the time that a request has left, the share that an owner gets to
   /// answer it. The rest is for the store, if the owner doesn't.
-  double owner_share = 0.6;
+  double owner_time_share = 0.6;
   /// What a caller is told to wait when a pool's owner can't be asked: about
   /// as long as a pool has none after its owner was lost.
   std::chrono::seconds retry_after = std::chrono::seconds(1);
@@ -56,7 +56,7 @@
   struct dependencies {
     boost::asio::io_context* context = nullptr;
     adapter::store_client* store = nullptr;
-    job_world* world = nullptr;
+    store_view* view = nullptr;
     job_meters* meters = nullptr;
     owner_relay::dependencies relay;
   };
--- a/src/jobs/unavailable_response.h
+++ b/src/jobs/unavailable_response.h
@@ -11,8 +11,8 @@
 /// Returns an answer (503) that says that nothing of the request was or will be
 /// done, and when to come back.
 /// Thread safety: safe from any thread.
-net::server_response Refuse(const std::string& why,
-                            std::chrono::seconds retry_after);
+net::server_response MakeUnavailableResponse(const std::string& why,
+                                             std::chrono::seconds retry_after);
 
 }  // namespace plantainhead::jobs
 
--- a/src/jobs/waiting_counts.cc
+++ b/src/jobs/waiting_counts.cc
@@ -11,18 +11,18 @@
 
 class waiting_counts::impl : public std::enable_shared_from_this<impl> {
  public:
-  impl(job_world* world, std::chrono::seconds retry_after)
-      : world_(*world), retry_after_(retry_after) {}
+  impl(store_view* view, std::chrono::seconds retry_after)
+      : view_(*view), retry_after_(retry_after) {}
 
   void Answer(const core::jobs::queue_route& route,
               const net::responder& respond) {
     // A count of what has been read so far would be far too low.
-    if (!world_.KnowsQueue(route)) {
+    if (!view_.IsQueueLoaded(route)) {
       RefuseCount(route.queue, "the jobs haven't been read yet", respond);
       return;
     }
-    world_.RefreshQueue(route, [self = weak_from_this(), queue = route.queue,
-                                respond](bool is_read) {
+    view_.RefreshQueue(route, [self = weak_from_this(), queue = route.queue,
+                               respond](bool is_read) {
       const auto counts = self.lock();
       if (!counts) {
         return;
@@ -40,26 +40,26 @@
                    const std::string& reason,
                    const net::responder& respond) const {
     LogEvent(job_event::kCountRefused, {{"queue", queue}, {"reason", reason}});
-    respond(Refuse(reason, retry_after_));
+    respond(MakeUnavailableResponse(reason, retry_after_));
   }
 
   void TellCount(const core::jobs::queue_id& queue,
                  const net::responder& respond) const {
-    const std::size_t waiting = world_.directory().Pending(queue);
+    const std::size_t waiting = view_.directory().Pending(queue);
     LogEvent(job_event::kCountTold,
              {{"queue", queue},
               {"waiting", std::to_string(waiting)},
-              {"copy_age_ms", MillisOf(world_.JobCopyAge(queue))}});
+              {"copy_age_ms", MillisOf(view_.JobCopyAge(queue))}});
     respond(adapter::EncodePending(waiting));
   }
 
-  job_world& world_;
+  store_view& view_;
   std::chrono::seconds retry_after_;
 };
 
-waiting_counts::waiting_counts(job_world* world,
+waiting_counts::waiting_counts(store_view* view,
                                std::chrono::seconds retry_after)
-    : impl_(std::make_shared<impl>(world, retry_after)) {}
+    : impl_(std::make_shared<impl>(view, retry_after)) {}
 
 waiting_counts::~waiting_counts() = default;
 
--- a/src/jobs/waiting_counts.h
+++ b/src/jobs/waiting_counts.h
@@ -21,8 +21,8 @@
 /// Not thread-safe.
 class waiting_counts {
  public:
-  /// `world` outlives the object. `retry_after` goes with refusals.
-  waiting_counts(job_world* world, std::chrono::seconds retry_after);
+  /// `view` outlives the object. `retry_after` goes with refusals.
+  waiting_counts(store_view* view, std::chrono::seconds retry_after);
   waiting_counts(const waiting_counts&) = delete;
   waiting_counts& operator=(const waiting_counts&) = delete;
   ~waiting_counts();
--- a/tests/jobs/claim_test.cc
+++ b/tests/jobs/claim_test.cc
@@ -25,25 +25,25 @@
   claimant(boost::asio::io_context* context,
            adapter::store_client* client,
            const std::string& name)
-      : world(context, client, {}, seconds(2), Listeners()),
+      : view(context, client, {}, seconds(2), Listeners()),
         archiver(context, client, {}) {
-    world.Start();
+    view.Start();
     pool_owner::dependencies deps;
     deps.context = context;
     deps.store = client;
-    deps.world = &world;
+    deps.view = &view;
     deps.archiver = &archiver;
     deps.meters = &meters;
     deps.member = name;
     deps.is_sure = [this] { return is_sure; };
     deps.on_active = [](std::uint64_t) {};
     deps.on_fenced = [] {};
-    world.SetOwned({0});
+    view.SetOwned({0});
     owner = std::make_unique<pool_owner>(deps, 0, owner_settings());
   }
 
-  static job_world::listeners Listeners() {
-    job_world::listeners listeners;
+  static store_view::listeners Listeners() {
+    store_view::listeners listeners;
     listeners.on_job = [](const auto&) {};
     listeners.on_cancel = [](const auto&) {};
     listeners.on_configuration = [] {};
@@ -55,7 +55,7 @@
   }
 
   bool is_sure = true;
-  job_world world;
+  store_view view;
   job_archiver archiver;
   job_meters meters;
   std::unique_ptr<pool_owner> owner;
--- a/tests/jobs/fleet_owner_test.cc
+++ b/tests/jobs/fleet_owner_test.cc
@@ -68,7 +68,7 @@
   site.AddProcess("p1", fleet.address());
   REQUIRE(site.AwaitReady("p1"));
   // Were this too short for an owner to begin, the test would only show less.
-  site.Pass(seconds(3));
+  site.RunFor(seconds(3));
   CHECK(fleet.serviced().empty());
 
   site.store.faults.silent_topic.clear();
--- a/tests/jobs/foreign_site_test.cc
+++ b/tests/jobs/foreign_site_test.cc
@@ -19,7 +19,7 @@
         std::string::npos) {
       return true;
     }
-    site->Pass(milliseconds(20));
+    site->RunFor(milliseconds(20));
   }
   return false;
 }
--- a/tests/jobs/job_partitions_test.cc
+++ b/tests/jobs/job_partitions_test.cc
@@ -25,14 +25,14 @@
 /// Hands jobs in at an even rate, each with an append of its own, to a store
 /// that takes the appends to one partition one after the other. Returns the
 /// wait of each until it is stored, in the order of their coming.
-std::vector<milliseconds> WaitsInTurn(const core::jobs::queue_id& queue,
-                                      std::uint32_t jobs,
-                                      milliseconds gap,
-                                      milliseconds append_time) {
+std::vector<milliseconds> SimulateWaits(const core::jobs::queue_id& queue,
+                                        std::uint32_t jobs,
+                                        milliseconds interval,
+                                        milliseconds append_time) {
   std::map<std::uint32_t, milliseconds> free_at;
   std::vector<milliseconds> waits;
   for (std::uint32_t i = 0; i < jobs; ++i) {
-    const milliseconds now = gap * i;
+    const milliseconds now = interval * i;
     milliseconds& free = free_at[JobPartitionOf(queue, IdOf(i))];
     free = std::max(free, now) + append_time;
     waits.push_back(free - now);
@@ -48,11 +48,11 @@
     "A slow store takes the jobs of a queue's turn as fast as they come") {
   // 45 jobs a second for 4.5 s; 120 ms an append in place of 2 ms.
   constexpr std::uint32_t kJobs = 200;
-  constexpr milliseconds kGap(22);
+  constexpr milliseconds kInterval(22);
   constexpr milliseconds kAppend(120);
   const std::string queue = GENERATE("a", "payments", "r-7f3k", "zz/9");
   CAPTURE(queue);
-  const auto waits = WaitsInTurn(queue, kJobs, kGap, kAppend);
+  const auto waits = SimulateWaits(queue, kJobs, kInterval, kAppend);
   auto first_half =
       std::vector<milliseconds>(waits.begin(), waits.begin() + kJobs / 2);
   auto second_half =
@@ -74,7 +74,7 @@
 TEST_CASE("A job's partition is one of its queue's, and always the same") {
   const auto partitions = JobPartitionsOf("queue");
   const std::set<std::uint32_t> known(partitions.begin(), partitions.end());
-  CHECK(known.size() == kPartitionsOfQueue);
+  CHECK(known.size() == kPartitionsPerQueue);
   CHECK(*known.rbegin() < kJobPartitions);
   std::set<std::uint32_t> used;
   for (std::uint32_t i = 0; i < 200; ++i) {
--- a/tests/jobs/job_service_test.cc
+++ b/tests/jobs/job_service_test.cc
@@ -37,13 +37,13 @@
     REQUIRE(site.AwaitReady("p3"));
     CHECK(site.StateOf("p3", kId) == R"({"state":"completed"})");
     CHECK(site.Submit("p3", kId).status == 200);
-    site.Pass(milliseconds(300));
+    site.RunFor(milliseconds(300));
     CHECK(site.StartsOf(std::string(kId) + ".0.0.0") == 1);
   }
 
   SECTION("a submission that is repeated elsewhere starts nothing") {
     CHECK(site.Submit("p2", kId).status == 200);
-    site.Pass(milliseconds(300));
+    site.RunFor(milliseconds(300));
     CHECK(site.StartsOf(std::string(kId) + ".0.0.0") == 1);
   }
 
@@ -106,7 +106,7 @@
   site.store.SilenceWaitingReads();
   const auto cancel = Encode(cancel_record{kId});
   site.store.Put("keyed.plantain-jobs", cancel.key, cancel.value);
-  site.Pass(milliseconds(6500));
+  site.RunFor(milliseconds(6500));
   // 5 s after the cancellation was stored.
   CHECK(site.StartsOf(std::string(kId) + ".0.5.0") == 0);
 }
@@ -127,7 +127,7 @@
   site.AddProcess("p2");
   REQUIRE(site.AwaitReady("p1"));
   REQUIRE(site.AwaitReady("p2"));
-  site.Pass(seconds(1));
+  site.RunFor(seconds(1));
   REQUIRE(site.Call(site.addresses.at("p1"), net::method::kPost,
                     "/q/" + std::string(kId),
                     R"({"spec":"lasts","steps":[{"count":1,"cpu":1000,
@@ -147,7 +147,7 @@
                           "[{\"name\":\"pool\"},{\"name\":\"" + other + "\"}]");
     site.store.Put("keyed.op", "config", configuration);
     // Reads that were sent while watching end meanwhile.
-    site.Pass(seconds(5));
+    site.RunFor(seconds(5));
   }
 
   REQUIRE(vm.Running() == 1);
@@ -156,7 +156,7 @@
                     "/q/" + std::string(kId))
               .status == 200);
   // A read that hangs while watching is given up after 2 s.
-  site.Pass(seconds(4));
+  site.RunFor(seconds(4));
   CHECK(vm.Running() == 0);
 }
 
@@ -192,7 +192,7 @@
   REQUIRE(site.Submit("p1", kId).status == 200);
   REQUIRE(site.AwaitState("p1", "completed"));
   vm.Crash();
-  site.Pass(milliseconds(200));
+  site.RunFor(milliseconds(200));
   vm.BeginLife("vm-1");
   const std::string next = "fedcba9876543210";
   REQUIRE(site.Submit("p1", next).status == 200);
@@ -227,7 +227,7 @@
     site.store.faults.is_refusing = true;
     CHECK(site.Submit("p1", kId).status == 503);
     site.store.faults.is_refusing = false;
-    site.Pass(milliseconds(500));
+    site.RunFor(milliseconds(500));
     CHECK(vm.starts().empty());
   }
 
@@ -258,7 +258,7 @@
     return reply.status;
   };
   while (ask() == 404) {
-    site.Pass(milliseconds(20));
+    site.RunFor(milliseconds(20));
   }
   CHECK(reply.status == 503);
   site.store.faults.silent_topic.clear();
@@ -284,7 +284,7 @@
   };
   // The owner alone reads the jobs.
   REQUIRE(RunUntil(&site.context, [&] {
-    return site.store.WaitingReads(kJobsTopic) == kPartitionsOfQueue;
+    return site.store.WaitingReads(kJobsTopic) == kPartitionsPerQueue;
   }));
   site.store.SilenceWaitingReads();
   REQUIRE(site.Submit("p1", kId).status == 200);
--- a/tests/jobs/log_follower_test.cc
+++ b/tests/jobs/log_follower_test.cc
@@ -84,8 +84,8 @@
   partition.store.Put(kTopic, "a", "1");
   partition.store.faults.is_refusing = true;
   follower_settings settings;
-  settings.least_pause = std::chrono::hours(1);
-  settings.most_pause = settings.least_pause;
+  settings.min_pause = std::chrono::hours(1);
+  settings.max_pause = settings.min_pause;
   log_follower& follower = partition.Follow(settings);
   follower.Start(follow_mode::kBackground);
   REQUIRE(RunUntil(&partition.context,
@@ -146,8 +146,8 @@
   followed_partition partition;
   partition.store.Put(kTopic, "a", "1");
   follower_settings settings;
-  settings.least_pause = milliseconds(1);
-  settings.most_pause = settings.least_pause;
+  settings.min_pause = milliseconds(1);
+  settings.max_pause = settings.min_pause;
   log_follower& follower = partition.Follow(settings);
   follower.Start(follow_mode::kWatch);
   REQUIRE(RunUntil(&partition.context, [&] { return follower.IsLoaded(); }));
@@ -180,7 +180,7 @@
   followed_partition partition;
   follower_settings settings;
   settings.watch_wait = std::chrono::hours(1);
-  settings.least_pause = milliseconds(1);
+  settings.min_pause = milliseconds(1);
   log_follower& follower = partition.Follow(settings);
   partition.store.faults.is_refusing = true;
   follower.Start(follow_mode::kWatch);
--- a/tests/jobs/moved_queue_test.cc
+++ b/tests/jobs/moved_queue_test.cc
@@ -48,14 +48,14 @@
   site.AddProcess("p2");
   REQUIRE(site.AwaitReady("p1"));
   REQUIRE(site.AwaitReady("p2"));
-  site.Pass(std::chrono::seconds(1));
+  site.RunFor(std::chrono::seconds(1));
   REQUIRE(site.Submit("p1", kId).status == 200);
   const auto record = site.store.Newest("keyed.plantain-jobs", kId);
   REQUIRE(record);
   REQUIRE(site.AwaitState("p1", "completed"));
   const auto move_queue = [&] {
     site.store.Put("keyed.op", "config", MovedConfiguration());
-    site.Pass(std::chrono::seconds(2));
+    site.RunFor(std::chrono::seconds(2));
   };
 
   SECTION("before the queue moves") {}
@@ -77,7 +77,7 @@
                  JobPartitionOf("q", kNext));
   constexpr int kTries = 80;
   for (int i = 0; i < kTries && site.StartsOf(kNext + ".0.0.0") == 0; ++i) {
-    site.Pass(std::chrono::milliseconds(100));
+    site.RunFor(std::chrono::milliseconds(100));
   }
   CHECK(site.StartsOf(kNext + ".0.0.0") == 1);
 }
--- a/tests/jobs/narrow_link_test.cc
+++ b/tests/jobs/narrow_link_test.cc
@@ -75,20 +75,20 @@
     site.processes.at("p1")->Stop([&] { is_stopped = true; });
     REQUIRE(RunUntil(&site.context, [&] { return is_stopped; }));
     site.processes.erase("p1");
-    site.Pass(seconds(9));
+    site.RunFor(seconds(9));
   }
 
   SECTION("that the group deals the pool away from while it works") {
     site.store.DealAnew();
-    site.Pass(seconds(9));
+    site.RunFor(seconds(9));
   }
 
   SECTION("while deals follow one another") {
     for (int i = 0; i < 4; ++i) {
       site.store.DealAnew();
-      site.Pass(seconds(2));
+      site.RunFor(seconds(2));
     }
-    site.Pass(seconds(4));
+    site.RunFor(seconds(4));
   }
 
   CHECK(lapsed == 0);
--- a/tests/jobs/partition_loader_test.cc
+++ b/tests/jobs/partition_loader_test.cc
@@ -18,13 +18,13 @@
 using testing::RunUntil;
 
 constexpr std::size_t kStoreConnections = 20;
-constexpr std::size_t kFirstAtOnce = 4;
+constexpr std::size_t kInitialConcurrency = 4;
 constexpr const char* kEmptyPage = R"({"items":[],"has_more":false,"end":0})";
 
 /// A loader, and a store that answers when a test says so.
-class held_store {
+class manual_store {
  public:
-  held_store() {
+  manual_store() {
     const std::string address = testing::FreeAddress();
     server_ = std::make_unique<net::http_server>(
         &context, address, net::http_server_options(),
@@ -32,20 +32,22 @@
                const net::responder& respond) {
           const std::size_t part = request.target.find("part=");
           read.push_back(std::stoi(request.target.substr(part + 5)));
-          held_.push_back(respond);
+          pending_.push_back(respond);
         });
     client_ = std::make_unique<adapter::store_client>(&context, address,
                                                       kStoreConnections);
     loader = std::make_unique<partition_loader>(client_.get());
   }
 
-  void Load(std::uint32_t part, load_rank rank) { LoadFor(reader, part, rank); }
+  void Load(std::uint32_t part, load_priority priority) {
+    LoadFor(reader, part, priority);
+  }
 
   void LoadFor(const std::shared_ptr<int>& owner,
                std::uint32_t part,
-               load_rank rank) {
+               load_priority priority) {
     loader->Load(
-        {owner, {"keyed.topic", part}, "", std::chrono::hours(1), rank},
+        {owner, {"keyed.topic", part}, "", std::chrono::hours(1), priority},
         [this](const adapter::newest_reply& reply) {
           loaded += reply.is_read ? 1 : 0;
         });
@@ -55,9 +57,9 @@
     return RunUntil(&context, [&] { return read.size() == count; });
   }
 
-  void AnswerOne() {
-    const net::responder respond = held_.front();
-    held_.erase(held_.begin());
+  void AnswerOldest() {
+    const net::responder respond = pending_.front();
+    pending_.erase(pending_.begin());
     respond({200, {}, kEmptyPage});
   }
 
@@ -69,47 +71,47 @@
   int loaded = 0;
 
  private:
-  std::vector<net::responder> held_;
+  std::vector<net::responder> pending_;
   std::unique_ptr<net::http_server> server_;
   std::unique_ptr<adapter::store_client> client_;
 };
 
 // Guards against a process that reads all at once, more than its link carries.
 TEST_CASE("Partitions are read a few at a time") {
-  held_store store;
+  manual_store store;
   for (std::uint32_t part = 0; part < 10; ++part) {
-    store.Load(part, load_rank::kLast);
+    store.Load(part, load_priority::kLow);
   }
-  REQUIRE(store.AwaitRead(kFirstAtOnce));
+  REQUIRE(store.AwaitRead(kInitialConcurrency));
 
   SECTION("more while answers come soon") {
-    store.AnswerOne();
-    CHECK(store.AwaitRead(kFirstAtOnce + 2));
+    store.AnswerOldest();
+    CHECK(store.AwaitRead(kInitialConcurrency + 2));
     CHECK(store.loaded == 1);
   }
 
   SECTION("those that can't wait before the others") {
-    store.Load(10, load_rank::kFirst);
-    store.AnswerOne();
-    REQUIRE(store.AwaitRead(kFirstAtOnce + 2));
-    CHECK(store.read[kFirstAtOnce] == 10);
+    store.Load(10, load_priority::kHigh);
+    store.AnswerOldest();
+    REQUIRE(store.AwaitRead(kInitialConcurrency + 2));
+    CHECK(store.read[kInitialConcurrency] == 10);
   }
 
   SECTION("none for a reader that is gone") {
     auto other = std::make_shared<int>(0);
-    store.LoadFor(other, 10, load_rank::kFirst);
+    store.LoadFor(other, 10, load_priority::kHigh);
     other.reset();
-    store.AnswerOne();
-    REQUIRE(store.AwaitRead(kFirstAtOnce + 2));
-    CHECK(store.read[kFirstAtOnce] == 4);
+    store.AnswerOldest();
+    REQUIRE(store.AwaitRead(kInitialConcurrency + 2));
+    CHECK(store.read[kInitialConcurrency] == 4);
   }
 
   SECTION("and nobody is told once the loader is gone") {
     store.loader.reset();
-    store.AnswerOne();
+    store.AnswerOldest();
     store.context.run_for(std::chrono::milliseconds(20));
     CHECK(store.loaded == 0);
-    CHECK(store.read.size() == kFirstAtOnce);
+    CHECK(store.read.size() == kInitialConcurrency);
   }
 }
 
--- a/tests/jobs/request_forwarding_test.cc
+++ b/tests/jobs/request_forwarding_test.cc
@@ -19,12 +19,12 @@
 constexpr const char* kJobsTopic = "keyed.plantain-jobs";
 constexpr const char* kAddressTopic = "keyed.plantain-addresses";
 // Above any epoch that a process of these tests reaches.
-constexpr std::uint64_t kLateEpoch = 1000;
+constexpr std::uint64_t kHighEpoch = 1000;
 
 /// A process that callers talk to, and another that owns the pool, played by
 /// the test: it holds what is passed on to it.
-struct played_owner {
-  played_owner() : address(FreeAddress()) {
+struct fake_owner {
+  fake_owner() : address(FreeAddress()) {
     server = std::make_unique<net::http_server>(
         &deployment.context, address, net::http_server_options(),
         [this](const net::server_request& request,
@@ -39,25 +39,25 @@
     // A member that never claims anything is dealt the pools.
     deployment.AddProcess("p1");
     REQUIRE(deployment.AwaitReady("p1"));
-    deployment.Pass(seconds(1));
+    deployment.RunFor(seconds(1));
     deployment.store.Expire("p1");
     deployment.store.faults.silent_topic = "log-join";
-    deployment.Pass(seconds(3));
+    deployment.RunFor(seconds(3));
     Announce();
   }
 
   void Announce() {
     const auto record =
-        peers::Encode({PoolPartitionOf("pool"), {kLateEpoch, address}});
+        peers::Encode({PoolPartitionOf("pool"), {kHighEpoch, address}});
     deployment.store.Put(kAddressTopic, record.key, record.value);
-    deployment.Pass(milliseconds(200));
+    deployment.RunFor(milliseconds(200));
   }
 
   net::client_reply Delete() {
     return deployment.Call(deployment.addresses.at("p1"), net::method::kDelete,
                            "/q/" + std::string(kId));
   }
-  net::client_reply Ask() {
+  net::client_reply Query() {
     return deployment.Call(deployment.addresses.at("p1"), net::method::kGet,
                            "/q/" + std::string(kId));
   }
@@ -79,7 +79,7 @@
 // must be stored when the caller is told that it is, and must not be when it is
 // told that it was refused.
 TEST_CASE("A job that is passed on to an owner") {
-  played_owner owner;
+  fake_owner owner;
 
   SECTION("is the owner's when it says so") {
     CHECK(owner.deployment.Submit("p1", kId).status == net::kOk);
@@ -128,7 +128,7 @@
 // The same for a cancellation and for a question. A cancellation that is
 // answered must be stored; a state that only the owner knows isn't made up.
 TEST_CASE("What else is passed on to an owner that is lost") {
-  played_owner owner;
+  fake_owner owner;
   owner.status = 0;
 
   SECTION("a cancellation is stored by the process itself") {
@@ -137,7 +137,7 @@
   }
 
   SECTION("a state isn't told, and neither is that there is no such job") {
-    CHECK(owner.Ask().status == net::kUnavailable);
+    CHECK(owner.Query().status == net::kUnavailable);
   }
 
   SECTION("a number of waiting jobs isn't told") {
--- a/tests/jobs/slow_vm_test.cc
+++ b/tests/jobs/slow_vm_test.cc
@@ -42,7 +42,7 @@
   REQUIRE(RunUntil(&site.context, [&] { return vm.Running() >= 3; }));
   REQUIRE(site.Call(address, net::method::kDelete, target).status == 200);
   const std::size_t before = starts;
-  site.Pass(std::chrono::seconds(2));
+  site.RunFor(std::chrono::seconds(2));
   CHECK(starts == before);
 }
 
--- a/tests/jobs/small_site.h
+++ b/tests/jobs/small_site.h
@@ -137,7 +137,7 @@
 
   bool AwaitReady(const std::string& process) {
     for (int i = 0; i < 500 && !IsReady(process); ++i) {
-      Pass(milliseconds(20));
+      RunFor(milliseconds(20));
     }
     return IsReady(process);
   }
@@ -150,12 +150,12 @@
       if (StateOf(process, id) == wanted) {
         return true;
       }
-      Pass(milliseconds(20));
+      RunFor(milliseconds(20));
     }
     return false;
   }
 
-  void Pass(milliseconds time) { context.run_for(time); }
+  void RunFor(milliseconds time) { context.run_for(time); }
 
   int StartsOf(const std::string& task) const {
     int starts = 0;
--- a/tests/jobs/store_view_test.cc
+++ b/tests/jobs/store_view_test.cc
@@ -21,9 +21,9 @@
 constexpr std::size_t kRecords = 300;
 
 /// What the owner of a fleet reads.
-class reading_world {
+class store_view_fixture {
  public:
-  reading_world() : store(&context), address_(testing::FreeAddress()) {
+  store_view_fixture() : store(&context), address_(testing::FreeAddress()) {
     server_ = std::make_unique<net::http_server>(
         &context, address_, net::http_server_options(),
         [this](const net::server_request& request,
@@ -32,38 +32,38 @@
         });
     client_ = std::make_unique<adapter::store_client>(&context, address_,
                                                       kConnections);
-    job_world::listeners listeners;
+    store_view::listeners listeners;
     listeners.on_job = [](const auto& /*job*/) {};
     listeners.on_cancel = [](const auto& /*job*/) {};
     listeners.on_configuration = [] {};
     listeners.on_registry = [this] {
       ++registry_calls;
-      knows_last_vm = world->registry().IsListed("last");
+      knows_last_vm = view->registry().IsListed("last");
     };
     listeners.on_fleet_records = [this] {
       ++fleet_calls;
-      fleet_records_told = world->fleet_records().size();
+      fleet_records_told = view->fleet_records().size();
     };
     listeners.on_announcement = [](const auto& /*announcement*/) {};
     listeners.on_store_contact = [](bool /*is_answered*/) {};
-    world = std::make_unique<job_world>(&context, client_.get(),
+    view = std::make_unique<store_view>(&context, client_.get(),
                                         follower_settings(),
                                         std::chrono::seconds(2), listeners);
     store.Put("keyed.op", "config",
               R"({"version":3,"routes":[],"services":[{"name":"pool"}]})");
-    world->Start();
-    world->SetFleetOwned(true);
+    view->Start();
+    view->SetFleetOwned(true);
   }
 
   bool AwaitFollowed() {
     bool is_read = false;
-    world->RefreshFleetRecords([&] { is_read = true; });
+    view->RefreshFleetRecords([&] { is_read = true; });
     return RunUntil(&context, [&] { return is_read; });
   }
 
   boost::asio::io_context context;
   fakes::site_store store;
-  std::unique_ptr<job_world> world;
+  std::unique_ptr<store_view> view;
   std::size_t registry_calls = 0;
   std::size_t fleet_calls = 0;
   /// As of the last call.
@@ -79,27 +79,27 @@
 // Guards against an owner that does nothing else for seconds, and loses what it
 // owns: it looked through all records once for each that an answer held.
 TEST_CASE("What listens to records is told once of many that come together") {
-  reading_world reading;
-  REQUIRE(reading.AwaitFollowed());
+  store_view_fixture fixture;
+  REQUIRE(fixture.AwaitFollowed());
 
   SECTION("records of the fleet") {
     for (std::size_t i = 0; i < kRecords; ++i) {
-      reading.store.Put("keyed.plantain-fleet", "closed/vm" + std::to_string(i),
+      fixture.store.Put("keyed.plantain-fleet", "closed/vm" + std::to_string(i),
                         "1");
     }
-    REQUIRE(RunUntil(&reading.context,
-                     [&] { return reading.fleet_records_told == kRecords; }));
-    CHECK(reading.fleet_calls < kRecords / 10);
+    REQUIRE(RunUntil(&fixture.context,
+                     [&] { return fixture.fleet_records_told == kRecords; }));
+    CHECK(fixture.fleet_calls < kRecords / 10);
   }
 
   SECTION("entries of VMs") {
     for (std::size_t i = 0; i < kRecords; ++i) {
-      reading.store.Put("keyed.servers", "vm" + std::to_string(i),
+      fixture.store.Put("keyed.servers", "vm" + std::to_string(i),
                         std::nullopt);
     }
-    reading.store.Put("keyed.servers", "last", "{");
-    REQUIRE(RunUntil(&reading.context, [&] { return reading.knows_last_vm; }));
-    CHECK(reading.registry_calls < kRecords / 10);
+    fixture.store.Put("keyed.servers", "last", "{");
+    REQUIRE(RunUntil(&fixture.context, [&] { return fixture.knows_last_vm; }));
+    CHECK(fixture.registry_calls < kRecords / 10);
   }
 }
 
