--- a/src/jobs/caller_request.h
+++ b/src/jobs/caller_request.h
@@ -7,18 +7,19 @@
 
 namespace plantainhead::jobs {
 
-/// A request about a job or a queue, also one that was passed on, and what it
-/// asks for.
+/// A caller's HTTP request about a job or a queue, received directly or
+/// forwarded by another process, with its parsed route and its deadline.
 struct caller_request {
   core::jobs::queue_route route;
-  /// Empty when the request is about the queue.
+  /// Empty when the request is about the whole queue.
   core::jobs::job_id id;
   net::server_request request;
   net::responder respond;
   core::time_point deadline;
-  /// Wall time at which it came to this process.
+  /// Wall time at which this process received the request.
   core::time_point received_at;
-  /// An owner that left it unanswered may have stored what it asks for.
+  /// True if an owner to which the request was forwarded did not answer, and
+  /// may have stored the record.
   bool may_be_appended = false;
 };
 
--- a/src/jobs/job_archiver.h
+++ b/src/jobs/job_archiver.h
@@ -14,20 +14,22 @@
 
 namespace plantainhead::jobs {
 
-/// Time between two rounds. Each writes to the partitions of the jobs that have
-/// ended meanwhile; every call is paid for, and nobody waits for it.
+/// Interval between two appends to a partition. One append covers the jobs that
+/// have ended since the last one; every call to the store is charged, and no
+/// caller waits for it.
 inline constexpr std::chrono::milliseconds kArchiveInterval =
     std::chrono::seconds(3);
 
-/// Replaces the records of accepted jobs that have ended by short ones.
+/// Compacts the records of accepted jobs that have ended: replaces each
+/// submission by a short record.
 ///
 /// A process that starts reads the newest record of every job, over a link that
-/// may carry 10 Mbit/s. With the whole submissions (1.2 KB and more each) 2300
-/// jobs take 3 s of it, and a rising part of a minute later in the day. A short
-/// record says all that is asked for of a job that has ended: that it was
-/// accepted, and how it ended. It is written after the owner's own record of
-/// the end, so that losing it, or writing it twice, changes nothing.
-/// Not thread-safe.
+/// may carry only 10 Mbit/s. With whole submissions (1.2 KB or more each) 2300
+/// jobs take 3 s to read, and the time rises towards a large part of a minute
+/// during a day. The short record holds all that is needed of an ended job:
+/// that it was accepted, and how it ended. It is written after the owner's own
+/// record of the end, so losing it or writing it twice changes nothing. Not
+/// thread-safe.
 class job_archiver {
  public:
   job_archiver(boost::asio::io_context* context,
@@ -37,7 +39,7 @@
   job_archiver& operator=(const job_archiver&) = delete;
   ~job_archiver();
 
-  /// Precondition: the store has a record of the job's end.
+  /// Precondition: the store holds a record of the job's end.
   void Add(const core::jobs::queue_id& queue,
            const core::jobs::job_id& job,
            core::jobs::job_phase phase);
--- a/src/jobs/job_recorder.h
+++ b/src/jobs/job_recorder.h
@@ -18,26 +18,28 @@
 namespace plantainhead::jobs {
 
 struct recorder_settings {
-  /// For the store's answer to an append. A slow store is not helped by a
-  /// second append, so that it is long enough for one that takes 50 times as
-  /// long as usual (0.2 s) with ten in a row before it.
+  /// Timeout of an append. A second append does not help a slow store, so the
+  /// timeout covers an append that takes 50 times as long as usual (0.2 s)
+  /// behind a run of ten others.
   std::chrono::milliseconds append_timeout = std::chrono::milliseconds(1400);
-  /// An append without an answer is looked for in the store at this interval: a
-  /// caller whose job is stored needn't wait for an answer that was lost.
+  /// Interval at which the store is read for a record whose append is
+  /// unanswered, so that a caller whose job is stored does not wait for a lost
+  /// response.
   std::chrono::milliseconds check_interval = std::chrono::milliseconds(350);
-  /// Appends to one partition that are under way at once: a second one carries
-  /// on while the first, whose answer was lost, is waited for.
+  /// Maximum number of concurrent appends to one partition: a second one makes
+  /// progress while the first waits for a response that was lost.
   std::size_t max_in_flight = 2;
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(60);
-  /// How long a request is tried while the store refuses it, which it does
-  /// within milliseconds: outages that end within it aren't noticed.
+  /// Time for which an append is retried while the store refuses it, which it
+  /// does within milliseconds. Callers do not notice outages that end within
+  /// this time.
   std::chrono::milliseconds max_rejection_time = std::chrono::milliseconds(500);
-  /// What a caller is told to wait after a refusal. Outages of the store last
-  /// seconds; a shorter time would bring the caller back into the same one.
+  /// Value of Retry-After of a 503 response. Outages of the store last seconds;
+  /// a shorter time would bring the caller back during the same outage.
   std::chrono::seconds retry_after = std::chrono::seconds(1);
 };
 
-/// What a caller wants to have stored of a job.
+/// The kind of record that a caller's request stores.
 enum class record_purpose { kJob, kCancel };
 
 inline constexpr core::name_table<record_purpose, 2> kRecordPurposeNames = {{
@@ -48,15 +50,15 @@
   return kRecordPurposeNames;
 }
 
-/// A record to be stored for a caller.
+/// A record to store for a caller's request.
 struct record_request {
   adapter::keyed_record record;
   record_purpose purpose = record_purpose::kJob;
   core::jobs::job_id id;
-  /// Of the topic of jobs.
+  /// Partition of the job topic.
   std::uint32_t partition = 0;
   core::time_point deadline;
-  /// Another process may have appended the record already, or may yet.
+  /// True if another process may have appended the record, or may still do so.
   bool may_be_appended = false;
 };
 
@@ -67,10 +69,12 @@
   std::uint64_t cancelled = 0;
 };
 
-/// Stores callers' records, and answers when that is settled:
+/// Appends callers' records to the store, and responds when the outcome is
+/// known:
 /// - 200: the record is stored;
-/// - 503: no append of it can land;
-/// - 504: one may still land; the same id is safe to repeat.
+/// - 503: no append of the record can reach the log;
+/// - 504: an append may still reach the log; it is safe to repeat the request
+///   with the same id.
 /// Not thread-safe.
 class job_recorder {
  public:
@@ -83,7 +87,7 @@
   job_recorder& operator=(const job_recorder&) = delete;
   ~job_recorder();
 
-  /// Stores the record, once for all callers that want it at the same time.
+  /// Stores the record once for all callers that request it at the same time.
   void Store(const record_request& request, const net::responder& respond);
   const recorder_counts& counts() const;
 
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -12,13 +12,14 @@
 
 namespace plantainhead::jobs {
 
-/// One process of the job scheduler: takes callers' jobs, and owns the pools
-/// that the store's group deals to it. All processes are alike.
-/// Not thread-safe: used from the thread of its `io_context` only.
+/// Runs one process of the job scheduler: accepts jobs from callers, and
+/// schedules the pools that the store's consumer group assigns to it. All
+/// processes are alike. Not thread-safe: used from the thread of its
+/// `io_context` only.
 class job_service {
  public:
-  /// Throws `std::invalid_argument` or `boost::system::system_error` when an
-  /// address can't be used.
+  /// Throws `std::invalid_argument` or `boost::system::system_error` if an
+  /// address cannot be used.
   job_service(boost::asio::io_context* context,
               const settings::scheduler_process_settings& settings);
   job_service(const job_service&) = delete;
@@ -26,11 +27,11 @@
   ~job_service();
 
   void Start();
-  /// Sets the time between a request to stop and the end by force, also while
-  /// the process stops.
+  /// Sets the time between a stop request and the forced end; may also be
+  /// called while the process is stopping.
   void SetStopGrace(core::duration grace);
-  /// Hands its pools over, answers what it has been asked, and then calls
-  /// `on_stopped`, within the settings' grace.
+  /// Releases its pools, answers the pending requests, and then calls
+  /// `on_stopped`, at the latest when the configured grace period ends.
   void Stop(std::function<void()> on_stopped);
 
  private:
--- a/src/jobs/log_follower.h
+++ b/src/jobs/log_follower.h
@@ -18,11 +18,12 @@
 
 namespace plantainhead::jobs {
 
-/// How a follower reads on its own.
+/// How a follower reads its partition on its own.
 enum class follow_mode {
   /// Records are read as soon as they are written.
   kWatch,
-  /// Records are read some time later; callers refresh when they need to know.
+  /// Records are read with a delay; callers refresh when they need the current
+  /// state.
   kBackground,
 };
 
@@ -35,40 +36,43 @@
 }
 
 struct follower_settings {
-  /// How long one read waits for a record while watching. A connection may fall
-  /// silent without being closed: records are then read this much, and the
-  /// timeout, later. Cancellations must reach the owner within 3 s, and a
-  /// configuration all processes within 2 s. Of a partition without records it
-  /// is known for two of these times, and two answers of the store, that
-  /// nothing new was in it; nothing starts when that takes 2.6 s.
+  /// Time for which one read waits for a record in watch mode. A connection may
+  /// stop delivering data without being closed; records then arrive later by
+  /// this time plus the timeout. Cancellations must reach the owner within 3 s,
+  /// and a configuration must reach all processes within 2 s. An empty
+  /// partition is known to be unchanged only after two of these waits and two
+  /// responses of the store; no task starts if that takes 2.6 s.
   std::chrono::milliseconds watch_wait = std::chrono::milliseconds(500);
-  /// The same in the background. Within it an idle partition costs one call.
+  /// Like `watch_wait`, in background mode. An idle partition costs one call in
+  /// this time.
   std::chrono::milliseconds background_wait = std::chrono::seconds(10);
-  /// Pause after a read with records, in the background.
+  /// Pause after a read that returned records, in background mode.
   std::chrono::milliseconds background_pause = std::chrono::milliseconds(3500);
-  /// How long the store may take to answer: 4 ms as a rule, 0.25 s when it is
-  /// slow.
+  /// Timeout of a read, added to its wait. The store usually answers within 4
+  /// ms, or 0.25 s when it is slow.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(900);
   jobs::load_priority load_priority = jobs::load_priority::kHigh;
-  /// Pause after a failed read; it doubles up to the most of its mode.
+  /// Pause after a failed read. It doubles with each failure, up to the maximum
+  /// of the mode.
   std::chrono::milliseconds min_pause = std::chrono::milliseconds(50);
   std::chrono::milliseconds max_pause = std::chrono::milliseconds(800);
-  /// An owner starts nothing until it has read what it watches, so that this is
-  /// lost when the store has been away.
+  /// Maximum pause in watch mode. An owner starts no task until it has read the
+  /// partitions that it watches, so this time is lost after an outage of the
+  /// store.
   std::chrono::milliseconds max_watch_pause = std::chrono::milliseconds(100);
 };
 
-/// Reads one partition of a topic that keeps the newest record of each key:
-/// first the newest records, then what is appended. When the store has dropped
-/// what comes next, it starts over; handlers must take a record twice.
-/// Not thread-safe.
+/// Follows one partition of a topic that keeps the newest record of each key:
+/// loads the newest records first, and then reads what is appended. If the
+/// store has trimmed the next records, the follower loads the partition again,
+/// so handlers must tolerate repeated records. Not thread-safe.
 class log_follower {
  public:
   using record_handler = std::function<void(const adapter::keyed_record&)>;
   using contact_handler = std::function<void(bool is_answered)>;
 
-  /// Preconditions: `store` and `loader` outlive it. All followers of a process
-  /// share one loader.
+  /// Preconditions: `store` and `loader` outlive the object. All followers of a
+  /// process share one loader.
   log_follower(boost::asio::io_context* context,
                adapter::store_client* store,
                partition_loader* loader,
@@ -80,28 +84,30 @@
   log_follower& operator=(const log_follower&) = delete;
   ~log_follower();
 
-  /// Begins to read. Call it once.
+  /// Starts reading. Must be called only once.
   void Start(follow_mode mode);
   void SetMode(follow_mode mode);
-  /// Reads all that the store has acknowledged by now, and then calls
-  /// `on_done`, with false when the store couldn't be read, or at once when the
-  /// partition isn't loaded yet.
+  /// Reads all records that the store has acknowledged so far, and then calls
+  /// `on_done`. The argument is false if the store could not be read, or
+  /// immediately if the partition is not loaded yet.
   void Refresh(std::function<void(bool is_read)> on_done);
 
-  /// Ends all refreshes that are under way: as failed, since whoever waits for
-  /// one has a caller that waits. Reads nothing any more.
+  /// Stops reading, and ends all refreshes in progress as failed, because a
+  /// caller may be waiting for each of them.
   void Abort();
 
-  /// Calls `on_loaded` when the partition is loaded: at once, or later.
+  /// Calls `on_loaded` once the partition is loaded: during this call if it
+  /// already is, else later.
   void AwaitLoaded(std::function<void()> on_loaded);
 
-  /// True when all records up to some moment after the start have been read.
+  /// Returns true once all records up to some time after the start have been
+  /// read.
   bool IsLoaded() const;
-  /// Returns the latest known moment by which all that the store had
-  /// acknowledged has been read. Precondition: the partition is loaded.
+  /// Returns the latest known time up to which all records that the store had
+  /// acknowledged have been read. Precondition: the partition is loaded.
   core::time_point CompleteAt() const;
   const adapter::store_partition& partition() const;
-  /// The offset that is read next.
+  /// Returns the offset of the next read.
   std::uint64_t cursor() const;
 
  private:
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -12,44 +12,47 @@
 namespace plantainhead::jobs {
 
 struct relay_counts {
-  /// Passed on to an owner, and of those the ones that it didn't answer.
+  /// Requests forwarded to an owner, and those of them that the owner did not
+  /// answer.
   std::uint64_t forwarded = 0;
   std::uint64_t owner_failures = 0;
 };
 
-/// Tells which pools this process owns, and passes callers' requests on to the
-/// owners of the others.
-/// Not thread-safe.
+/// Forwards callers' requests to the processes that own the pools, and reports
+/// which pools this process owns. Not thread-safe.
 class owner_relay {
  public:
   struct dependencies {
-    /// Outlives the object.
+    /// Must outlive the object.
     peers::owner_links* owners = nullptr;
-    /// The epoch under which this process schedules the pools of a partition; 0
-    /// when it doesn't.
+    /// Returns the epoch under which this process schedules the pools of a
+    /// partition; 0 if it does not.
     std::function<std::uint64_t(std::uint32_t pool_partition)> epoch_of;
-    /// Whether that surely hasn't passed on to another process.
+    /// Returns true if no other process can have become the owner in the
+    /// meantime.
     std::function<bool()> is_ownership_confirmed;
   };
-  /// `may_be_appended`: the owner may have done what was asked for, or may yet.
+  /// `may_be_appended`: the owner may have executed the request, or may still
+  /// do so.
   using fallback_handler = std::function<void(bool may_be_appended)>;
 
-  /// Of the time that a request has left, an owner gets `owner_time_share` to
-  /// answer it. Precondition: `owner_time_share` is from 0 to 1.
+  /// `owner_time_share`: the fraction of a request's remaining time that an
+  /// owner gets to answer it. Precondition: it is from 0 to 1.
   owner_relay(const dependencies& dependencies, double owner_time_share);
   owner_relay(const owner_relay&) = delete;
   owner_relay& operator=(const owner_relay&) = delete;
-  /// Requests that are under way end without their handlers being called.
+  /// The handlers of requests in progress are not called.
   ~owner_relay();
 
-  /// Returns whether this process schedules the pool, as far as it knows.
+  /// Returns whether this process schedules the pool, to its knowledge.
   bool Schedules(const core::jobs::pool_id& pool) const;
-  /// Returns whether it does, and surely no other process.
+  /// Returns whether this process schedules the pool, and it is certain that no
+  /// other process does.
   bool Owns(const core::jobs::pool_id& pool) const;
 
-  /// Passes the request on to the pool's owner. Responds with the owner's
-  /// answer if that settles the request. Otherwise calls `fallback` once: at
-  /// once when there is nobody to ask.
+  /// Forwards the request to the owner of the pool, and responds with the
+  /// owner's answer if that is conclusive. Otherwise calls `fallback` once;
+  /// during this call if there is no owner to forward to.
   void Forward(const caller_request& incoming,
                const core::jobs::pool_id& pool,
                const fallback_handler& fallback);
--- a/src/jobs/partition_loader.h
+++ b/src/jobs/partition_loader.h
@@ -11,41 +11,42 @@
 namespace plantainhead::jobs {
 
 enum class load_priority {
-  /// Read before all pages of the other rank that wait.
+  /// Read before all queued pages of low priority.
   kHigh,
   kLow,
 };
 
 struct page_request {
-  /// The page isn't read once this is gone.
+  /// The page is not read if this has expired.
   std::weak_ptr<void> reader;
   adapter::store_partition partition;
-  /// The last key of the page before; empty for the first one.
+  /// The last key of the previous page; empty for the first page.
   std::string after;
-  /// Counts from the moment the read is sent.
+  /// Starts when the read is sent.
   std::chrono::milliseconds timeout{0};
   load_priority priority = load_priority::kHigh;
 };
 
-/// Reads pages of the newest records of partitions, a few at a time: no more
-/// than the link carries within their timeout. A process that takes a pool over
-/// wants all of many partitions at once. If it asked for them together, each
-/// answer would come after its timeout and be asked for again, and the renewals
-/// of its membership would wait behind them. Not thread-safe.
+/// Reads pages of the newest records of partitions, with a limit on concurrent
+/// reads: no more than the link can carry within their timeouts. A process that
+/// takes over a pool loads many partitions at once. If it read them all
+/// concurrently, every response would arrive after its timeout and be requested
+/// again, and the renewals of its group membership would be delayed behind
+/// them. Not thread-safe.
 class partition_loader {
  public:
   using page_handler = std::function<void(const adapter::newest_reply&)>;
 
-  /// Precondition: `store` outlives it.
+  /// Precondition: `store` outlives the object.
   explicit partition_loader(adapter::store_client* store);
   partition_loader(const partition_loader&) = delete;
   partition_loader& operator=(const partition_loader&) = delete;
-  /// Pages that are waited for are dropped; no handler is called any more.
+  /// Drops queued and pending pages; their handlers are not called.
   ~partition_loader();
 
-  /// Reads a page; those of the same rank in the order of the calls. A page
-  /// whose reader is gone when its turn comes isn't read. `on_page` is called
-  /// later, never by this call.
+  /// Queues a page for reading; pages of the same priority are read in the
+  /// order of the calls. A page whose reader has expired when its turn comes is
+  /// skipped. `on_page` is called later, never during this call.
   void Load(const page_request& page, page_handler on_page);
 
  private:
--- a/src/jobs/progress_writer.h
+++ b/src/jobs/progress_writer.h
@@ -16,28 +16,31 @@
 namespace plantainhead::jobs {
 
 struct writer_settings {
-  /// For the store's answer: 6 ms as a rule, 0.4 s when it is slow.
+  /// Timeout of an append. The store usually answers within 6 ms, or 0.4 s when
+  /// it is slow.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(1000);
-  /// Least time between two appends. All that changes meanwhile goes into the
-  /// next one; it adds half of this to the time until a job is seen to end.
+  /// Minimum time between two appends. All changes in between go into the next
+  /// append; on average this adds half of the interval to the time until the
+  /// end of a job becomes visible.
   std::chrono::milliseconds min_interval = std::chrono::milliseconds(35);
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(100);
 };
 
-/// Appends an owner's records to its partition, one batch after the other.
+/// Appends an owner's records to its partition with fencing, one batch at a
+/// time.
 ///
-/// The first append claims the partition: it carries a new epoch and succeeds
+/// The first append claims the partition: it carries a new epoch, and succeeds
 /// only if nothing was appended since the claimant read the partition. From
-/// then on the store refuses every earlier owner. A batch whose answer was lost
-/// is sent again under its sequence number, which the store executes once.
-/// Not thread-safe.
+/// then on the store refuses the appends of every earlier owner. A batch whose
+/// response was lost is sent again with the same sequence number, which the
+/// store executes only once. Not thread-safe.
 class progress_writer {
  public:
   enum class result {
     kStored,
     /// Another owner has claimed the partition.
     kFenced,
-    /// Of a claim only: read the partition again first.
+    /// Only for a claim: read the partition again before the next attempt.
     kStale,
   };
   using done_handler = std::function<void(result)>;
@@ -48,20 +51,22 @@
                   const writer_settings& settings);
   progress_writer(const progress_writer&) = delete;
   progress_writer& operator=(const progress_writer&) = delete;
-  /// A call that is under way ends without its handler being called.
+  /// The handler of a call in progress is not called.
   ~progress_writer();
 
-  /// Precondition: the first call. `expected_end` is how far the partition has
-  /// been read.
+  /// Claims the partition. Precondition: no call came before. `expected_end` is
+  /// the offset up to which the partition has been read.
   void Claim(std::uint64_t epoch,
              const std::string& member,
              std::uint64_t expected_end,
              done_handler on_done);
-  /// Preconditions: the claim was stored, and no call is under way.
+  /// Appends the records. Preconditions: the claim was stored, and no call is
+  /// in progress.
   void Write(std::vector<adapter::keyed_record> records, done_handler on_done);
-  /// True while a call is under way.
+  /// Returns true while a call is in progress.
   bool IsWriting() const;
-  /// True while a call is under way, or the gap after the last one lasts.
+  /// Returns true while a call is in progress, or less than the minimum
+  /// interval has passed since the last one.
   bool IsBusy() const;
 
  private:
--- a/src/jobs/record_outbox.h
+++ b/src/jobs/record_outbox.h
@@ -13,23 +13,25 @@
 namespace plantainhead::jobs {
 
 struct outbox_settings {
-  /// For the store's answer: 6 ms as a rule, 0.4 s when it is slow.
+  /// Timeout of an append. The store usually answers within 6 ms, or 0.4 s when
+  /// it is slow.
   std::chrono::milliseconds timeout = std::chrono::milliseconds(1000);
-  /// How long the first record waits for others that go with it.
+  /// Time for which the first record of a batch waits for others.
   std::chrono::milliseconds batch_delay = std::chrono::milliseconds(0);
-  /// Pause after an append that wasn't stored, or may not be.
+  /// Pause after an append that was not stored, or may not have been.
   std::chrono::milliseconds retry_pause = std::chrono::milliseconds(200);
 };
 
-/// Appends records to one partition, without a fence, until they are stored.
+/// Appends records to one partition, without fencing, and retries until they
+/// are stored.
 ///
-/// One append is under way at a time; what is put meanwhile goes into the next,
-/// and of records with one key only the newest goes. A slow store takes 0.2 s
-/// for each append to a partition, one after the other: with an append for each
-/// record they would queue up behind one another until the store refuses them.
-/// A record may be stored twice, and an earlier one of its key after it when an
-/// answer is lost; readers must bear that.
-/// Not thread-safe.
+/// One append is in flight at a time; records that are put in the meantime go
+/// into the next one, which holds only the newest record of each key. A slow
+/// store takes 0.2 s for each append to a partition, one after the other: with
+/// one append for each record they would queue up until the store refuses them.
+/// A record may be stored twice, and when a response is lost an older record of
+/// a key may be stored after a newer one; readers must tolerate both. Not
+/// thread-safe.
 class record_outbox {
  public:
   record_outbox(boost::asio::io_context* context,
@@ -38,7 +40,7 @@
                 const outbox_settings& settings);
   record_outbox(const record_outbox&) = delete;
   record_outbox& operator=(const record_outbox&) = delete;
-  /// Records that aren't stored yet are given up.
+  /// Drops records that are not stored yet.
   ~record_outbox();
 
   void Put(adapter::keyed_record record);
--- a/src/jobs/store_view.h
+++ b/src/jobs/store_view.h
@@ -34,22 +34,24 @@
 using adapter::kJobTopic;
 using adapter::kProgressTopic;
 
-/// What a process knows from reading the store, kept up to date by followers.
+/// Caches what a process has read from the store, and keeps it up to date with
+/// one log follower per partition.
 ///
-/// Every process reads what operators publish and where the owners of pools
-/// are. Jobs, their progress and VMs are read only by the owners that schedule
-/// them: all readers share the store's bandwidth, and when each of some hundred
-/// processes read every job, reads took longer than their timeouts, were sent
-/// again by all, and none came through any more.
-/// Four files share its state: what is known (`store_view.cc`), records that
-/// can't be used (`job_world_faults.cc`), which partitions are read
-/// (`job_world_following.cc`), and readings that somebody waits for
-/// (`job_world_refreshes.cc`). Not thread-safe.
+/// Every process reads the operators' configuration and the addresses of the
+/// pool owners. Jobs, their progress and VMs are read only by the owners that
+/// schedule them, because all readers share the store's bandwidth: when each of
+/// about a hundred processes read every job, reads exceeded their timeouts, all
+/// processes retried them, and no read completed any more.
+/// The implementation has four files: the cached state (`store_view.cc`),
+/// records that cannot be decoded (`store_view_faults.cc`), the choice of
+/// partitions to read (`store_view_following.cc`), and refreshes that a caller
+/// waits for (`store_view_refreshes.cc`). Not thread-safe.
 class store_view {
  public:
-  /// What may have changed. `on_registry` and `on_fleet_records` are called
-  /// once for many records, soon after these are known; see `TakeChangedVms`
-  /// and `TakeChangedFleetKeys`. `on_report` is called for each report of a VM.
+  /// Callbacks for changes of the cached state. `on_registry` and
+  /// `on_fleet_records` are called once for a batch of records, shortly after
+  /// these were applied; see `TakeChangedVms` and `TakeChangedFleetKeys`.
+  /// `on_report` is called for each report of a VM.
   struct listeners {
     std::function<void(const std::shared_ptr<const core::jobs::job_spec>&)>
         on_job;
@@ -64,7 +66,8 @@
     std::function<void(bool is_answered)> on_store_contact;
   };
 
-  /// `configuration_apply`: within this time a configuration must be known.
+  /// `configuration_apply`: the time within which a new configuration must be
+  /// known to this process.
   store_view(boost::asio::io_context* context,
              adapter::store_client* store,
              const follower_settings& settings,
@@ -74,106 +77,116 @@
   store_view& operator=(const store_view&) = delete;
 
   void Start();
-  /// True when there is a configuration.
+  /// Returns true if a configuration has been read.
   bool IsLoaded() const;
-  /// Returns the latest moment by which all that operators had published has
-  /// been read; the epoch when nothing has been.
+  /// Returns the latest known time up to which everything that operators
+  /// published has been read; the epoch if nothing has been read.
   core::time_point ConfigurationReadAt() const;
-  /// Returns the latest moment by which all jobs that the store had taken have
-  /// been read, in whatever partition; the epoch when there is none yet.
+  /// Returns the latest known time up to which all jobs that the store accepted
+  /// have been read, in all partitions; the epoch if there is none yet.
   core::time_point AllJobsReadAt() const;
-  /// Returns how long ago the queue's partitions of jobs had been read up to
-  /// their ends.
+  /// Returns the time since the job partitions of the queue were last read up
+  /// to their ends.
   core::duration JobCopyAge(const core::jobs::queue_id& queue) const;
-  /// The same for those that hold jobs of the pools that this process owns.
+  /// Like `JobCopyAge`, for the partitions that hold jobs of the pools that
+  /// this process owns.
   core::duration WatchedJobCopyAge() const;
-  /// The same for the entries of VMs, and for what owners of pools and of the
-  /// fleet tell each other. Precondition: this process owns one of them.
+  /// Like `JobCopyAge`, for the registry of VMs and for the records that the
+  /// owners of pools and of the fleet exchange. Precondition: this process owns
+  /// a pool or the fleet.
   core::duration RegistryCopyAge() const;
   core::duration FleetCopyAge() const;
-  /// Returns how far VMs' entries are trusted; valid as long as the object.
+  /// Returns until when the reports of the VMs are trusted. The reference is
+  /// valid as long as the object.
   const core::jobs::report_validity& report_validity() const {
     return report_validity_;
   }
-  /// Returns whether the partitions that tell of the queue's jobs are being
-  /// read, and have been read once.
+  /// Returns whether the partitions that hold the queue's jobs are being
+  /// followed and have been loaded.
   bool IsQueueLoaded(const core::jobs::queue_route& route) const;
 
   const core::jobs::routing_table& routes() const { return routes_; }
   const core::jobs::job_directory& directory() const { return directory_; }
   const core::jobs::vm_registry& registry() const { return registry_; }
-  /// Where all who read records note what they can't use.
+  /// Log of the records that cannot be used; shared by all readers of records.
   fault_log& faults() { return faults_; }
   const std::map<std::uint64_t, core::jobs::maintenance_wave>& waves() const {
     return waves_;
   }
-  /// Returns the VMs whose entries in the registry have changed or gone since
+  /// Returns the VMs whose registry entries have changed or were removed since
   /// the last call.
   std::set<core::jobs::vm_id> TakeChangedVms() {
     return std::exchange(changed_vms_, {});
   }
-  /// Returns the keys whose records of the fleet have changed or gone since the
-  /// last call.
+  /// Returns the keys of the fleet records that have changed or were removed
+  /// since the last call.
   std::set<std::string> TakeChangedFleetKeys() {
     return std::exchange(changed_fleet_keys_, {});
   }
-  /// Returns of which VMs the records of vacancies, by partition, have changed
-  /// since the last call. They are noted while the fleet is owned.
+  /// Returns the VMs, by partition, whose vacancy records have changed since
+  /// the last call. Changes are collected only while this process owns the
+  /// fleet.
   std::set<std::pair<std::uint32_t, core::jobs::vm_id>> TakeChangedVacancies() {
     return std::exchange(changed_vacancies_, {});
   }
   const std::map<std::string, std::string>& fleet_records() const {
     return fleet_records_;
   }
-  /// Returns the hosts for which an owner of the fleet may have given an order
-  /// not long ago, and the name of the last one; empty when it can't be told.
+  /// Returns the hosts for which an owner of the fleet may recently have issued
+  /// an order, with the lease holder of the last order; empty if the holder is
+  /// unknown.
   const std::map<core::jobs::host_id, std::string>& ordered_hosts() const {
     return ordered_hosts_;
   }
-  /// Returns the queue's newest policy, also after its route was removed.
+  /// Returns the newest policy of the queue, also after its route was removed.
   core::jobs::queue_policy PolicyOf(const core::jobs::queue_id& queue) const;
-  /// Returns the newest claim of the partition; epoch 0: there is none.
+  /// Returns the newest claim of the partition; its epoch is 0 if there is
+  /// none.
   owner_record OwnerOf(std::uint32_t pool_partition) const;
   std::uint64_t CursorOf(std::uint32_t pool_partition) const;
-  /// Returns the VMs that owners of the partition may have used, by address.
+  /// Returns the VMs that owners of the partition may have used, with their
+  /// addresses.
   const std::map<core::jobs::vm_id, std::string>& UsedVms(
       std::uint32_t pool_partition) {
     return used_vms_[pool_partition];
   }
-  /// Returns the VMs that owners of the partition have emptied for good.
+  /// Returns the VMs that owners of the partition have vacated permanently.
   const std::set<core::jobs::vm_id>& VacantVms(std::uint32_t pool_partition) {
     return vacant_vms_[pool_partition];
   }
 
-  /// Notes what this process has stored itself, in a partition of jobs, without
-  /// waiting until it is read. Nothing is noted of jobs that aren't read here.
+  /// Applies a record that this process has stored in a partition of jobs,
+  /// without waiting until it is read back. Does nothing if the partition is
+  /// not followed.
   void NoteJobRecord(std::uint32_t partition,
                      const adapter::keyed_record& record);
-  /// Notes what this process has stored itself.
+  /// Applies progress that this process has stored.
   void NoteProgress(const core::jobs::job_id& id,
                     core::jobs::job_progress progress);
 
-  /// Reads what the store has by now; `on_done` gets false when it can't be
-  /// read, or the partition isn't one that is read here.
+  /// Reads the partition up to its current end. Calls `on_done` with false if
+  /// it cannot be read or is not followed.
   void RefreshJobs(std::uint32_t partition, std::function<void(bool)> on_done);
-  /// The same for all partitions that tell which jobs of the queue wait. The
-  /// progress of its pool's jobs is the owner's own. Progress of jobs from
-  /// before the queue moved to its pool is left out: what it lacks can only
-  /// make more jobs look waiting.
+  /// Like `RefreshJobs`, for all partitions that hold the queue's jobs. The
+  /// progress of the jobs is not read: the owner of their pool writes it
+  /// itself. Progress written before the queue moved to this pool is left out;
+  /// without it more jobs can be counted as waiting, but never fewer.
   void RefreshQueue(const core::jobs::queue_route& route,
                     std::function<void(bool)> on_done);
-  /// The same for all partitions, repeated until all have been read. Those that
-  /// aren't read here otherwise are only until then.
+  /// Like `RefreshJobs`, for all partitions, retried until all have been read.
+  /// Partitions that are not followed otherwise are followed only until then.
   void RefreshAllJobs(const std::function<void()>& on_done);
-  /// Reads the partition from its begin if it isn't followed yet.
+  /// Like `RefreshJobs`, for a partition of pools. Loads the partition first if
+  /// it is not followed yet.
   void RefreshProgress(std::uint32_t partition,
                        std::function<void(bool)> on_done);
-  /// Repeated until they have been read. Precondition: a partition is owned.
+  /// These retry until the records have been read. Precondition: this process
+  /// owns a partition.
   void RefreshRegistry(const std::function<void()>& on_done);
   void RefreshFleetRecords(const std::function<void()>& on_done);
 
-  /// Sets which pools' partitions this process owns: their jobs and VMs are
-  /// read as soon as they are written.
+  /// Sets the pool partitions that this process owns. Their jobs and VMs are
+  /// watched, so that records are read as soon as they are written.
   void SetOwned(const std::vector<std::uint32_t>& pool_partitions);
   void SetFleetOwned(bool is_owned);
 
@@ -181,13 +194,13 @@
   void ApplyJobRecord(const adapter::keyed_record& record);
   void ApplyPoolRecord(std::uint32_t partition,
                        const adapter::keyed_record& record);
-  /// Does what the fault of a record of the partition asks for.
+  /// Applies the effect that an undecodable record of the partition has.
   void ApplyPoolFault(std::uint32_t partition,
                       const adapter::keyed_record& record,
                       const core::jobs::record_fault& fault);
   void ApplyFleetRecord(const adapter::keyed_record& record);
   void ApplyOperatorRecord(const adapter::keyed_record& record);
-  /// Notes the queues' routes that the next configuration doesn't have.
+  /// Retains the routes that the next configuration no longer contains.
   void RetainFormerRoutes(const core::jobs::routing_configuration& next);
   void ApplyConfiguration(const std::string& value);
   void ApplyRegistryRecord(const adapter::keyed_record& record);
@@ -222,7 +235,8 @@
   partition_loader loader_;
   follower_settings settings_;
   listeners listeners_;
-  /// Many records come at once, and what listens to them looks through all.
+  /// Batched notifications: many records arrive at once, and each listener
+  /// scans all of them.
   paced_action registry_notification_;
   paced_action fleet_records_notification_;
   core::jobs::routing_table routes_;
@@ -236,7 +250,7 @@
   std::set<std::string> changed_fleet_keys_;
   std::set<std::pair<std::uint32_t, core::jobs::vm_id>> changed_vacancies_;
   std::map<core::jobs::queue_id, core::jobs::queue_policy> policies_;
-  /// Until when jobs may still come by routes that there were. A process that
+  /// Times until which jobs may still arrive by removed routes. A process that
   /// learns of a configuration late stores jobs for a queue's former pool.
   std::map<std::pair<core::jobs::pool_id, core::jobs::queue_id>,
            core::time_point>
@@ -249,7 +263,7 @@
   std::set<std::uint32_t> watched_job_partitions_;
   bool is_fleet_owned_ = false;
 
-  /// Readings of all jobs that are under way.
+  /// Number of calls of `RefreshAllJobs` in progress.
   std::size_t full_refreshes_ = 0;
   core::time_point all_jobs_read_at_;
 
--- a/src/jobs/submissions.h
+++ b/src/jobs/submissions.h
@@ -16,19 +16,19 @@
 
 struct submission_settings {
   recorder_settings recorder;
-  /// A caller without a header waits this long.
+  /// Timeout of a request that has no timeout header.
   std::chrono::milliseconds default_timeout = std::chrono::seconds(3);
-  /// An answer leaves this long before the caller gives up.
+  /// A response is sent at least this long before the caller's timeout.
   std::chrono::milliseconds response_margin = std::chrono::milliseconds(250);
-  /// Of the time that a request has left, the share that an owner gets to
-  /// answer it. The rest is for the store, if the owner doesn't.
+  /// Fraction of a request's remaining time that the owner gets to answer. The
+  /// rest is left for storing the record without the owner.
   double owner_time_share = 0.6;
-  /// What a caller is told to wait when a pool's owner can't be asked: about
-  /// as long as a pool has none after its owner was lost.
+  /// Value of Retry-After when the owner of a pool cannot be reached: about as
+  /// long as a pool has no owner after its owner was lost.
   std::chrono::seconds retry_after = std::chrono::seconds(1);
 };
 
-/// Counts by outcome.
+/// Counts of requests by outcome.
 struct submission_counts {
   recorder_counts records;
   relay_counts relayed;
@@ -39,17 +39,20 @@
   std::uint64_t malformed = 0;
 };
 
-/// Answers callers: takes jobs and cancellations, and tells states.
+/// Handles callers' requests: accepts jobs and cancellations, and answers
+/// queries about states and numbers of jobs.
 ///
-/// A request goes to the owner of its queue's pool, which knows the jobs of it
-/// without asking the store. Where no owner answers, jobs and cancellations are
-/// stored by this process itself; states and numbers aren't known then.
+/// A request is forwarded to the owner of its queue's pool, which knows the
+/// queue's jobs without asking the store. If no owner answers, this process
+/// stores jobs and cancellations itself; states and counts are not available
+/// then.
 ///
-/// What a caller is told:
-/// - accepted: the job's record is stored.
-/// - refused (503): no append of the job can land, and a caller that comes back
-///   later starts afresh.
-/// - no answer (504): an append may still land; the same id is safe to repeat.
+/// Responses:
+/// - 200: the record is stored.
+/// - 503: no append of the record can reach the log; the caller may submit
+///   again later.
+/// - 504: an append may still reach the log; it is safe to repeat the request
+///   with the same id.
 /// Not thread-safe.
 class submissions {
  public:
@@ -67,7 +70,7 @@
   submissions& operator=(const submissions&) = delete;
   ~submissions();
 
-  /// Handles a request of a caller, or one that another process passed on.
+  /// Handles a request of a caller, or one that another process forwarded.
   void Handle(const net::server_request& request,
               const net::responder& respond);
   submission_counts counts() const;
--- a/src/jobs/unavailable_response.h
+++ b/src/jobs/unavailable_response.h
@@ -8,9 +8,8 @@
 
 namespace plantainhead::jobs {
 
-/// Returns an answer (503) that says that nothing of the request was or will be
-/// done, and when to come back.
-/// Thread safety: safe from any thread.
+/// Returns a 503 response, which states that the request was not and will not
+/// be executed, with a Retry-After header. Thread safety: safe from any thread.
 net::server_response MakeUnavailableResponse(const std::string& why,
                                              std::chrono::seconds retry_after);
 
