--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -52,7 +52,7 @@
   const recorder_counts& counts() const { return counts_; }
 
  private:
-  /// One record that callers wait for.
+  /// A record that one or more callers wait for.
   struct pending_record {
     explicit pending_record(boost::asio::io_context& context)
         : check_timer(context) {}
@@ -64,14 +64,15 @@
   };
   using record_ptr = std::shared_ptr<pending_record>;
 
-  /// The records for one partition.
+  /// The queued records of one partition, and the number of its appends in
+  /// flight.
   struct partition_queue {
     std::vector<record_ptr> waiting;
     std::size_t in_flight = 0;
   };
 
-  // A slow store takes appends one by one, so that what arrives while some are
-  // under way goes into one append.
+  // A slow store executes appends one by one, so records that arrive while
+  // appends are in flight are combined into one append.
   void Flush(std::uint32_t partition) {
     partition_queue& next = partition_queues_[partition];
     if (next.waiting.empty() || next.in_flight >= settings_.max_in_flight) {
@@ -191,9 +192,8 @@
     });
   }
 
-  // A caller that is told "refused" may believe that its job never runs, so
-  // after an append without an answer, or with one under way, there is no such
-  // word.
+  // A 503 response promises that the job never runs. It is not sent after an
+  // append without a response, or while one is in flight.
   void Fail(const record_ptr& pending, const adapter::append_reply& reply) {
     const bool may_be_appended = pending->request.may_be_appended ||
                                  reply.outcome == append_outcome::kUnknown;
@@ -206,9 +206,11 @@
     if (may_be_appended) {
       ++counts_.unanswered;
       LogEvent(job_event::kJobUnanswered, fields);
-      Answer(pending, adapter::EncodeFault(
-                          net::kGatewayTimeout,
-                          "the store didn't answer; repeat the same id"));
+      Answer(
+          pending,
+          adapter::EncodeFault(
+              net::kGatewayTimeout,
+              "the store did not answer; repeat the request with the same id"));
       return;
     }
     ++counts_.refused;
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -30,26 +30,29 @@
 using std::chrono::seconds;
 
 // Connections for short calls to the store. A takeover refreshes 18 partitions
-// at once; when the store is slow (0.2 s an answer) fewer connections would
-// make the last reads wait until they time out, and the takeover begin again.
+// concurrently. When the store is slow (0.2 s for each response), the last
+// reads would time out with fewer connections, and the takeover would start
+// again.
 constexpr std::size_t kStoreConnections = 20;
-// A process that has reached neither the store nor an owner of a pool for this
-// time tells that it isn't ready: callers' jobs can't be stored here. Longer
-// than three renewals.
+// A process that has reached neither the store nor the owner of a pool for this
+// time reports that it is not ready, because it cannot store callers' jobs.
+// Longer than three renewals.
 constexpr milliseconds kReadinessTimeout = milliseconds(2800);
-// After a request to stop new connections come for two more probes, a second
-// apart, and a little longer.
+// Minimum time between a stop request and the end. Clients keep opening
+// connections until two readiness probes, one second apart, have failed, and
+// for a short time after that.
 constexpr milliseconds kMinStopTime = milliseconds(2300);
-// Cores that an owner of a pool needs. With 60 to 85 VMs it starts up to 870
-// tasks a second and takes 0.06 to 0.11 of a core over its busiest 5 s, more in
-// bursts; with 0.12 of a core it falls behind, and what it places is late. With
-// 9 to 12 VMs 0.25 of a core is plenty.
+// Minimum number of processor cores of a pool owner. With 60 to 85 VMs an owner
+// starts up to 870 tasks/s and uses 0.06 to 0.11 of a core over its busiest 5
+// s, with higher peaks; with only 0.12 of a core it falls behind and places
+// tasks late. With 9 to 12 VMs 0.25 of a core is ample.
 constexpr double kOwnerCores = 0.2;
 constexpr milliseconds kStopPollInterval = milliseconds(50);
-// A loop that is this far behind is worth a line: answers of VMs take some
-// milliseconds, and a renewal that is late by seconds loses what is owned.
+// Event loop lag that is logged. Responses of VMs take some milliseconds, and a
+// renewal that is seconds late loses the process its pools.
 constexpr milliseconds kLoopLagThreshold = milliseconds(250);
-// Left of the grace when the process ends whatever is open.
+// The process ends this long before the grace period does, whatever is still
+// open.
 constexpr milliseconds kStopMargin = milliseconds(700);
 
 }  // namespace
@@ -60,8 +63,9 @@
        const settings::scheduler_process_settings& settings)
       : context_(context),
         settings_(settings),
-        // The name of the VM, and not of this life: after a restart the group
-        // knows the member again, and needn't wait for its time to live.
+        // The name of the VM rather than of this incarnation, so that the group
+        // recognizes the member after a restart and does not wait for its
+        // previous lease to expire.
         member_name_(settings.name),
         member_settings_(MakeMemberSettings(settings)),
         store_(context, settings.store_address, kStoreConnections),
@@ -341,7 +345,7 @@
     LogEvent(job_event::kProcessState, FormatState(state));
   }
 
-  // Returns what was used since the last call.
+  // Returns the processor time used since the last call.
   work_times TakeBusy() {
     const work_times totals = meters_.work().Totals();
     work_times busy{};
--- a/src/jobs/log_follower.cc
+++ b/src/jobs/log_follower.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Records whose handling takes longer are worth a line.
+// Handling times from this value on are logged.
 constexpr milliseconds kSlowHandling(200);
 
 }  // namespace
@@ -46,11 +46,12 @@
     Load("");
   }
 
-  // A read in the background waits for up to 10 s, and 0.9 s more when it hangs
-  // because its connection has fallen silent. If the new owner of a pool waited
-  // for it, it would see new jobs and cancellations that much later: cancelled
-  // tasks ran on for 7 s. So it reads anew at once. What the older read brings
-  // is taken when it is news, and leads to no further read.
+  // A background read waits for up to 10 s, and for another 0.9 s if its
+  // connection has stopped delivering data. If the new owner of a pool waited
+  // for it, new jobs and cancellations would reach it late by that time, and
+  // cancelled tasks ran on for 7 s. So a new read is sent immediately. The
+  // records that the older read returns are applied if they are new, but it is
+  // not continued.
   void SetMode(follow_mode mode) {
     const bool starts_watching =
         mode == follow_mode::kWatch && mode_ != follow_mode::kWatch;
@@ -110,16 +111,16 @@
   std::uint64_t cursor() const { return cursor_; }
 
  private:
-  /// A read on the follower's own account that is under way.
+  /// A read in flight that the follower sent on its own, not for a refresh.
   struct sent_read {
     std::uint64_t number = 0;
     core::time_point at;
     follow_mode mode = follow_mode::kBackground;
   };
 
-  // A follower whose first reading failed begins anew. If it went on from the
-  // first offset instead, it would never count as loaded, and an owner that
-  // waits for that would take its pool over and start nothing.
+  // Loads the partition again if the first load failed. If the follower
+  // continued from the first offset instead, it would never become loaded, and
+  // an owner that waits for that would take over its pool and start no task.
   void Resume() {
     if (is_loaded_) {
       ReadNext();
@@ -128,14 +129,15 @@
     }
   }
 
-  // Calls `action` later, unless the follower is closed by then.
+  // Calls `action` after `time`, unless the follower is closed or resumed
+  // first.
   void Pause(milliseconds time, void (impl::*action)()) {
     is_pausing_ = true;
     timer_.expires_after(time);
     timer_.async_wait([self = weak_from_this(),
                        action](const boost::system::error_code& error) {
       const auto follower = self.lock();
-      // The handler may be due already when the pause is ended early.
+      // The handler may already be queued when the pause is ended early.
       const bool is_due =
           follower && !error && !follower->is_closed_ && follower->is_pausing_;
       if (is_due) {
@@ -154,7 +156,7 @@
 
   void Reload() { Load(""); }
 
-  // Reads the newest records, page by page, from the one after `after`.
+  // Reads the newest records page by page, starting after the key `after`.
   void Load(const std::string& after) {
     if (after.empty()) {
       load_began_at_ = BootTime();
@@ -177,7 +179,7 @@
   void HandlePage(const std::string& after,
                   const adapter::newest_reply& reply) {
     on_contact_(reply.is_read);
-    // A page that ends where it began would come again for ever.
+    // A page whose last key equals its start key would be read again forever.
     const bool is_stuck = reply.has_more && reply.last_key == after;
     if (!reply.is_read || is_stuck) {
       PauseAfterFailure(&impl::Reload);
@@ -185,8 +187,8 @@
     }
     pause_ = settings_.min_pause;
     if (after.empty()) {
-      // Later pages may show records that are newer than this end; those before
-      // it are all in the pages.
+      // Later pages may contain records that are newer than this end; all
+      // records before it are in the pages.
       load_end_ = reply.end;
     }
     const core::time_point began = BootTime();
@@ -209,9 +211,10 @@
     }
   }
 
-  // After a failure the first read doesn't wait for a record: an owner starts
-  // nothing until it is known again what the partition holds, and of one
-  // without records a read that waits tells that only when its wait is over.
+  // After a failure the first read does not wait for a record: an owner starts
+  // no task until it knows the state of the partition again, and for a
+  // partition without new records a long-poll read confirms that only when its
+  // wait is over.
   milliseconds NextWait() const {
     if (has_failed_) {
       return milliseconds(0);
@@ -220,7 +223,7 @@
                                         : settings_.background_wait;
   }
 
-  // Supersedes any read that is under way: only the newest one is continued.
+  // Supersedes any read in flight: only the newest one is continued.
   void ReadNext() {
     const milliseconds wait = NextWait();
     const sent_read sent{++last_read_, BootTime(), mode_};
@@ -244,7 +247,7 @@
     if (reply.outcome == read_outcome::kRead && cursor_ >= reply.end) {
       AdvanceCompleteAt(sent.at);
     }
-    // A record may have hastened this follower, too.
+    // The handler of a record may have changed the mode of this follower, too.
     const bool is_superseded = sent.number != last_read_;
     if (is_superseded) {
       return;
@@ -255,8 +258,8 @@
       PauseAfterFailure(&impl::ReadNext);
       return;
     }
-    // The same bytes would come again for ever. The newest record of each key
-    // is all that counts, and pages of those are framed in another way.
+    // The same bytes would be returned forever. Only the newest record of each
+    // key matters, and pages of those are framed differently.
     if (reply.outcome == read_outcome::kUnframed) {
       LogUnframed();
       PauseAfterFailure(&impl::Reload);
@@ -274,7 +277,7 @@
     }
   }
 
-  // A read that hung may have kept records from this process for as long.
+  // A read that hung may have withheld records from this process for as long.
   void LogUnanswered(std::string_view mode,
                      core::time_point sent_at,
                      unsigned status) const {
@@ -291,14 +294,14 @@
              {{"topic", partition_.topic},
               {"part", std::to_string(partition_.number)},
               {"offset", std::to_string(cursor_)},
-              {"fault", "the records can't be told apart"}});
+              {"fault", "invalid record framing"}});
   }
 
   void AdvanceCompleteAt(core::time_point asked_at) {
     complete_at_ = std::max(complete_at_, asked_at);
   }
 
-  // Returns whether there was one that hadn't been read.
+  // Returns true if any of the records had not been read before.
   bool ApplyRecords(const adapter::read_reply& reply) {
     bool has_new_records = false;
     const core::time_point began = BootTime();
@@ -313,7 +316,8 @@
     return has_new_records;
   }
 
-  // All else that the process does waits meanwhile, renewals too.
+  // Everything else in the process is delayed in the meantime, renewals
+  // included.
   void LogIfSlow(std::size_t records, core::time_point began) const {
     const core::duration took = BootTime() - began;
     if (took >= kSlowHandling) {
@@ -325,8 +329,8 @@
     }
   }
 
-  // A read that is under way may have been answered before what the caller
-  // wants to see was stored, so each refresh needs a read that begins after it.
+  // A read in flight may have been answered before the records that the caller
+  // expects were stored, so each refresh needs a read that starts after it.
   void StartRefresh() {
     current_refresh_.swap(next_refresh_);
     ReadForRefresh();
@@ -381,7 +385,7 @@
   core::time_point load_began_at_;
   core::time_point complete_at_;
   bool is_loaded_ = false;
-  /// The last read on the follower's own account had no answer.
+  /// True if the last read outside refreshes failed.
   bool has_failed_ = false;
   bool is_pausing_ = false;
   bool is_closed_ = false;
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -16,8 +16,8 @@
 using peers::pass_reply;
 using std::chrono::milliseconds;
 
-// An owner that refused may be the one that the store refuses, so that this
-// process tries itself before it tells the caller so.
+// An owner may have responded 503 because the store refuses only that owner, so
+// this process tries to store the record itself before it responds 503.
 bool IsConclusive(const pass_reply& reply) {
   return reply.outcome == pass_outcome::kAnswered &&
          reply.status != net::kUnavailable &&
@@ -78,8 +78,8 @@
     return peers::HopsOf(incoming.request) < peers::kMostHops;
   }
 
-  // An owner that isn't sure any more would only ask itself, until it knows of
-  // the one that follows.
+  // If this process is the latest known owner but its ownership is unconfirmed,
+  // it would only forward to itself until it learns of its successor.
   bool HasNewerOwner(std::uint32_t partition) const {
     return deps_.owners->book().Latest(partition).epoch >
            deps_.epoch_of(partition);
--- a/src/jobs/partition_loader.cc
+++ b/src/jobs/partition_loader.cc
@@ -10,8 +10,8 @@
 namespace plantainhead::jobs {
 namespace {
 
-// Begins with few, since nothing is known of the link, and leaves some of the
-// client's connections to calls that can't wait.
+// Starts with few concurrent reads, because the capacity of the link is
+// unknown, and leaves some of the client's connections to urgent calls.
 core::jobs::send_window_settings LoadWindow() {
   core::jobs::send_window_settings settings;
   settings.min_size = 1;
@@ -71,7 +71,8 @@
                    const adapter::newest_reply& reply) {
     --in_flight_;
     const core::time_point now = BootTime();
-    // One that fails sooner was refused, and says nothing about the link.
+    // A read that fails before its timeout was refused, and says nothing about
+    // the link.
     if (reply.is_read || now - sent_at >= sent.page.timeout) {
       window_.NoteResult(now - sent_at, now);
     }
--- a/src/jobs/progress_writer.cc
+++ b/src/jobs/progress_writer.cc
@@ -72,14 +72,14 @@
         Finish(result::kFenced);
         return;
       case append_outcome::kEndMoved:
-        // A claim whose first answer was lost may have moved the end itself;
-        // reading the partition shows it.
+        // A claim whose first response was lost may itself have moved the end;
+        // reading the partition again shows it.
         Finish(result::kStale);
         return;
       case append_outcome::kOutOfSequence:
       case append_outcome::kInvalid:
-        // Another claimant has used this epoch, or the store has dropped what
-        // it knew of it. Either way a new claim must settle it.
+        // Another claimant has used this epoch, or the store has dropped its
+        // state of this writer. In both cases a new claim is needed.
         Finish(is_claim ? result::kStale : result::kFenced);
         return;
       case append_outcome::kUnknown:
--- a/src/jobs/record_outbox.cc
+++ b/src/jobs/record_outbox.cc
@@ -72,7 +72,7 @@
                 {"records", std::to_string(call.records.size())},
                 {"status", std::to_string(reply.status)}});
     } else if (reply.outcome != adapter::append_outcome::kStored) {
-      // What was put meanwhile is newer.
+      // Records that were put in the meantime are newer.
       for (const adapter::keyed_record& record : call.records) {
         waiting_.try_emplace(record.key, record);
       }
--- a/src/jobs/store_view.cc
+++ b/src/jobs/store_view.cc
@@ -16,13 +16,13 @@
 namespace plantainhead::jobs {
 namespace {
 
-// Processes that can't read the store learn of a configuration some seconds
-// later than it applies, and what they store may itself land late.
+// Processes that cannot read the store apply a configuration some seconds late,
+// and what they store may itself arrive late.
 constexpr std::chrono::seconds kFormerRouteRetention(30);
 
-// Each process reads what operators publish, and each idle read is a call to
-// the store, so that those who own nothing wait longer. A read that hangs is
-// given up, and the next one answered, within the time that is allowed.
+// Every process reads the operators' topic, and each idle read is a call to the
+// store, so processes that own nothing use a longer wait. A read that hangs is
+// abandoned, and the next one is answered, within the allowed time.
 follower_settings OperatorSettings(follower_settings settings,
                                    core::duration apply) {
   constexpr int kReadsPerApplyTime = 2;
@@ -33,7 +33,7 @@
   return settings;
 }
 
-// An address that is known late costs callers a wait, and no more.
+// An address that is learned late only delays callers' requests.
 follower_settings AddressSettings(follower_settings settings) {
   settings.watch_wait = std::chrono::seconds(5);
   return settings;
@@ -177,8 +177,8 @@
   if (is_dropped) {
     return;
   }
-  // An owner reads back what it has stored itself. The first submission of an
-  // id counts, so that a second one needn't be decoded.
+  // An owner reads back its own records. Only the first submission of an id
+  // counts, so a second one need not be decoded.
   const bool is_repeated =
       IsSubmission(record) && directory_.Find(record.key) != nullptr;
   if (is_repeated) {
@@ -277,7 +277,7 @@
     if (operators_->IsLoaded()) {
       wave->published_at = BootTime();
     }
-    // Records may be read again; the first reading tells the time.
+    // Records may be read repeatedly; the first read determines the time.
     waves_.try_emplace(wave->number, std::move(*wave));
     fleet_records_notification_.Request();
   }
@@ -309,7 +309,7 @@
     return;
   }
   faults_.NoteValid(adapter::kOperatorTopic, adapter::kConfigurationKey);
-  // Pages and appends may show an older version after a newer one.
+  // Pages and appends may return an older version after a newer one.
   if (decoded->version <= routes_.configuration().version) {
     return;
   }
--- a/src/jobs/store_view_faults.cc
+++ b/src/jobs/store_view_faults.cc
@@ -52,10 +52,10 @@
         return;
       }
       if (key.kind == pool_record_kind::kVm) {
-        // An address that was read before stays.
+        // Keeps an address that was read before.
         used_vms_[partition].try_emplace(key.name);
       } else {
-        // Whoever wrote the record may have ordered the host.
+        // The writer of the record may have issued an order for the host.
         ordered_hosts_[key.name] = "";
       }
       return;
@@ -92,11 +92,12 @@
     if (is_pool_configured) {
       faults_.NoteValid(adapter::kRegistryTopic, record.key);
     } else {
-      // A configuration that names it may still come.
+      // A configuration that contains the pool may still arrive.
       faults_.Note(adapter::kRegistryTopic, record.key,
                    {core::jobs::fault_kind::kUnknownName, "service"});
     }
-    // The record was written after what had been read before it.
+    // The record was written after the partition was last known to be read
+    // completely.
     const bool is_loaded = registry_follower_ && registry_follower_->IsLoaded();
     report_validity_.Note(
         record.key, is_loaded ? registry_follower_->CompleteAt() : BootTime());
--- a/src/jobs/store_view_following.cc
+++ b/src/jobs/store_view_following.cc
@@ -5,13 +5,13 @@
 #include "jobs/clocks.h"
 #include "jobs/store_view.h"
 
-// Which partitions a process reads, by what it owns.
+// Selects the partitions that a process follows, depending on what it owns.
 
 namespace plantainhead::jobs {
 namespace {
 
-// An owner claims its pool before it knows all jobs, and an owner that doesn't
-// know the configuration gives no orders.
+// Low priority, because an owner claims its pool before it knows all jobs, and
+// an owner without the configuration issues no orders.
 follower_settings JobSettings(follower_settings settings) {
   settings.load_priority = load_priority::kLow;
   return settings;
@@ -37,8 +37,9 @@
   return is_fleet_owned_ || owned != owned_pool_partitions_.end();
 }
 
-// What the partitions told is forgotten when they are read no more: nothing
-// would take out of it what is dropped from the store meanwhile.
+// Discards the state of partitions that are no longer followed, because records
+// that are dropped from the store in the meantime would never be removed from
+// it.
 void store_view::FollowPools() {
   for (auto it = pool_followers_.begin(); it != pool_followers_.end();) {
     const std::uint32_t partition = it->first;
@@ -73,9 +74,9 @@
   UpdateFollowers();
 }
 
-// An owner must learn of new jobs at once, and of cancellations also of jobs
-// whose queue has moved to another pool since: read in the background these
-// came 7 s late.
+// An owner must learn of new jobs immediately, and also of cancellations of
+// jobs whose queue has since moved to another pool: with background reads these
+// arrived 7 s late.
 std::set<std::uint32_t> store_view::WatchedJobPartitions() const {
   std::set<std::uint32_t> watched;
   const auto watch = [&](const core::jobs::pool_id& pool,
@@ -138,7 +139,8 @@
   FollowJobs();
   FollowPools();
   const bool owns_any = !owned_pool_partitions_.empty() || is_fleet_owned_;
-  // An owner gives no orders while it doesn't know what operators want.
+  // An owner issues no orders while it does not know the operators'
+  // configuration.
   operators_->SetMode(owns_any ? follow_mode::kWatch
                                : follow_mode::kBackground);
   if (!owns_any) {
@@ -146,7 +148,8 @@
     return;
   }
   FollowFleet();
-  // Also by one that owns no pool yet: starts go by fresh entries only.
+  // Also in a process that owns no pool yet, because tasks are started only on
+  // VMs with fresh registry entries.
   registry_follower_->SetMode(follow_mode::kWatch);
 }
 
--- a/src/jobs/store_view_refreshes.cc
+++ b/src/jobs/store_view_refreshes.cc
@@ -8,7 +8,7 @@
 #include "jobs/event_log.h"
 #include "jobs/store_view.h"
 
-// Readings that somebody waits for.
+// Refreshes that a caller waits for.
 
 namespace plantainhead::jobs {
 
@@ -59,7 +59,8 @@
   }
 }
 
-// Followers that aren't needed any more may be among the callers of this.
+// Posted, because the callers of this function may include followers that are
+// to be removed.
 void store_view::EndFullRefresh() {
   boost::asio::post(*context_, [this] {
     --full_refreshes_;
@@ -67,8 +68,8 @@
   });
 }
 
-// Repeats what has failed, and not what other partitions have read already. A
-// partition that isn't read here any more needs no reading.
+// Retries only the partition whose read failed. A partition that is no longer
+// followed need not be read.
 void store_view::RefreshUntilRead(const std::weak_ptr<log_follower>& reader,
                                   const std::function<void()>& on_read) {
   const auto follower = reader.lock();
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -52,7 +52,7 @@
     const route_match match = view_.routes().Find(host, path);
     if (match.route == nullptr) {
       ++counts_.unknown_route;
-      // The process that passed the request on knows the queue.
+      // The process that forwarded the request knows the queue.
       respond(peers::HopsOf(request) > 0
                   ? adapter::EncodeFault(net::kMisdirected, "no such queue")
                   : adapter::EncodeFault(net::kNotFound, "no such queue"));
@@ -86,7 +86,7 @@
     if (!adapter::IsJobId(incoming.id)) {
       ++counts_.malformed;
       incoming.respond(adapter::EncodeFault(
-          net::kBadRequest, "the path doesn't end in a job's id"));
+          net::kBadRequest, "the path does not end in a valid job id"));
       return;
     }
     switch (incoming.request.verb) {
@@ -111,7 +111,7 @@
     return MakeUnavailableResponse(why, settings_.retry_after);
   }
 
-  // A process that passed a request on asks elsewhere; a caller comes back.
+  // A process that forwarded a request tries elsewhere; a caller retries later.
   net::server_response MisdirectedOrUnavailable(
       const net::server_request& request,
       const std::string& why) const {
@@ -128,14 +128,14 @@
     return BootTime() + usable;
   }
 
-  // Whether this process owns the queue's pool, and knows which of its jobs are
-  // in the store.
+  // Returns true if this process owns the queue's pool and knows which of its
+  // jobs are in the store.
   bool HasAllJobsOf(const queue_route& route) const {
     return relay_.Owns(route.pool) && view_.IsQueueLoaded(route);
   }
 
-  // Leaves a request that stores a record to the pool's owner. Where none
-  // settles it this process goes on with `handle_locally`.
+  // Forwards a request that stores a record to the pool's owner. Continues with
+  // `handle_locally` if the outcome is inconclusive.
   void ForwardOrElse(const caller_request& incoming, handler handle_locally) {
     if (peers::HopsOf(incoming.request) > 0) {
       incoming.respond(MisdirectedOrUnavailable(
@@ -151,8 +151,8 @@
                    });
   }
 
-  // Reads what the store has of the partition that holds the job, and goes on
-  // with `on_found` if the job is there.
+  // Refreshes the partition that holds the job, and continues with `on_found`
+  // if the job exists.
   void ReadJob(const caller_request& incoming, handler on_found) {
     view_.RefreshJobs(
         JobPartitionOf(incoming.route.queue, incoming.id),
@@ -167,7 +167,7 @@
 
   net::server_response UnknownJob(bool is_read) const {
     return is_read ? adapter::EncodeFault(net::kGone, "no such job")
-                   : Unavailable("the store can't be read");
+                   : Unavailable("the store cannot be read");
   }
 
   // Jobs.
@@ -226,8 +226,8 @@
     if (HasAllJobsOf(incoming.route)) {
       CancelHere(incoming);
     } else {
-      // Whether there is such a job isn't known here. A cancellation holds for
-      // an id, and does nothing where there is no job.
+      // This process does not know whether the job exists. A cancellation
+      // applies to an id, and has no effect if there is no job.
       ForwardOrElse(incoming, &impl::StoreCancel);
     }
   }
@@ -254,7 +254,7 @@
           record_purpose::kCancel);
   }
 
-  // Questions.
+  // Queries.
 
   void Query(const caller_request& incoming) {
     const directory_entry* entry = view_.directory().Find(incoming.id);
@@ -271,7 +271,7 @@
     }
   }
 
-  // A job stays with the pool that it was accepted for when its queue moves.
+  // A job stays in the pool that it was accepted for when its queue moves.
   void QueryKnown(const caller_request& incoming) {
     const directory_entry* entry = view_.directory().Find(incoming.id);
     if (relay_.Schedules(entry->pool)) {
@@ -287,7 +287,8 @@
         incoming, pool,
         [self = shared_from_this(), incoming](bool /*may_be_appended*/) {
           incoming.respond(self->MisdirectedOrUnavailable(
-              incoming.request, "the owner of the job's pool can't be asked"));
+              incoming.request,
+              "the owner of the job's pool could not be queried"));
         });
   }
 
@@ -301,9 +302,9 @@
         [self = shared_from_this(), incoming](bool /*may_be_appended*/) {
           LogEvent(job_event::kCountRefused,
                    {{"queue", incoming.route.queue},
-                    {"reason", "the pool's owner can't be asked"}});
+                    {"reason", "the pool's owner could not be queried"}});
           incoming.respond(self->MisdirectedOrUnavailable(
-              incoming.request, "the owner of the pool can't be asked"));
+              incoming.request, "the owner of the pool could not be queried"));
         });
   }
 
