--- a/tests/jobs/job_age_test.cc
+++ b/tests/jobs/job_age_test.cc
@@ -12,7 +12,7 @@
 
 constexpr const char* kJobTopicName = "keyed.plantain-jobs";
 
-/// Stores a job that was handed in this long ago, as another process did it.
+/// Stores a job that was submitted `age` ago, as another process would.
 void PutJob(site* site, const std::string& id, seconds age) {
   submission_record record;
   record.spec.id = id;
@@ -27,8 +27,8 @@
                   JobPartitionOf(record.spec.queue, id));
 }
 
-// Guards against owners that can't know how long a job has been under way.
-TEST_CASE("What is stored of a submission tells when it was handed in") {
+// Guards against owners that cannot determine the age of a job.
+TEST_CASE("The record of a submission contains the time of submission") {
   site site;
   site.AddProcess("p1");
   REQUIRE(site.AwaitReady("p1"));
@@ -44,9 +44,9 @@
   CHECK(*spec.submitted_at <= WallTime());
 }
 
-// Guards against deadlines that begin anew when a pool is taken over, or when
-// its owner reads a job late: those of both jobs are over.
-TEST_CASE("An owner counts the time before it learned of a job") {
+// Guards against deadlines that restart when a pool is taken over, or when its
+// owner reads a job late: both jobs are past their deadlines.
+TEST_CASE("An owner includes the time before it learned of a job") {
   constexpr const char* kLater = "0123456789abcde0";
   site site;
   site.AddVm("vm-1", milliseconds(30));
--- a/tests/jobs/job_partitions_test.cc
+++ b/tests/jobs/job_partitions_test.cc
@@ -22,9 +22,10 @@
   return id;
 }
 
-/// Hands jobs in at an even rate, each with an append of its own, to a store
-/// that takes the appends to one partition one after the other. Returns the
-/// wait of each until it is stored, in the order of their coming.
+/// Simulates jobs that are submitted at a constant rate, each with its own
+/// append, to a store that executes the appends to a partition one after the
+/// other. Returns the time until each job is stored, in the order of
+/// submission.
 std::vector<milliseconds> SimulateWaits(const core::jobs::queue_id& queue,
                                         std::uint32_t jobs,
                                         milliseconds interval,
@@ -40,13 +41,13 @@
   return waits;
 }
 
-// The store answers 60 times as late, and a queue has its turn. Each caller
-// talks to another process, so that hardly any two jobs share an append. If the
-// queue's partitions together take fewer appends than jobs come, each second of
-// the turn adds to the wait of all later callers, whose deadline is 3 s.
-TEST_CASE(
-    "A slow store takes the jobs of a queue's turn as fast as they come") {
-  // 45 jobs a second for 4.5 s; 120 ms an append in place of 2 ms.
+// The store is 60 times slower than usual during a burst of jobs of one queue.
+// Each caller uses another process, so that hardly any two jobs share an
+// append. If the queue's partitions together take fewer appends than there are
+// jobs, each second of the burst adds to the wait of all later callers, whose
+// timeout is 3 s.
+TEST_CASE("A slow store keeps up with the jobs of a queue's burst") {
+  // 45 jobs/s for 4.5 s; 120 ms for an append instead of 2 ms.
   constexpr std::uint32_t kJobs = 200;
   constexpr milliseconds kInterval(22);
   constexpr milliseconds kAppend(120);
@@ -60,18 +61,18 @@
   std::sort(first_half.begin(), first_half.end());
   std::sort(second_half.begin(), second_half.end());
 
-  SECTION("so that late callers wait hardly longer than early ones") {
+  SECTION("so that late callers wait hardly longer than early ones do") {
     CHECK(second_half[kJobs / 4] <= first_half[kJobs / 4] + 2 * kAppend);
   }
 
-  SECTION("and nobody's deadline passes") {
+  SECTION("and no caller times out") {
     CHECK(second_half.back() < milliseconds(1500));
   }
 }
 
-// A submission may come again at any process, also when the first had no
-// answer. In another partition it would be a second job.
-TEST_CASE("A job's partition is one of its queue's, and always the same") {
+// A submission may be repeated at any process, also if the first one got no
+// response. In another partition it would become a second job.
+TEST_CASE("A job's partition is one of its queue's and never changes") {
   const auto partitions = JobPartitionsOf("queue");
   const std::set<std::uint32_t> known(partitions.begin(), partitions.end());
   CHECK(known.size() == kPartitionsPerQueue);
--- a/tests/jobs/job_service_test.cc
+++ b/tests/jobs/job_service_test.cc
@@ -27,8 +27,8 @@
   CHECK(site.StartsOf(std::string(kId) + ".0.1.0") == 1);
 
   // The record of the submission is replaced by a short one some seconds after
-  // the end; a process that starts later must know the job all the same.
-  SECTION("also by one that starts when only its end is kept") {
+  // the end of the job; a process that starts later must still know the job.
+  SECTION("also by one that starts when only the short record is left") {
     REQUIRE(RunUntil(&site.context, [&] {
       return site.store.Newest("keyed.plantain-jobs", kId) ==
              R"({"x":"completed"})";
@@ -41,13 +41,13 @@
     CHECK(site.StartsOf(std::string(kId) + ".0.0.0") == 1);
   }
 
-  SECTION("a submission that is repeated elsewhere starts nothing") {
+  SECTION("a submission that is repeated at another process starts no task") {
     CHECK(site.Submit("p2", kId).status == 200);
     site.RunFor(milliseconds(300));
     CHECK(site.StartsOf(std::string(kId) + ".0.0.0") == 1);
   }
 
-  SECTION("what isn't there is told so") {
+  SECTION("unknown jobs, unknown queues and malformed requests are rejected") {
     CHECK(site.StateOf("p1", "ffffffffffffffff").find("no such job") !=
           std::string::npos);
     CHECK(site.Call(site.addresses.at("p1"), net::method::kPost,
@@ -81,10 +81,10 @@
   CHECK(site.StateOf("p1", kId) == R"({"state":"cancelled"})");
 }
 
-// The store answers an owner's renewals, and none of its reads of jobs. It goes
-// on with its old copy of them, of whatever age, and starts tasks of a job that
-// was cancelled long before.
-TEST_CASE("An owner that can't read its jobs starts nothing for long") {
+// The store answers an owner's renewals, but none of its reads of jobs. The
+// owner would continue with its old copy of the jobs, however old, and start
+// tasks of a job that was cancelled long before.
+TEST_CASE("An owner that cannot read its jobs soon stops starting tasks") {
   constexpr int kSteps = 6;
   std::string steps;
   for (int i = 0; i < kSteps; ++i) {
@@ -111,12 +111,11 @@
   CHECK(site.StartsOf(std::string(kId) + ".0.5.0") == 0);
 }
 
-// A configuration sends a queue to another pool while a job of it runs in the
-// old one. The owner of the old pool follows the queue's partitions in the
-// background from then on: when a read hangs it sees the job's cancellation up
-// to 10.9 s late.
-TEST_CASE(
-    "A cancellation reaches the owner of the pool that a queue has left") {
+// A configuration moves a queue to another pool while one of its jobs runs in
+// the old one. If the owner of the old pool then followed the queue's
+// partitions only in the background, a read that hangs would delay the job's
+// cancellation by up to 10.9 s.
+TEST_CASE("A cancellation reaches the owner of a queue's former pool") {
   std::string other = "other";
   while (PoolPartitionOf(other) % 2 == PoolPartitionOf("pool") % 2) {
     other += "x";
@@ -135,9 +134,9 @@
               .status == 200);
   REQUIRE(RunUntil(&site.context, [&] { return vm.Running() == 1; }));
 
-  SECTION("before") {}
+  SECTION("before the queue moves") {}
 
-  SECTION("after it has left") {
+  SECTION("after the queue has moved") {
     std::string configuration = kConfiguration;
     configuration.replace(configuration.find("\"version\":3"), 11,
                           "\"version\":4");
@@ -146,7 +145,7 @@
     configuration.replace(configuration.find("[{\"name\":\"pool\"}]"), 17,
                           "[{\"name\":\"pool\"},{\"name\":\"" + other + "\"}]");
     site.store.Put("keyed.op", "config", configuration);
-    // Reads that were sent while watching end meanwhile.
+    // Reads that were sent in watch mode end in the meantime.
     site.RunFor(seconds(5));
   }
 
@@ -155,15 +154,15 @@
   REQUIRE(site.Call(site.addresses.at("p1"), net::method::kDelete,
                     "/q/" + std::string(kId))
               .status == 200);
-  // A read that hangs while watching is given up after 2 s.
+  // A read that hangs in watch mode is abandoned after 2 s.
   site.RunFor(seconds(4));
   CHECK(vm.Running() == 0);
 }
 
-// The owner of a pool dies while its tasks run. The group gives the pool to
-// another process, which finds the tasks on the VM and lets them end: none
-// starts a second time, and none is lost.
-TEST_CASE("The tasks of an owner that died are taken over") {
+// The owner of a pool crashes while its tasks run. The group assigns the pool
+// to another process, which finds the tasks on the VM and lets them finish: no
+// task starts a second time, and none is lost.
+TEST_CASE("The tasks of an owner that crashed are taken over") {
   site site;
   site.AddVm("vm-1", milliseconds(600));
   site.AddProcess("p1");
@@ -181,9 +180,9 @@
   }
 }
 
-// Guards against ends of a VM's next life that pass for those of its former
-// one: its tasks ran twice.
-TEST_CASE("A VM that begins again under its id runs each task once") {
+// Guards against task ends of a VM's new incarnation that are attributed to its
+// previous one, so that tasks ran twice.
+TEST_CASE("A VM that restarts under its id runs each task once") {
   site site;
   auto& vm = site.AddVm("vm-1", milliseconds(30));
   site.ReportRegularly("vm-1");
@@ -202,9 +201,9 @@
   }
 }
 
-// The order to start a task is carried out and its answer is lost. The owner
-// must not start the task elsewhere beside it.
-TEST_CASE("A start whose answer is lost doubles no task") {
+// The request to start a task is executed, and its response is lost. The owner
+// must not start the task on another VM as well.
+TEST_CASE("A start whose response is lost duplicates no task") {
   site site;
   auto& vm = site.AddVm("vm-1", milliseconds(50));
   vm.loses_start_answers = true;
@@ -217,13 +216,14 @@
   }
 }
 
-TEST_CASE("Without a store a submission is refused, and the refusal is true") {
+TEST_CASE(
+    "Without a store a submission is refused, and a refused job never runs") {
   site site;
   auto& vm = site.AddVm("vm-1", milliseconds(50));
   site.AddProcess("p1");
   REQUIRE(site.AwaitReady("p1"));
 
-  SECTION("the store refuses: 503 with a time to come back, and nothing runs") {
+  SECTION("the store refuses: 503 with Retry-After, and no task runs") {
     site.store.faults.is_refusing = true;
     CHECK(site.Submit("p1", kId).status == 503);
     site.store.faults.is_refusing = false;
@@ -231,23 +231,24 @@
     CHECK(vm.starts().empty());
   }
 
-  SECTION("the store loses the answer: the job is found there and accepted") {
+  SECTION(
+      "the store loses the response: the stored job is found and accepted") {
     site.store.faults.loses_answers = true;
     CHECK(site.Submit("p1", kId).status == 200);
     site.store.faults.loses_answers = false;
     CHECK(site.AwaitState("p1", "completed"));
   }
 
-  SECTION("the store is silent: 504, since the job may be stored") {
+  SECTION("the store does not respond: 504, because the job may be stored") {
     site.store.faults.is_silent = true;
     CHECK(site.Submit("p1", kId).status == 504);
   }
 }
 
-// A process that has just started knows the queue and none of its jobs. A count
-// of what it has read so far would be 0, and operators would believe that
-// nothing waits.
-TEST_CASE("Before the jobs have been read their number isn't told") {
+// A process that has just started knows the queue but none of its jobs. A count
+// of what it has read so far would be 0, and operators would conclude that no
+// job waits.
+TEST_CASE("The number of jobs is not reported before the jobs have been read") {
   site site;
   site.AddVm("vm-1", milliseconds(50));
   site.store.faults.silent_topic = "plantain-jobs";
@@ -267,12 +268,13 @@
   CHECK(reply.body == R"({"pending":0})");
 }
 
-// An operator asked two processes how many jobs wait and got 0, while six had
-// waited for 5 s. The answer came from the records that had been read so far,
-// and the reads of them hung: the store had been away when they were sent. The
-// age of what is read is bounded by no read that may hang, so the pool's owner
-// asks the store before each answer, and without its answer no number is told.
-TEST_CASE("A number of waiting jobs is as new as the question") {
+// Guards against an outdated count: two processes reported that no job was
+// waiting, while six had waited for 5 s. They counted the records read so far,
+// and their reads hung, because the store had been unreachable when these were
+// sent. No read that may hang bounds the age of a copy, so the pool's owner
+// reads the store before each answer, and reports no number if the store does
+// not respond.
+TEST_CASE("The number of waiting jobs is as current as the query") {
   constexpr const char* kJobsTopic = "keyed.plantain-jobs";
   site site;
   site.AddProcess("p1");
@@ -282,7 +284,7 @@
   const auto ask = [&](const std::string& process) {
     return site.Call(site.addresses.at(process), net::method::kGet, "/q/");
   };
-  // The owner alone reads the jobs.
+  // Only the owner reads the jobs.
   REQUIRE(RunUntil(&site.context, [&] {
     return site.store.WaitingReads(kJobsTopic) == kPartitionsPerQueue;
   }));
@@ -295,7 +297,7 @@
     CHECK(ask("p2").body == R"({"pending":2})");
   }
 
-  SECTION("and isn't told when the store doesn't answer") {
+  SECTION("and is not reported when the store does not respond") {
     site.store.faults.silent_topic = "plantain-jobs";
     CHECK(ask("p1").status == 503);
     CHECK(ask("p2").status == 503);
--- a/tests/jobs/log_follower_test.cc
+++ b/tests/jobs/log_follower_test.cc
@@ -23,7 +23,7 @@
 constexpr const char* kTopic = "keyed.topic";
 constexpr std::size_t kStoreConnections = 4;
 
-/// A store, and a follower of one of its partitions.
+/// A store and a follower of one of its partitions.
 class followed_partition {
  public:
   followed_partition() : store(&context) {
@@ -62,7 +62,7 @@
   std::unique_ptr<log_follower> follower_;
 };
 
-TEST_CASE("A follower reads what is there and what is appended") {
+TEST_CASE("A follower reads existing records and appended records") {
   followed_partition partition;
   partition.store.Put(kTopic, "a", "1");
   log_follower& follower = partition.Follow({});
@@ -74,12 +74,13 @@
       RunUntil(&partition.context, [&] { return partition.keys.size() == 2; }));
 }
 
-// A process starts while the store refuses its first reading, and pauses before
-// the next. Meanwhile it becomes the owner of a pool and wants to watch the
-// partition. It must read all that is there: if it only followed what is
-// appended it would never be loaded, and its pool would start nothing, for as
-// long as it owns it, with no line in any log.
-TEST_CASE("A follower that is told to watch before it has loaded still loads") {
+// A process starts while the store refuses its first read, and pauses before
+// the next one. During the pause it becomes the owner of a pool and switches
+// the follower to watch mode. The follower must still load all existing
+// records: if it only read appended records, it would never become loaded, and
+// the pool would start no task, without any line in the log.
+TEST_CASE(
+    "A follower that switches to watch mode before it is loaded still loads") {
   followed_partition partition;
   partition.store.Put(kTopic, "a", "1");
   partition.store.faults.is_refusing = true;
@@ -101,13 +102,14 @@
   CHECK(partition.keys.front() == "a");
 }
 
-// Callers saw a cancelled job's tasks run on for 7 s, and jobs start 7 to 11 s
-// after they were accepted. The store was away; a process that followed the
-// jobs of another's pool had a read of 10 s waiting, which was never answered.
-// It became the owner and was told to watch, but waited for that read first.
-// The starts of the jobs came in one burst, a read's whole time after the store
-// had gone silent, and only in the partitions whose reads hung.
-TEST_CASE("A follower that is told to watch doesn't wait for an older read") {
+// Guards against tasks of a cancelled job that run on for 7 s, and jobs that
+// start 7 to 11 s after they were accepted. During an outage of the store a
+// process that follows another owner's jobs has a background read of 10 s in
+// flight, which is never answered. The process becomes the owner, and must not
+// wait for that read before it watches. Only the partitions whose reads hung
+// were affected.
+TEST_CASE(
+    "A follower that switches to watch mode does not wait for an older read") {
   followed_partition partition;
   follower_settings settings;
   settings.background_wait = std::chrono::hours(1);
@@ -139,10 +141,10 @@
   }
 }
 
-// Another writer's bytes stand among the records of a partition. The follower
-// reads what is before and behind them. If it took the page for unanswered, it
-// would ask for the same bytes for ever, and see no record any more.
-TEST_CASE("A follower gets past bytes that are no record") {
+// The partition contains bytes of another writer. The follower must read the
+// records before and after them. If it treated the page as a failed read, it
+// would request the same bytes forever, and see no further record.
+TEST_CASE("A follower skips bytes that are not a record") {
   followed_partition partition;
   partition.store.Put(kTopic, "a", "1");
   follower_settings settings;
@@ -164,7 +166,7 @@
     CHECK(partition.keys == std::vector<std::string>{"a", "", "b"});
   }
 
-  SECTION("a length that reaches beyond the end") {
+  SECTION("a length that exceeds the data") {
     partition.store.PutRaw(kTopic, 0, "\xff\xff\xff\xffx");
     partition.store.Put(kTopic, "b", "1");
     CHECK(is_read("b"));
@@ -173,10 +175,11 @@
   }
 }
 
-// The store has been away, and an owner starts nothing until it knows again
-// what was cancelled. Nothing is: the partition gets no record. A first read
-// that waited for one would tell so only when its wait is over.
-TEST_CASE("After a failure a follower learns at once that there is no news") {
+// After an outage of the store an owner starts no task until it knows again
+// which jobs are cancelled. The partition gets no new record, so a first read
+// that waited for one would confirm that only when its wait is over.
+TEST_CASE(
+    "After a failure a follower learns at once that there are no new records") {
   followed_partition partition;
   follower_settings settings;
   settings.watch_wait = std::chrono::hours(1);
--- a/tests/jobs/partition_loader_test.cc
+++ b/tests/jobs/partition_loader_test.cc
@@ -21,7 +21,7 @@
 constexpr std::size_t kInitialConcurrency = 4;
 constexpr const char* kEmptyPage = R"({"items":[],"has_more":false,"end":0})";
 
-/// A loader, and a store that answers when a test says so.
+/// A loader, and a store that responds only when the test requests it.
 class manual_store {
  public:
   manual_store() {
@@ -66,7 +66,7 @@
   boost::asio::io_context context;
   std::unique_ptr<partition_loader> loader;
   std::shared_ptr<int> reader = std::make_shared<int>(0);
-  /// Partitions, in the order in which they were read.
+  /// Partitions, in the order of their reads.
   std::vector<int> read;
   int loaded = 0;
 
@@ -76,7 +76,8 @@
   std::unique_ptr<adapter::store_client> client_;
 };
 
-// Guards against a process that reads all at once, more than its link carries.
+// Guards against a process that reads all partitions concurrently, which is
+// more than its link can carry.
 TEST_CASE("Partitions are read a few at a time") {
   manual_store store;
   for (std::uint32_t part = 0; part < 10; ++part) {
@@ -84,20 +85,20 @@
   }
   REQUIRE(store.AwaitRead(kInitialConcurrency));
 
-  SECTION("more while answers come soon") {
+  SECTION("more after fast responses") {
     store.AnswerOldest();
     CHECK(store.AwaitRead(kInitialConcurrency + 2));
     CHECK(store.loaded == 1);
   }
 
-  SECTION("those that can't wait before the others") {
+  SECTION("those of high priority before the others") {
     store.Load(10, load_priority::kHigh);
     store.AnswerOldest();
     REQUIRE(store.AwaitRead(kInitialConcurrency + 2));
     CHECK(store.read[kInitialConcurrency] == 10);
   }
 
-  SECTION("none for a reader that is gone") {
+  SECTION("none for a reader that no longer exists") {
     auto other = std::make_shared<int>(0);
     store.LoadFor(other, 10, load_priority::kHigh);
     other.reset();
@@ -106,7 +107,7 @@
     CHECK(store.read[kInitialConcurrency] == 4);
   }
 
-  SECTION("and nobody is told once the loader is gone") {
+  SECTION("and no handler is called after the loader is destroyed") {
     store.loader.reset();
     store.AnswerOldest();
     store.context.run_for(std::chrono::milliseconds(20));
--- a/tests/jobs/request_forwarding_test.cc
+++ b/tests/jobs/request_forwarding_test.cc
@@ -18,11 +18,11 @@
 
 constexpr const char* kJobsTopic = "keyed.plantain-jobs";
 constexpr const char* kAddressTopic = "keyed.plantain-addresses";
-// Above any epoch that a process of these tests reaches.
+// Higher than any epoch that a process of these tests reaches.
 constexpr std::uint64_t kHighEpoch = 1000;
 
-/// A process that callers talk to, and another that owns the pool, played by
-/// the test: it holds what is passed on to it.
+/// A process that receives callers' requests, and a fake owner of the pool in
+/// the test, which records the requests that are forwarded to it.
 struct fake_owner {
   fake_owner() : address(FreeAddress()) {
     server = std::make_unique<net::http_server>(
@@ -36,7 +36,8 @@
             held.push_back(respond);
           }
         });
-    // A member that never claims anything is dealt the pools.
+    // Expires the membership of p1 and blocks its renewal, so that no pool is
+    // assigned to it.
     deployment.AddProcess("p1");
     REQUIRE(deployment.AwaitReady("p1"));
     deployment.RunFor(seconds(1));
@@ -70,64 +71,64 @@
   std::unique_ptr<net::http_server> server;
   std::vector<net::server_request> requests;
   std::vector<net::responder> held;
-  /// What the owner answers; 0: nothing.
+  /// Status of the owner's responses; 0: it does not respond.
   unsigned status = net::kOk;
 };
 
-// A caller hands a job in at a process that passes it on to the pool's owner.
-// The owner is replaced, frozen or refused by the store at that moment. The job
-// must be stored when the caller is told that it is, and must not be when it is
-// told that it was refused.
-TEST_CASE("A job that is passed on to an owner") {
+// A caller submits a job to a process that forwards it to the pool's owner. At
+// that moment the owner is replaced, stalled or refused by the store. The job
+// must be stored if the caller gets 200, and must not be stored if it gets 503.
+TEST_CASE("A job that is forwarded to an owner") {
   fake_owner owner;
 
-  SECTION("is the owner's when it says so") {
+  SECTION("is left to the owner if the owner accepts it") {
     CHECK(owner.deployment.Submit("p1", kId).status == net::kOk);
     CHECK(owner.requests.size() == 1);
     CHECK(owner.Stored(kId) == 0);
   }
 
-  SECTION("is stored by the process itself when the owner isn't one any more") {
+  SECTION("is stored by the process itself if the owner was replaced") {
     owner.status = net::kMisdirected;
     CHECK(owner.deployment.Submit("p1", kId).status == net::kOk);
     CHECK(owner.Stored(kId) == 1);
   }
 
-  SECTION("when the owner is frozen, too, after one wait") {
+  SECTION(
+      "is stored by the process itself after a wait if the owner is stalled") {
     owner.status = 0;
     CHECK(owner.deployment.Submit("p1", kId).status == net::kOk);
     CHECK(owner.Stored(kId) == 1);
 
-    SECTION("which the next caller doesn't have") {
+    SECTION("without a wait for the next caller") {
       CHECK(owner.deployment.Submit("p1", "0123456789abcde0").status ==
             net::kOk);
       CHECK(owner.requests.size() == 1);
     }
   }
 
-  SECTION("and when the store refuses the owner") {
+  SECTION("is stored by the process itself if the store refuses the owner") {
     owner.status = net::kUnavailable;
     CHECK(owner.deployment.Submit("p1", kId).status == net::kOk);
     CHECK(owner.Stored(kId) == 1);
   }
 
-  SECTION("is refused when the store refuses both") {
+  SECTION("gets 503 if the store refuses both") {
     owner.status = net::kUnavailable;
     owner.deployment.store.faults.is_refusing = true;
     CHECK(owner.deployment.Submit("p1", kId).status == net::kUnavailable);
     CHECK(owner.Stored(kId) == 0);
   }
 
-  SECTION("isn't refused while a frozen owner may still store it") {
+  SECTION("gets no 503 while a stalled owner may still store it") {
     owner.status = 0;
     owner.deployment.store.faults.is_refusing = true;
     CHECK(owner.deployment.Submit("p1", kId).status == net::kGatewayTimeout);
   }
 }
 
-// The same for a cancellation and for a question. A cancellation that is
-// answered must be stored; a state that only the owner knows isn't made up.
-TEST_CASE("What else is passed on to an owner that is lost") {
+// The same for cancellations and queries. A cancellation that is acknowledged
+// must be stored; a state that only the owner knows must not be guessed.
+TEST_CASE("Other requests that are forwarded to a lost owner") {
   fake_owner owner;
   owner.status = 0;
 
@@ -136,11 +137,13 @@
     CHECK(owner.Stored(Encode(cancel_record{kId}).key) == 1);
   }
 
-  SECTION("a state isn't told, and neither is that there is no such job") {
+  SECTION(
+      "a query gets neither a state nor a statement that the job does not "
+      "exist") {
     CHECK(owner.Query().status == net::kUnavailable);
   }
 
-  SECTION("a number of waiting jobs isn't told") {
+  SECTION("a query gets no number of waiting jobs") {
     CHECK(
         owner.deployment
             .Call(owner.deployment.addresses.at("p1"), net::method::kGet, "/q/")
@@ -148,8 +151,8 @@
   }
 }
 
-// An owner's announcement is stored late, after that of the one that followed.
-// Processes that start then would ask the wrong one for ever.
+// The announcement of an earlier owner is stored after that of its successor.
+// Processes that start then would forward to the wrong owner forever.
 TEST_CASE("An owner announces itself again after an older announcement") {
   site deployment;
   const std::string key = std::to_string(PoolPartitionOf("pool"));
--- a/tests/jobs/small_site.h
+++ b/tests/jobs/small_site.h
@@ -37,8 +37,8 @@
         {"count":1,"cpu":1000,"mem_mb":10,"estimate_ms":50,"depends_on":[0]}]})";
 inline constexpr const char* kId = "0123456789abcdef";
 
-/// A small deployment in one thread: a store, VMs and processes of the
-/// scheduler, which talk over loopback.
+/// A deployment in one thread: a store, VMs and scheduler processes, which
+/// communicate over loopback.
 class site {
  public:
   site()
@@ -53,8 +53,8 @@
     store.Put("keyed.op", "config", kConfiguration);
   }
 
-  /// Lets all answers of the store go through one link of this capacity.
-  /// Precondition: no process was added yet.
+  /// Limits all responses of the store to one link of this capacity.
+  /// Precondition: no process has been added yet.
   void NarrowStoreLink(std::int64_t bytes_per_second) {
     store_link_ =
         std::make_unique<fakes::narrow_link>(&context, bytes_per_second);
@@ -68,7 +68,7 @@
     return *vms[id];
   }
 
-  /// Writes the VM's entry again and again, as the platform's VMs do.
+  /// Writes the VM's registry entry periodically, as the platform does.
   void ReportRegularly(const std::string& id) {
     constexpr milliseconds kReportEvery(300);
     if (!vms.at(id)->is_silent) {
@@ -83,7 +83,7 @@
         });
   }
 
-  /// `fleet_address`: of the interface to the fleet; empty for none.
+  /// `fleet_address`: address of the fleet's interface; empty for none.
   void AddProcess(const std::string& name,
                   const std::string& fleet_address = "") {
     settings::scheduler_process_settings settings;
--- a/tests/jobs/store_view_test.cc
+++ b/tests/jobs/store_view_test.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t kConnections = 40;
 constexpr std::size_t kRecords = 300;
 
-/// What the owner of a fleet reads.
+/// A store, and the view of it in a process that owns the fleet.
 class store_view_fixture {
  public:
   store_view_fixture() : store(&context), address_(testing::FreeAddress()) {
@@ -66,7 +66,7 @@
   std::unique_ptr<store_view> view;
   std::size_t registry_calls = 0;
   std::size_t fleet_calls = 0;
-  /// As of the last call.
+  /// As of the last callback.
   bool knows_last_vm = false;
   std::size_t fleet_records_told = 0;
 
@@ -76,9 +76,9 @@
   std::unique_ptr<adapter::store_client> client_;
 };
 
-// Guards against an owner that does nothing else for seconds, and loses what it
-// owns: it looked through all records once for each that an answer held.
-TEST_CASE("What listens to records is told once of many that come together") {
+// Guards against an owner that is blocked for seconds and loses its ownership
+// because it scanned all records once for each record of a response.
+TEST_CASE("Listeners are called once for many records that arrive together") {
   store_view_fixture fixture;
   REQUIRE(fixture.AwaitFollowed());
 
@@ -92,7 +92,7 @@
     CHECK(fixture.fleet_calls < kRecords / 10);
   }
 
-  SECTION("entries of VMs") {
+  SECTION("registry entries of VMs") {
     for (std::size_t i = 0; i < kRecords; ++i) {
       fixture.store.Put("keyed.servers", "vm" + std::to_string(i),
                         std::nullopt);
