--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -32,15 +32,15 @@
         settings_(settings) {}
 
   void Store(const record_request& request, const net::responder& respond) {
-    record_ptr& known = pending_[request.record.key];
-    if (known) {
-      known->request.may_be_appended =
-          known->request.may_be_appended || request.may_be_appended;
-      known->waiting.push_back(respond);
+    record_ptr& existing = pending_[request.record.key];
+    if (existing) {
+      existing->request.may_be_appended =
+          existing->request.may_be_appended || request.may_be_appended;
+      existing->waiting.push_back(respond);
       return;
     }
     const auto pending = std::make_shared<pending_record>(context_);
-    known = pending;
+    existing = pending;
     pending->request = request;
     pending->began_at = BootTime();
     pending->waiting.push_back(respond);
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -74,7 +74,7 @@
               {},
               settings.configuration_apply,
               MakeListeners()),
-        owners_(context, {}),
+        owner_links_(context, {}),
         submissions_(MakeSubmissionDependencies(), {}),
         archiver_(context, &store_, MakeArchiverSettings()),
         member_(context,
@@ -98,18 +98,18 @@
           meters_.NoteStoreCall(
               call, std::chrono::duration_cast<core::duration>(time));
         });
-    callers_ = std::make_unique<net::http_server>(
+    caller_server_ = std::make_unique<net::http_server>(
         context_, settings_.caller_address, net::http_server_options(),
         [this](const net::server_request& request,
                const net::responder& respond) {
           submissions_.Handle(request, respond);
         });
-    probes_ = std::make_unique<net::http_server>(
+    probe_server_ = std::make_unique<net::http_server>(
         context_, settings_.probe_address, net::http_server_options(),
         [this](const net::server_request& request,
                const net::responder& respond) { Probe(request, respond); });
     if (!settings_.peer_address.empty()) {
-      peers_ = std::make_unique<net::http_server>(
+      peer_server_ = std::make_unique<net::http_server>(
           context_, settings_.peer_address, net::http_server_options(),
           [this](const net::server_request& request,
                  const net::responder& respond) {
@@ -117,7 +117,7 @@
           });
     }
     if (!settings_.metrics_address.empty()) {
-      metrics_ = std::make_unique<net::http_server>(
+      metrics_server_ = std::make_unique<net::http_server>(
           context_, settings_.metrics_address, net::http_server_options(),
           [this](const net::server_request& /*request*/,
                  const net::responder& respond) { respond(Metrics()); });
@@ -137,7 +137,7 @@
     is_stopping_ = true;
     on_stopped_ = std::move(on_stopped);
     stop_began_ = BootTime();
-    callers_->BeginStop();
+    caller_server_->BeginStop();
     ownership_.Release(
         [self = shared_from_this()] { self->member_.Leave([] {}); });
     PollStop();
@@ -146,61 +146,63 @@
  private:
   static member_settings MakeMemberSettings(
       const settings::scheduler_process_settings& settings) {
-    member_settings made;
+    member_settings result;
     if (settings.processor_cores < kOwnerCores) {
-      made.role = member_role::kReserve;
+      result.role = member_role::kReserve;
     }
-    return made;
+    return result;
   }
 
   static outbox_settings MakeArchiverSettings() {
-    outbox_settings made;
-    made.batch_delay = kArchiveInterval;
-    return made;
+    outbox_settings result;
+    result.batch_delay = kArchiveInterval;
+    return result;
   }
 
   ownership::dependencies MakeOwnershipDependencies() {
-    ownership::dependencies made;
-    made.context = context_;
-    made.store = &store_;
-    made.view = &view_;
-    made.archiver = &archiver_;
-    made.meters = &meters_;
-    made.member = &member_;
-    made.member_name = member_name_;
-    made.peer_address = settings_.peer_address;
-    made.holder = settings_.name;
-    made.time_to_live = member_settings_.time_to_live;
-    return made;
+    ownership::dependencies result;
+    result.context = context_;
+    result.store = &store_;
+    result.view = &view_;
+    result.archiver = &archiver_;
+    result.meters = &meters_;
+    result.member = &member_;
+    result.member_name = member_name_;
+    result.peer_address = settings_.peer_address;
+    result.holder = settings_.name;
+    result.time_to_live = member_settings_.time_to_live;
+    return result;
   }
 
   submissions::dependencies MakeSubmissionDependencies() {
-    submissions::dependencies made;
-    made.context = context_;
-    made.store = &store_;
-    made.view = &view_;
-    made.meters = &meters_;
-    made.relay.owners = &owners_;
-    made.relay.epoch_of = [this](std::uint32_t partition) {
+    submissions::dependencies result;
+    result.context = context_;
+    result.store = &store_;
+    result.view = &view_;
+    result.meters = &meters_;
+    result.relay.owners = &owner_links_;
+    result.relay.epoch_of = [this](std::uint32_t partition) {
       return ownership_.EpochOf(partition);
     };
-    made.relay.is_ownership_confirmed = [this] { return ownership_.IsSure(); };
-    return made;
+    result.relay.is_ownership_confirmed = [this] {
+      return ownership_.IsSure();
+    };
+    return result;
   }
 
   owner_settings MakeOwnerSettings() const {
-    owner_settings made;
-    made.time_to_live = member_settings_.time_to_live;
-    made.scheduler.lease =
-        std::min(made.scheduler.lease, settings_.longest_lease);
-    return made;
+    owner_settings result;
+    result.time_to_live = member_settings_.time_to_live;
+    result.scheduler.lease =
+        std::min(result.scheduler.lease, settings_.longest_lease);
+    return result;
   }
 
   fleet_settings MakeFleetSettings() const {
-    fleet_settings made;
-    made.address = settings_.fleet_address;
-    made.orders.holder_lease = settings_.holder_lease;
-    return made;
+    fleet_settings result;
+    result.address = settings_.fleet_address;
+    result.orders.holder_lease = settings_.holder_lease;
+    return result;
   }
 
   store_view::listeners MakeListeners() {
@@ -228,8 +230,8 @@
     };
     listeners.on_announcement =
         [this](const peers::owner_announcement& announcement) {
-          owners_.book().NoteAnnouncement(announcement.partition,
-                                          announcement.owner);
+          owner_links_.book().NoteAnnouncement(announcement.partition,
+                                               announcement.owner);
           ownership_.OnAnnouncement(announcement);
         };
     listeners.on_store_contact = [this](bool is_answered) {
@@ -261,7 +263,7 @@
   // Readiness and metrics.
 
   core::time_point AnsweredAt() const {
-    return std::max(member_.AnsweredAt(), owners_.AnsweredAt());
+    return std::max(member_.AnsweredAt(), owner_links_.AnsweredAt());
   }
 
   bool IsReady() const {
@@ -360,9 +362,10 @@
 
   void PollStop() {
     const core::duration age = BootTime() - stop_began_;
-    const bool is_quiet = age > kMinStopTime && callers_->ActiveRequests() == 0;
+    const bool is_quiet =
+        age > kMinStopTime && caller_server_->ActiveRequests() == 0;
     if (is_quiet || age > settings_.stop_grace - kStopMargin) {
-      callers_->CloseIdle();
+      caller_server_->CloseIdle();
       on_stopped_();
       return;
     }
@@ -387,15 +390,15 @@
   core::time_point last_busy_at_ = BootTime();
   adapter::store_client store_;
   store_view view_;
-  peers::owner_links owners_;
+  peers::owner_links owner_links_;
   submissions submissions_;
   job_archiver archiver_;
   group_member member_;
   ownership ownership_;
-  std::unique_ptr<net::http_server> callers_;
-  std::unique_ptr<net::http_server> peers_;
-  std::unique_ptr<net::http_server> probes_;
-  std::unique_ptr<net::http_server> metrics_;
+  std::unique_ptr<net::http_server> caller_server_;
+  std::unique_ptr<net::http_server> peer_server_;
+  std::unique_ptr<net::http_server> probe_server_;
+  std::unique_ptr<net::http_server> metrics_server_;
   loop_watch loop_watch_;
   boost::asio::steady_timer state_timer_;
   boost::asio::steady_timer stop_timer_;
--- a/src/jobs/store_view.cc
+++ b/src/jobs/store_view.cc
@@ -58,11 +58,11 @@
       registry_notification_(context, [this] { listeners_.on_registry(); }),
       fleet_records_notification_(context,
                                   [this] { listeners_.on_fleet_records(); }) {
-  operators_ = MakeFollower(
+  operator_follower_ = MakeFollower(
       {adapter::kOperatorTopic, 0},
       OperatorSettings(settings, configuration_apply),
       [this](const adapter::keyed_record& r) { ApplyOperatorRecord(r); });
-  addresses_ = MakeFollower(
+  address_follower_ = MakeFollower(
       {adapter::kAddressTopic, 0}, AddressSettings(settings),
       [this](const adapter::keyed_record& r) { ApplyAnnouncement(r); });
 }
@@ -83,8 +83,8 @@
 }
 
 void store_view::Start() {
-  operators_->Start(follow_mode::kBackground);
-  addresses_->Start(follow_mode::kWatch);
+  operator_follower_->Start(follow_mode::kBackground);
+  address_follower_->Start(follow_mode::kWatch);
 }
 
 bool store_view::IsLoaded() const {
@@ -92,7 +92,7 @@
 }
 
 core::time_point store_view::ConfigurationReadAt() const {
-  return operators_->CompleteAt();
+  return operator_follower_->CompleteAt();
 }
 
 template <typename Partitions>
@@ -274,7 +274,7 @@
       return;
     }
     faults_.NoteValid(adapter::kOperatorTopic, record.key);
-    if (operators_->IsLoaded()) {
+    if (operator_follower_->IsLoaded()) {
       wave->published_at = BootTime();
     }
     // Records may be read repeatedly; the first read determines the time.
--- a/src/jobs/store_view.h
+++ b/src/jobs/store_view.h
@@ -267,8 +267,8 @@
   std::size_t full_refreshes_ = 0;
   core::time_point all_jobs_read_at_;
 
-  std::shared_ptr<log_follower> operators_;
-  std::shared_ptr<log_follower> addresses_;
+  std::shared_ptr<log_follower> operator_follower_;
+  std::shared_ptr<log_follower> address_follower_;
   std::shared_ptr<log_follower> registry_follower_;
   std::shared_ptr<log_follower> fleet_follower_;
   std::map<std::uint32_t, std::shared_ptr<log_follower>> job_followers_;
--- a/src/jobs/store_view_following.cc
+++ b/src/jobs/store_view_following.cc
@@ -141,8 +141,8 @@
   const bool owns_any = !owned_pool_partitions_.empty() || is_fleet_owned_;
   // An owner issues no orders while it does not know the operators'
   // configuration.
-  operators_->SetMode(owns_any ? follow_mode::kWatch
-                               : follow_mode::kBackground);
+  operator_follower_->SetMode(owns_any ? follow_mode::kWatch
+                                       : follow_mode::kBackground);
   if (!owns_any) {
     UnfollowFleet();
     return;
--- a/src/jobs/store_view_refreshes.cc
+++ b/src/jobs/store_view_refreshes.cc
@@ -25,18 +25,18 @@
 void store_view::RefreshQueue(const core::jobs::queue_route& route,
                               std::function<void(bool)> on_done) {
   struct refresh_state {
-    std::size_t left = 0;
+    std::size_t remaining = 0;
     bool is_read = true;
     std::function<void(bool)> on_done;
   };
   const auto state = std::make_shared<refresh_state>();
   state->on_done = std::move(on_done);
   const auto partitions = JobPartitionsOf(route.queue);
-  state->left = partitions.size();
+  state->remaining = partitions.size();
   for (const std::uint32_t partition : partitions) {
     RefreshJobs(partition, [state](bool is_read) {
       state->is_read = state->is_read && is_read;
-      if (--state->left == 0) {
+      if (--state->remaining == 0) {
         state->on_done(state->is_read);
       }
     });
@@ -47,10 +47,10 @@
   const core::time_point began = BootTime();
   ++full_refreshes_;
   FollowJobs();
-  const auto left = std::make_shared<std::size_t>(job_followers_.size());
+  const auto remaining = std::make_shared<std::size_t>(job_followers_.size());
   for (const auto& [partition, follower] : job_followers_) {
-    RefreshUntilRead(follower, [this, left, began, on_done] {
-      if (--*left == 0) {
+    RefreshUntilRead(follower, [this, remaining, began, on_done] {
+      if (--*remaining == 0) {
         all_jobs_read_at_ = std::max(all_jobs_read_at_, began);
         on_done();
         EndFullRefresh();
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -210,14 +210,15 @@
   void Store(const caller_request& incoming,
              adapter::keyed_record record,
              record_purpose purpose) {
-    record_request wanted;
-    wanted.record = std::move(record);
-    wanted.purpose = purpose;
-    wanted.id = incoming.id;
-    wanted.partition = JobPartitionOf(incoming.route.queue, incoming.id);
-    wanted.deadline = incoming.deadline;
-    wanted.may_be_appended = incoming.may_be_appended;
-    recorder_.Store(wanted, incoming.respond);
+    record_request record_to_store;
+    record_to_store.record = std::move(record);
+    record_to_store.purpose = purpose;
+    record_to_store.id = incoming.id;
+    record_to_store.partition =
+        JobPartitionOf(incoming.route.queue, incoming.id);
+    record_to_store.deadline = incoming.deadline;
+    record_to_store.may_be_appended = incoming.may_be_appended;
+    recorder_.Store(record_to_store, incoming.respond);
   }
 
   // Cancellations.
