--- a/src/jobs/job_recorder.h
+++ b/src/jobs/job_recorder.h
@@ -17,6 +17,7 @@
 
 namespace plantainhead::jobs {
 
+/// Timeouts and limits of a job recorder.
 struct recorder_settings {
   /// Timeout of an append. A second append does not help a slow store, so the
   /// timeout covers an append that takes 50 times as long as usual (0.2 s)
@@ -62,6 +63,7 @@
   bool may_be_appended = false;
 };
 
+/// Counts of recorded requests by outcome.
 struct recorder_counts {
   std::uint64_t accepted = 0;
   std::uint64_t refused = 0;
--- a/src/jobs/log_follower.h
+++ b/src/jobs/log_follower.h
@@ -35,6 +35,7 @@
   return kFollowModeNames;
 }
 
+/// Waits, pauses and timeouts of a log follower.
 struct follower_settings {
   /// Time for which one read waits for a record in watch mode. A connection may
   /// stop delivering data without being closed; records then arrive later by
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -11,10 +11,10 @@
 
 namespace plantainhead::jobs {
 
+/// Counts of forwarded requests.
 struct relay_counts {
-  /// Requests forwarded to an owner, and those of them that the owner did not
-  /// answer.
   std::uint64_t forwarded = 0;
+  /// Forwarded requests that the owner did not answer.
   std::uint64_t owner_failures = 0;
 };
 
--- a/src/jobs/partition_loader.h
+++ b/src/jobs/partition_loader.h
@@ -10,19 +10,21 @@
 
 namespace plantainhead::jobs {
 
+/// Order in which queued pages are read.
 enum class load_priority {
   /// Read before all queued pages of low priority.
   kHigh,
   kLow,
 };
 
+/// A page of the newest records of a partition to read.
 struct page_request {
   /// The page is not read if this has expired.
   std::weak_ptr<void> reader;
   adapter::store_partition partition;
   /// The last key of the previous page; empty for the first page.
   std::string after;
-  /// Starts when the read is sent.
+  /// Counted from the time when the read is sent.
   std::chrono::milliseconds timeout{0};
   load_priority priority = load_priority::kHigh;
 };
--- a/src/jobs/progress_writer.h
+++ b/src/jobs/progress_writer.h
@@ -15,6 +15,7 @@
 
 namespace plantainhead::jobs {
 
+/// Timeout and pacing of a progress writer.
 struct writer_settings {
   /// Timeout of an append. The store usually answers within 6 ms, or 0.4 s when
   /// it is slow.
--- a/src/jobs/record_outbox.h
+++ b/src/jobs/record_outbox.h
@@ -12,6 +12,7 @@
 
 namespace plantainhead::jobs {
 
+/// Timeout and pacing of a record outbox.
 struct outbox_settings {
   /// Timeout of an append. The store usually answers within 6 ms, or 0.4 s when
   /// it is slow.
--- a/src/jobs/submissions.h
+++ b/src/jobs/submissions.h
@@ -14,6 +14,7 @@
 
 namespace plantainhead::jobs {
 
+/// Timeouts of requests, and the settings of their recorder.
 struct submission_settings {
   recorder_settings recorder;
   /// Timeout of a request that has no timeout header.
