--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -208,7 +208,7 @@
       LogEvent(job_event::kJobUnanswered, fields);
       Answer(
           pending,
-          adapter::EncodeFault(
+          adapter::EncodeError(
               net::kGatewayTimeout,
               "the store did not answer; repeat the request with the same id"));
       return;
--- a/src/jobs/log_follower.cc
+++ b/src/jobs/log_follower.cc
@@ -260,7 +260,7 @@
     }
     // The same bytes would be returned forever. Only the newest record of each
     // key matters, and pages of those are framed differently.
-    if (reply.outcome == read_outcome::kUnframed) {
+    if (reply.outcome == read_outcome::kInvalidFraming) {
       LogUnframed();
       PauseAfterFailure(&impl::Reload);
       return;
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -6,30 +6,30 @@
 #include "jobs/clocks.h"
 #include "jobs/job_partitions.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 
 namespace plantainhead::jobs {
 namespace {
 
 using core::jobs::pool_id;
-using peers::pass_outcome;
-using peers::pass_reply;
+using peers::forward_outcome;
+using peers::forward_reply;
 using std::chrono::milliseconds;
 
 // An owner may have responded 503 because the store refuses only that owner, so
 // this process tries to store the record itself before it responds 503.
-bool IsConclusive(const pass_reply& reply) {
-  return reply.outcome == pass_outcome::kAnswered &&
+bool IsConclusive(const forward_reply& reply) {
+  return reply.outcome == forward_outcome::kAnswered &&
          reply.status != net::kUnavailable &&
          reply.status != net::kGatewayTimeout;
 }
 
-bool MayBeAppended(const pass_reply& reply) {
-  return reply.outcome == pass_outcome::kUnknown ||
+bool MayBeAppended(const forward_reply& reply) {
+  return reply.outcome == forward_outcome::kUnknown ||
          reply.status == net::kGatewayTimeout;
 }
 
-void RespondWith(const caller_request& incoming, const pass_reply& reply) {
+void RespondWith(const caller_request& incoming, const forward_reply& reply) {
   net::server_response response;
   response.status = reply.status;
   response.body = reply.body;
@@ -62,33 +62,33 @@
     ++counts_.forwarded;
     const auto timeout = std::chrono::duration_cast<milliseconds>(
         (incoming.deadline - BootTime()) * owner_time_share_);
-    deps_.owners->Pass(
-        partition, incoming.request, timeout,
-        [self = weak_from_this(), incoming, fallback](const pass_reply& reply) {
-          if (const auto relay = self.lock()) {
-            relay->HandleReply(incoming, reply, fallback);
-          }
-        });
+    deps_.owners->Forward(partition, incoming.request, timeout,
+                          [self = weak_from_this(), incoming,
+                           fallback](const forward_reply& reply) {
+                            if (const auto relay = self.lock()) {
+                              relay->HandleReply(incoming, reply, fallback);
+                            }
+                          });
   }
 
   const relay_counts& counts() const { return counts_; }
 
  private:
   static bool CanForward(const caller_request& incoming) {
-    return peers::HopsOf(incoming.request) < peers::kMostHops;
+    return peers::HopCountOf(incoming.request) < peers::kMaxHops;
   }
 
   // If this process is the latest known owner but its ownership is unconfirmed,
   // it would only forward to itself until it learns of its successor.
   bool HasNewerOwner(std::uint32_t partition) const {
-    return deps_.owners->book().Latest(partition).epoch >
+    return deps_.owners->directory().Latest(partition).epoch >
            deps_.epoch_of(partition);
   }
 
   void HandleReply(const caller_request& incoming,
-                   const pass_reply& reply,
+                   const forward_reply& reply,
                    const fallback_handler& fallback) {
-    if (reply.outcome != pass_outcome::kAnswered) {
+    if (reply.outcome != forward_outcome::kAnswered) {
       ++counts_.owner_failures;
     }
     if (IsConclusive(reply)) {
--- a/src/jobs/store_view.h
+++ b/src/jobs/store_view.h
@@ -13,8 +13,8 @@
 #include "jobs/fault_log.h"
 #include "jobs/job_partitions.h"
 #include "jobs/log_follower.h"
-#include "jobs/paced_action.h"
 #include "jobs/record_codec.h"
+#include "jobs/throttled_action.h"
 #include "peers/owner_announcement.h"
 #include "plantainhead/core/jobs/job_directory.h"
 #include "plantainhead/core/jobs/maintenance.h"
@@ -237,8 +237,8 @@
   listeners listeners_;
   /// Batched notifications: many records arrive at once, and each listener
   /// scans all of them.
-  paced_action registry_notification_;
-  paced_action fleet_records_notification_;
+  throttled_action registry_notification_;
+  throttled_action fleet_records_notification_;
   core::jobs::routing_table routes_;
   core::jobs::job_directory directory_;
   core::jobs::vm_registry registry_;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -9,11 +9,11 @@
 #include "jobs/event_log.h"
 #include "jobs/job_partitions.h"
 #include "jobs/owner_relay.h"
+#include "jobs/pending_job_counter.h"
 #include "jobs/record_codec.h"
 #include "jobs/unavailable_response.h"
-#include "jobs/waiting_counts.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
@@ -38,7 +38,7 @@
                   dependencies.view,
                   dependencies.meters,
                   settings.recorder),
-        waiting_counts_(dependencies.view, settings.retry_after) {}
+        pending_job_counter_(dependencies.view, settings.retry_after) {}
 
   void Handle(const net::server_request& request,
               const net::responder& respond) {
@@ -53,9 +53,9 @@
     if (match.route == nullptr) {
       ++counts_.unknown_route;
       // The process that forwarded the request knows the queue.
-      respond(peers::HopsOf(request) > 0
-                  ? adapter::EncodeFault(net::kMisdirected, "no such queue")
-                  : adapter::EncodeFault(net::kNotFound, "no such queue"));
+      respond(peers::HopCountOf(request) > 0
+                  ? adapter::EncodeError(net::kMisdirected, "no such queue")
+                  : adapter::EncodeError(net::kNotFound, "no such queue"));
       return;
     }
     const caller_request incoming{
@@ -85,7 +85,7 @@
   void HandleJob(const caller_request& incoming) {
     if (!adapter::IsJobId(incoming.id)) {
       ++counts_.malformed;
-      incoming.respond(adapter::EncodeFault(
+      incoming.respond(adapter::EncodeError(
           net::kBadRequest, "the path does not end in a valid job id"));
       return;
     }
@@ -101,7 +101,7 @@
         Cancel(incoming);
         return;
       case net::method::kOther:
-        incoming.respond(adapter::EncodeFault(net::kMethodNotAllowed,
+        incoming.respond(adapter::EncodeError(net::kMethodNotAllowed,
                                               "use POST, GET or DELETE"));
         return;
     }
@@ -115,14 +115,14 @@
   net::server_response MisdirectedOrUnavailable(
       const net::server_request& request,
       const std::string& why) const {
-    return peers::HopsOf(request) > 0
-               ? adapter::EncodeFault(net::kMisdirected, why)
+    return peers::HopCountOf(request) > 0
+               ? adapter::EncodeError(net::kMisdirected, why)
                : Unavailable(why);
   }
 
   core::time_point ResponseDeadline(const net::server_request& request) const {
     const milliseconds timeout =
-        adapter::DecodePatience(request).value_or(settings_.default_timeout);
+        adapter::DecodeTimeout(request).value_or(settings_.default_timeout);
     const milliseconds usable =
         std::max(timeout - settings_.response_margin, timeout / 2);
     return BootTime() + usable;
@@ -137,7 +137,7 @@
   // Forwards a request that stores a record to the pool's owner. Continues with
   // `handle_locally` if the outcome is inconclusive.
   void ForwardOrElse(const caller_request& incoming, handler handle_locally) {
-    if (peers::HopsOf(incoming.request) > 0) {
+    if (peers::HopCountOf(incoming.request) > 0) {
       incoming.respond(MisdirectedOrUnavailable(
           incoming.request, "another process owns the pool"));
       return;
@@ -166,7 +166,7 @@
   }
 
   net::server_response UnknownJob(bool is_read) const {
-    return is_read ? adapter::EncodeFault(net::kGone, "no such job")
+    return is_read ? adapter::EncodeError(net::kGone, "no such job")
                    : Unavailable("the store cannot be read");
   }
 
@@ -189,7 +189,7 @@
     adapter::decoded_job decoded = adapter::DecodeJob(incoming.request.body);
     if (!decoded.spec) {
       ++counts_.malformed;
-      incoming.respond(adapter::EncodeFault(net::kBadRequest,
+      incoming.respond(adapter::EncodeError(net::kBadRequest,
                                             "malformed: " + decoded.fault));
       return;
     }
@@ -295,7 +295,7 @@
 
   void Count(const caller_request& incoming) {
     if (relay_.Owns(incoming.route.pool)) {
-      waiting_counts_.Answer(incoming.route, incoming.respond);
+      pending_job_counter_.Answer(incoming.route, incoming.respond);
       return;
     }
     relay_.Forward(
@@ -314,7 +314,7 @@
   submission_counts counts_;
   owner_relay relay_;
   job_recorder recorder_;
-  waiting_counts waiting_counts_;
+  pending_job_counter pending_job_counter_;
 };
 
 submissions::submissions(const dependencies& dependencies,
--- a/src/runtime/entry_daemon.cc
+++ b/src/runtime/entry_daemon.cc
@@ -12,7 +12,7 @@
 #include <caf/io/all.hpp>
 
 #include "plantainhead/caller/http_server.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 #include "plantainhead/entry/peer_link.h"
 #include "plantainhead/observe/logging.h"
 #include "plantainhead/operators/routes.h"
@@ -84,7 +84,7 @@
   daemon_config config_;
   caf::actor_system system_;
   std::unique_ptr<entry::peer_link> peers_;
-  std::unique_ptr<endpoint::endpoint_link> endpoints_;
+  std::unique_ptr<endpoint::endpoint_client> endpoints_;
   std::unique_ptr<platform::platform_link> platform_;
   std::unique_ptr<caller::http_server> http_;
   caf::actor core_;
@@ -139,7 +139,7 @@
   const auto now = [this] { return clock_.Now(); };
   const auto post = [this](core::event item) { Post(std::move(item)); };
 
-  endpoints_ = std::make_unique<endpoint::endpoint_link>(
+  endpoints_ = std::make_unique<endpoint::endpoint_client>(
       system_, EndpointOptions(settings_), now, post);
   platform_ = std::make_unique<platform::platform_link>(
       system_, PlatformOptions(settings_), post);
@@ -169,10 +169,12 @@
   };
   to.set_ready = [this](bool ready, const std::string& reason) {
     ready_ = ready;
-    observe::WriteLog(core::note_level::kInfo, ready ? "ready" : "not ready",
+    observe::WriteLog(core::log_severity::kInfo, ready ? "ready" : "not ready",
                       {{"reason", reason}});
   };
-  to.note = [](const core::write_note& item) { observe::WriteLog(item); };
+  to.note = [](const core::write_log_message& item) {
+    observe::WriteLog(item);
+  };
   to.answered = [this](const core::request_envelope& request,
                        const core::response& answer, core::time_point arrived,
                        core::time_point now) {
@@ -255,7 +257,7 @@
     view.reason = core.not_ready_reason();
     view.stopping = core.stopping();
     view.log_available = core.control().log_readable();
-    view.log_end = core.control().greatest_known();
+    view.log_end = core.control().max_known_offset();
     view.load = core.Load(view.now);
   });
   return view;
--- a/tests/caller/relay_test.cc
+++ b/tests/caller/relay_test.cc
@@ -8,7 +8,7 @@
 
 #include "caller/load_sender.h"
 #include "plantainhead/caller/http_server.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 #include "runner.h"
 
 namespace plantainhead::caller {
@@ -83,7 +83,7 @@
   std::uint64_t calls_ = 0;
   caf::actor_system_config config_;
   caf::actor_system system_;
-  endpoint::endpoint_link link_;
+  endpoint::endpoint_client link_;
 };
 
 TEST_CASE("Many callers get their own answers through both sides") {
