--- a/bench/endpoint_bench.cc
+++ b/bench/endpoint_bench.cc
@@ -19,7 +19,7 @@
 
 #include "../fakes/runner.h"
 #include "measure.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 
 namespace {
 
--- a/include/plantainhead/endpoint/endpoint_link.h
+++ b/include/plantainhead/endpoint/endpoint_client.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_ENDPOINT_ENDPOINT_LINK_H_
-#define PLANTAINHEAD_ENDPOINT_ENDPOINT_LINK_H_
+#ifndef PLANTAINHEAD_ENDPOINT_ENDPOINT_CLIENT_H_
+#define PLANTAINHEAD_ENDPOINT_ENDPOINT_CLIENT_H_
 
 #include <chrono>
 #include <cstddef>
@@ -69,4 +69,4 @@
 
 }  // namespace plantainhead::endpoint
 
-#endif  // PLANTAINHEAD_ENDPOINT_ENDPOINT_LINK_H_
+#endif  // PLANTAINHEAD_ENDPOINT_ENDPOINT_CLIENT_H_
--- a/src/endpoint/endpoint_link.cc
+++ b/src/endpoint/endpoint_client.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 
 #include <algorithm>
 #include <array>
--- a/src/endpoint/head_escaper.h
+++ b/src/endpoint/header_escaper.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_ENDPOINT_HEAD_ESCAPER_H_
-#define PLANTAINHEAD_ENDPOINT_HEAD_ESCAPER_H_
+#ifndef PLANTAINHEAD_ENDPOINT_HEADER_ESCAPER_H_
+#define PLANTAINHEAD_ENDPOINT_HEADER_ESCAPER_H_
 
 #include <cstddef>
 
@@ -74,4 +74,4 @@
 
 }  // namespace plantainhead::endpoint
 
-#endif  // PLANTAINHEAD_ENDPOINT_HEAD_ESCAPER_H_
+#endif  // PLANTAINHEAD_ENDPOINT_HEADER_ESCAPER_H_
--- a/src/endpoint/socket_stream.h
+++ b/src/endpoint/socket_stream.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "endpoint/head_escaper.h"
+#include "endpoint/header_escaper.h"
 
 namespace plantainhead::endpoint {
 
--- a/src/runtime/daemon_options.h
+++ b/src/runtime/daemon_options.h
@@ -3,7 +3,7 @@
 
 #include "plantainhead/caller/http_server.h"
 #include "plantainhead/core/entry/entry_core.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 #include "plantainhead/entry/peer_link.h"
 #include "plantainhead/platform/platform_link.h"
 #include "plantainhead/settings/entry_settings.h"
--- a/src/runtime/entry_daemon.cc
+++ b/src/runtime/entry_daemon.cc
@@ -12,7 +12,7 @@
 #include <caf/io/all.hpp>
 
 #include "plantainhead/caller/http_server.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 #include "plantainhead/entry/peer_link.h"
 #include "plantainhead/observe/logging.h"
 #include "plantainhead/operators/routes.h"
--- a/tests/caller/relay_test.cc
+++ b/tests/caller/relay_test.cc
@@ -8,7 +8,7 @@
 
 #include "caller/load_sender.h"
 #include "plantainhead/caller/http_server.h"
-#include "plantainhead/endpoint/endpoint_link.h"
+#include "plantainhead/endpoint/endpoint_client.h"
 #include "runner.h"
 
 namespace plantainhead::caller {
--- a/tests/endpoint/head_escaper_test.cc
+++ b/tests/endpoint/header_escaper_test.cc
@@ -1,4 +1,4 @@
-#include "endpoint/head_escaper.h"
+#include "endpoint/header_escaper.h"
 
 #include <catch2/catch.hpp>
 #include <string>
