--- a/bench/endpoint_bench.cc
+++ b/bench/endpoint_bench.cc
@@ -1,5 +1,5 @@
 // Compares requests sent by cpp-httplib itself with requests sent through
-// endpoint_link, against a stand-in runner on 127.0.0.1.
+// endpoint_client, against a stand-in runner on 127.0.0.1.
 //
 //     endpoint_bench [REQUESTS [CONCURRENCY]]
 
@@ -108,7 +108,7 @@
   });
   caf::actor_system_config config;
   caf::actor_system system(config);
-  endpoint::endpoint_link link(system, {}, Now, Post);
+  endpoint::endpoint_client link(system, {}, Now, Post);
   const auto shared = std::make_shared<const std::string>(body);
   Measure("endpoint_link", count, threads, [&] {
     auto own = std::make_shared<waiter>();
--- a/include/plantainhead/endpoint/endpoint_client.h
+++ b/include/plantainhead/endpoint/endpoint_client.h
@@ -16,39 +16,39 @@
 
 namespace plantainhead::endpoint {
 
-/// Sizes and limits of an `endpoint_link`.
+/// Sizes and limits of an `endpoint_client`.
 struct endpoint_options {
   /// Time within which an endpoint must accept a connection.
   std::chrono::milliseconds connect_timeout = std::chrono::seconds(1);
   /// Connections to one endpoint, in use and kept together.
-  std::size_t most_connections = 64;
+  std::size_t max_connections = 64;
   /// Calls in progress at once, over all endpoints; later ones wait.
-  std::size_t most_threads = 512;
+  std::size_t max_threads = 512;
   /// A kept connection that was unused for this long isn't used again.
-  std::chrono::milliseconds keep_idle = std::chrono::seconds(4);
+  std::chrono::milliseconds idle_timeout = std::chrono::seconds(4);
   /// Most bytes of an answer's body; a longer one counts as failed.
-  std::size_t answer_limit = std::size_t{64} << 20U;
+  std::size_t max_response_bytes = std::size_t{64} << 20U;
 };
 
 /// Sends requests to endpoints by HTTP and tells the decisions how each ended.
 ///
 /// Each call is made once, on one connection: nothing is ever sent a second
 /// time here. Whether that is safe is for the decisions.
-class endpoint_link {
+class endpoint_client {
  public:
   /// `now` is the runtime's clock and `post` takes what happened; both are
   /// called from many threads. `system` must outlive the link.
   /// Throws `std::invalid_argument` when a limit is 0 or a function is not set.
-  endpoint_link(caf::actor_system& system,
-                endpoint_options options,
-                std::function<core::time_point()> now,
-                std::function<void(core::event)> post);
+  endpoint_client(caf::actor_system& system,
+                  endpoint_options options,
+                  std::function<core::time_point()> now,
+                  std::function<void(core::event)> post);
 
   /// Stops if that hasn't been done.
-  ~endpoint_link();
+  ~endpoint_client();
 
-  endpoint_link(const endpoint_link&) = delete;
-  endpoint_link& operator=(const endpoint_link&) = delete;
+  endpoint_client(const endpoint_client&) = delete;
+  endpoint_client& operator=(const endpoint_client&) = delete;
 
   /// Starts a call and returns at once. Posts exactly one event for it:
   /// `endpoint_replied` once the whole answer was read, else
--- a/src/caller/load_sender.cc
+++ b/src/caller/load_sender.cc
@@ -181,7 +181,7 @@
   const clock::time_point end = clock::now();
   result.took =
       std::chrono::duration_cast<std::chrono::microseconds>(end - due);
-  if (answer.how == exchange_result::kind::kWhole) {
+  if (answer.how == exchange_result::kind::kComplete) {
     Judge(item, answer, &result);
     return result;
   }
--- a/src/endpoint/connection_pool.h
+++ b/src/endpoint/connection_pool.h
@@ -23,8 +23,8 @@
 
   struct limits {
     std::chrono::milliseconds connect_timeout;
-    std::size_t most_connections;
-    std::chrono::milliseconds keep_idle;
+    std::size_t max_connections;
+    std::chrono::milliseconds idle_timeout;
   };
 
   explicit connection_pool(limits bounds) : limits_(bounds) {}
@@ -45,22 +45,23 @@
  private:
   using clock = endpoint_connection::clock;
 
-  struct kept_connection {
+  struct idle_connection {
     connection_ptr item;
-    clock::time_point since;
+    clock::time_point idle_since;
   };
   struct endpoint_connections {
     std::size_t in_use = 0;
     // The back was used last.
-    std::vector<kept_connection> kept;
+    std::vector<idle_connection> idle;
   };
 
-  void Sweep(clock::time_point now, std::vector<connection_ptr>* closing);
+  void EvictExpired(clock::time_point now,
+                    std::vector<connection_ptr>* closing);
 
   const limits limits_;
   std::mutex mutex_;
   std::map<address, endpoint_connections> endpoints_;
-  clock::time_point swept_;
+  clock::time_point last_eviction_;
 };
 
 }  // namespace plantainhead::endpoint
--- a/src/endpoint/endpoint_client.cc
+++ b/src/endpoint/endpoint_client.cc
@@ -55,7 +55,7 @@
   return headers;
 }
 
-bool SaysTrue(const core::header_list& headers, std::string_view name) {
+bool IsHeaderTrue(const core::header_list& headers, std::string_view name) {
   const std::string* value = FindHeader(headers, name);
   return value != nullptr && ToLower(*value) == "true";
 }
@@ -69,13 +69,13 @@
   if (result.how == kind::kNotSent) {
     return NotSent(call, std::move(result.detail));
   }
-  const bool leaving = SaysTrue(result.headers, kLeavingHeader);
-  if (result.how == kind::kDoubtful) {
+  const bool leaving = IsHeaderTrue(result.headers, kLeavingHeader);
+  if (result.how == kind::kIndeterminate) {
     return core::endpoint_failed{call, core::endpoint_failure::kMaybeSent,
                                  leaving, std::move(result.detail)};
   }
   if (result.status == kServiceUnavailable &&
-      SaysTrue(result.headers, kNotRunHeader)) {
+      IsHeaderTrue(result.headers, kNotRunHeader)) {
     return core::endpoint_failed{call, core::endpoint_failure::kRefused,
                                  leaving, "the endpoint didn't run it"};
   }
@@ -88,7 +88,7 @@
 
 // Blocking calls run on CAF actors that have a thread of their own, so that
 // they never hold a thread of CAF's scheduler.
-class endpoint_link::impl : public std::enable_shared_from_this<impl> {
+class endpoint_client::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(caf::actor_system& system,
        endpoint_options options,
@@ -98,16 +98,16 @@
         options_(options),
         now_(std::move(now)),
         post_(std::move(post)),
-        pool_({options.connect_timeout, options.most_connections,
-               options.keep_idle}) {}
+        pool_({options.connect_timeout, options.max_connections,
+               options.idle_timeout}) {}
 
   void Call(core::call_endpoint request);
   void Stop();
 
  private:
-  caf::actor Spawn();
-  void Work(caf::actor self, call_job job);
-  core::event Run(const core::call_endpoint& call);
+  caf::actor SpawnWorker();
+  void RunJobs(caf::actor self, call_job job);
+  core::event ExecuteCall(const core::call_endpoint& call);
 
   caf::actor_system& system_;
   const endpoint_options options_;
@@ -123,7 +123,7 @@
   std::deque<call_job> waiting_;
 };
 
-void endpoint_link::impl::Call(core::call_endpoint request) {
+void endpoint_client::impl::Call(core::call_endpoint request) {
   const core::call_id call = request.call;
   call_job job{std::make_shared<const core::call_endpoint>(std::move(request))};
   caf::actor worker;
@@ -133,8 +133,8 @@
       if (!idle_.empty()) {
         worker = std::move(idle_.back());
         idle_.pop_back();
-      } else if (workers_.size() < options_.most_threads) {
-        worker = Spawn();
+      } else if (workers_.size() < options_.max_threads) {
+        worker = SpawnWorker();
         workers_.push_back(worker);
       } else {
         waiting_.push_back(std::move(job));
@@ -149,19 +149,19 @@
   caf::anon_send(worker, std::move(job));
 }
 
-caf::actor endpoint_link::impl::Spawn() {
+caf::actor endpoint_client::impl::SpawnWorker() {
   const std::shared_ptr<impl> self = shared_from_this();
   return system_.spawn<caf::detached>(
       [self](caf::event_based_actor* worker) -> caf::behavior {
         return {[self, worker](const call_job& job) {
-          self->Work(caf::actor_cast<caf::actor>(worker), job);
+          self->RunJobs(caf::actor_cast<caf::actor>(worker), job);
         }};
       });
 }
 
-void endpoint_link::impl::Work(caf::actor self, call_job job) {
+void endpoint_client::impl::RunJobs(caf::actor self, call_job job) {
   while (true) {
-    post_(Run(*job.call));
+    post_(ExecuteCall(*job.call));
     const std::lock_guard<std::mutex> lock(mutex_);
     if (waiting_.empty()) {
       idle_.push_back(std::move(self));
@@ -173,31 +173,33 @@
   }
 }
 
-core::event endpoint_link::impl::Run(const core::call_endpoint& call) {
+core::event endpoint_client::impl::ExecuteCall(
+    const core::call_endpoint& call) {
   const core::duration left = call.envelope.deadline - now_();
   if (left <= core::duration::zero()) {
     return NotSent(call.call, "the deadline passed before it was sent");
   }
   const connection_pool::address where = {call.host, call.port};
-  connection_pool::connection_ptr link = pool_.Acquire(where);
-  if (link == nullptr) {
+  connection_pool::connection_ptr connection = pool_.Acquire(where);
+  if (connection == nullptr) {
     return NotSent(call.call, "the endpoint has all its connections in use");
   }
   exchange_result result;
   try {
-    result = link->Exchange(call.envelope, HeadersToSend(call),
-                            clock::now() + left, options_.answer_limit);
+    result =
+        connection->Exchange(call.envelope, HeadersToSend(call),
+                             clock::now() + left, options_.max_response_bytes);
   } catch (const std::exception& error) {
     // Out of memory, for one. The call still has to end, and nobody knows how
     // far it got.
     result = {};
     result.detail = error.what();
   }
-  pool_.Release(where, std::move(link));
+  pool_.Release(where, std::move(connection));
   return ToEvent(call.call, std::move(result));
 }
 
-void endpoint_link::impl::Stop() {
+void endpoint_client::impl::Stop() {
   std::deque<call_job> unsent;
   std::vector<caf::actor> workers;
   {
@@ -217,32 +219,32 @@
   pool_.Clear();
 }
 
-endpoint_link::endpoint_link(caf::actor_system& system,
-                             endpoint_options options,
-                             std::function<core::time_point()> now,
-                             std::function<void(core::event)> post) {
+endpoint_client::endpoint_client(caf::actor_system& system,
+                                 endpoint_options options,
+                                 std::function<core::time_point()> now,
+                                 std::function<void(core::event)> post) {
   const auto zero = std::chrono::milliseconds::zero();
   if (now == nullptr || post == nullptr) {
     throw std::invalid_argument("endpoint_link: a function is not set");
   }
-  if (options.connect_timeout <= zero || options.keep_idle <= zero ||
-      options.most_connections == 0 || options.most_threads == 0 ||
-      options.answer_limit == 0) {
+  if (options.connect_timeout <= zero || options.idle_timeout <= zero ||
+      options.max_connections == 0 || options.max_threads == 0 ||
+      options.max_response_bytes == 0) {
     throw std::invalid_argument("endpoint_link: a limit is 0");
   }
   impl_ =
       std::make_shared<impl>(system, options, std::move(now), std::move(post));
 }
 
-endpoint_link::~endpoint_link() {
+endpoint_client::~endpoint_client() {
   Stop();
 }
 
-void endpoint_link::Call(core::call_endpoint request) {
+void endpoint_client::Call(core::call_endpoint request) {
   impl_->Call(std::move(request));
 }
 
-void endpoint_link::Stop() {
+void endpoint_client::Stop() {
   impl_->Stop();
 }
 
--- a/src/endpoint/endpoint_connection.cc
+++ b/src/endpoint/endpoint_connection.cc
@@ -13,12 +13,12 @@
 
 static_assert(kLastChunk.size() == socket_stream::kTailSize);
 
-constexpr std::chrono::milliseconds kLeastTimeout{1};
+constexpr std::chrono::milliseconds kMinTimeout{1};
 
 std::chrono::milliseconds TimeLeft(socket_stream::clock::time_point deadline) {
   const auto left = std::chrono::ceil<std::chrono::milliseconds>(
       deadline - socket_stream::clock::now());
-  return std::max(left, kLeastTimeout);
+  return std::max(left, kMinTimeout);
 }
 
 constexpr int kNotModified = 304;
@@ -43,7 +43,7 @@
     const core::request_envelope& request,
     const core::header_list& headers,
     clock::time_point deadline,
-    std::size_t answer_limit) {
+    std::size_t max_response_bytes) {
   Reset(deadline);
   httplib::Request message;
   message.method = request.method;
@@ -55,19 +55,19 @@
     message.body = *request.body;
   }
   message.response_handler = [&](const httplib::Response& head) {
-    return ReadHead(head, answer_limit);
+    return ReadHead(head, max_response_bytes);
   };
   message.content_receiver = [&](const char* data, std::size_t size,
                                  std::uint64_t, std::uint64_t) {
-    if (current_.body.size() + size > answer_limit) {
-      doubt_ = "the answer is too long";
+    if (current_.body.size() + size > max_response_bytes) {
+      error_detail_ = "the answer is too long";
       return false;
     }
     current_.body.append(data, size);
     return true;
   };
   const httplib::Result result = send(message);
-  return Conclude(result);
+  return BuildResult(result);
 }
 
 void endpoint_connection::Reset(clock::time_point deadline) {
@@ -76,8 +76,8 @@
   sent_ = false;
   ends_in_last_chunk_ = false;
   clean_ = false;
-  asks_to_close_ = false;
-  doubt_.clear();
+  close_requested_ = false;
+  error_detail_.clear();
   current_ = {};
   set_connection_timeout(std::min(connect_timeout_, TimeLeft(deadline)));
 }
@@ -88,21 +88,21 @@
   for (const auto& [name, value] : head.headers) {
     current_.headers.emplace_back(name, value);
   }
-  asks_to_close_ = head.version == "HTTP/1.0" ||
-                   head.get_header_value("Connection") == "close";
+  close_requested_ = head.version == "HTTP/1.0" ||
+                     head.get_header_value("Connection") == "close";
 }
 
 bool endpoint_connection::ReadHead(const httplib::Response& head,
-                                   std::size_t answer_limit) {
+                                   std::size_t max_response_bytes) {
   CopyHead(head);
   for (const auto& [name, value] : head.headers) {
     if (!IsWellFormed(name, value)) {
-      doubt_ = "a header is malformed";
+      error_detail_ = "a header is malformed";
       return false;
     }
   }
   if (head.status < kFirstFinalStatus) {
-    doubt_ = "the answer isn't a final one";
+    error_detail_ = "the answer isn't a final one";
     return false;
   }
   if (head.status == kNotModified) {
@@ -114,7 +114,7 @@
   const std::size_t encodings =
       head.get_header_value_count("Transfer-Encoding");
   if (lengths + encodings > 1) {
-    doubt_ = "the length of the answer is given more than once";
+    error_detail_ = "the length of the answer is given more than once";
     return false;
   }
   if (encodings == 1) {
@@ -125,16 +125,16 @@
   if (lengths == 1) {
     framing_ = framing::kLength;
     if (!IsNumber(length)) {
-      doubt_ = "Content-Length isn't a number";
+      error_detail_ = "Content-Length isn't a number";
     } else if (head.get_header_value<std::uint64_t>("Content-Length") >
-               answer_limit) {
-      doubt_ = "the answer is too long";
+               max_response_bytes) {
+      error_detail_ = "the answer is too long";
     }
-    return doubt_.empty();
+    return error_detail_.empty();
   }
   // Such a body lasts until the connection ends, and an endpoint that dies
   // midway ends it just so.
-  doubt_ = "the length of the answer isn't given";
+  error_detail_ = "the length of the answer isn't given";
   return false;
 }
 
@@ -142,34 +142,35 @@
     const Socket& socket,
     std::function<bool(httplib::Stream&)> callback) {
   socket_stream stream(socket.sock, deadline_, TimeLeft(deadline_));
-  const bool whole = callback(stream);
+  const bool complete = callback(stream);
   sent_ = stream.has_written();
   ends_in_last_chunk_ = stream.tail() == kLastChunk;
-  clean_ = whole && !stream.HasBuffered();
-  return whole;
+  clean_ = complete && !stream.HasBuffered();
+  return complete;
 }
 
-exchange_result endpoint_connection::Conclude(const httplib::Result& result) {
+exchange_result endpoint_connection::BuildResult(
+    const httplib::Result& result) {
   if (result && framing_ == framing::kUnknown) {
     // The library asks nobody about the head of an answer that has no body.
     framing_ = framing::kNoBody;
     CopyHead(*result);
   }
-  const bool no_body = framing_ == framing::kNoBody && doubt_.empty();
+  const bool no_body = framing_ == framing::kNoBody && error_detail_.empty();
   if (!result && !no_body) {
-    current_.how = sent_ ? exchange_result::kind::kDoubtful
+    current_.how = sent_ ? exchange_result::kind::kIndeterminate
                          : exchange_result::kind::kNotSent;
-    current_.detail =
-        doubt_.empty() ? httplib::to_string(result.error()) : doubt_;
+    current_.detail = error_detail_.empty() ? httplib::to_string(result.error())
+                                            : error_detail_;
   } else if (framing_ == framing::kChunked && !ends_in_last_chunk_) {
     // The library takes a chunk that doesn't end as it should for the last
     // one, and would pass the part before it as the whole answer.
-    current_.how = exchange_result::kind::kDoubtful;
+    current_.how = exchange_result::kind::kIndeterminate;
     current_.detail = "the answer has no last chunk";
   } else {
-    current_.how = exchange_result::kind::kWhole;
+    current_.how = exchange_result::kind::kComplete;
   }
-  if (current_.how != exchange_result::kind::kWhole || asks_to_close_) {
+  if (current_.how != exchange_result::kind::kComplete || close_requested_) {
     clean_ = false;
   }
   if (!clean_) {
--- a/src/endpoint/endpoint_connection.h
+++ b/src/endpoint/endpoint_connection.h
@@ -18,13 +18,13 @@
 struct exchange_result {
   enum class kind {
     /// The answer was read to its end.
-    kWhole,
+    kComplete,
     /// No byte of the request left.
     kNotSent,
     /// Bytes of the request left, and no whole answer came.
-    kDoubtful,
+    kIndeterminate,
   };
-  kind how = kind::kDoubtful;
+  kind how = kind::kIndeterminate;
   int status = 0;
   core::header_list headers;
   std::string body;
@@ -51,7 +51,7 @@
   exchange_result Exchange(const core::request_envelope& request,
                            const core::header_list& headers,
                            clock::time_point deadline,
-                           std::size_t answer_limit);
+                           std::size_t max_response_bytes);
 
   /// True when the last exchange ended cleanly and the endpoint has sent
   /// nothing since, not even the end of the connection. Anything that came
@@ -65,9 +65,9 @@
   bool process_socket(const Socket& socket,
                       std::function<bool(httplib::Stream&)> callback) override;
   void Reset(clock::time_point deadline);
-  bool ReadHead(const httplib::Response& head, std::size_t answer_limit);
+  bool ReadHead(const httplib::Response& head, std::size_t max_response_bytes);
   void CopyHead(const httplib::Response& head);
-  exchange_result Conclude(const httplib::Result& result);
+  exchange_result BuildResult(const httplib::Result& result);
 
   const std::chrono::milliseconds connect_timeout_;
   clock::time_point deadline_;
@@ -75,8 +75,8 @@
   bool sent_ = false;
   bool ends_in_last_chunk_ = false;
   bool clean_ = false;
-  bool asks_to_close_ = false;
-  std::string doubt_;
+  bool close_requested_ = false;
+  std::string error_detail_;
   exchange_result current_;
 };
 
--- a/src/endpoint/header_escaper.h
+++ b/src/endpoint/header_escaper.h
@@ -13,7 +13,7 @@
 /// what was sent. The head ends here exactly where it ends for the library: at
 /// a line of a carriage return and a line feed, and at no other.
 /// Thread safety: none.
-class head_escaper {
+class header_escaper {
  public:
   /// A new message begins.
   void Restart() { *this = {}; }
@@ -22,15 +22,15 @@
   bool InHead() const { return in_head_; }
 
   /// Takes the next byte of the head; returns whether it has to be escaped.
-  bool Take(char byte) {
+  bool Consume(char byte) {
     const bool escape = byte == '%' && !in_start_line_;
-    TakeStatus(byte);
+    ParseStatus(byte);
     if (byte != '\n') {
-      bare_end_ = line_size_ == 0 && byte == '\r';
+      only_carriage_return_ = line_size_ == 0 && byte == '\r';
       ++line_size_;
       return escape;
     }
-    const bool blank = bare_end_ && line_size_ == 1;
+    const bool blank = only_carriage_return_ && line_size_ == 1;
     if (blank && !in_start_line_) {
       // An interim answer (1xx) is followed by another head.
       in_head_ = interim_;
@@ -40,7 +40,7 @@
       in_start_line_ = false;
     }
     line_size_ = 0;
-    bare_end_ = false;
+    only_carriage_return_ = false;
     return escape;
   }
 
@@ -48,27 +48,27 @@
   // Where the first digit of the status stands in "HTTP/1.1 100 Continue". A
   // request is told from an answer by its first two letters: no method that the
   // library knows starts with "HT".
-  static constexpr std::size_t kStatusPlace = 9;
+  static constexpr std::size_t kStatusOffset = 9;
 
-  void TakeStatus(char byte) {
+  void ParseStatus(char byte) {
     if (!in_start_line_) {
       return;
     }
     if (line_size_ == 0) {
-      is_answer_ = byte == 'H';
+      is_response_ = byte == 'H';
     } else if (line_size_ == 1) {
-      is_answer_ = is_answer_ && byte == 'T';
-    } else if (line_size_ == kStatusPlace) {
-      interim_ = is_answer_ && byte == '1';
+      is_response_ = is_response_ && byte == 'T';
+    } else if (line_size_ == kStatusOffset) {
+      interim_ = is_response_ && byte == '1';
     }
   }
 
   bool in_head_ = true;
   bool in_start_line_ = true;
-  bool is_answer_ = false;
+  bool is_response_ = false;
   bool interim_ = false;
   // The line so far is a carriage return alone.
-  bool bare_end_ = false;
+  bool only_carriage_return_ = false;
   std::size_t line_size_ = 0;
 };
 
--- a/src/endpoint/http_headers.cc
+++ b/src/endpoint/http_headers.cc
@@ -14,7 +14,7 @@
     "transfer-encoding",   "upgrade",    "proxy-connection",
     "content-length",      "expect"};
 
-std::set<std::string> NamedByConnection(const core::header_list& headers) {
+std::set<std::string> ConnectionOptions(const core::header_list& headers) {
   std::set<std::string> names;
   for (const auto& [name, value] : headers) {
     if (ToLower(name) != "connection") {
@@ -68,7 +68,7 @@
 }
 
 core::header_list WithoutHopByHop(const core::header_list& headers) {
-  const std::set<std::string> named = NamedByConnection(headers);
+  const std::set<std::string> named = ConnectionOptions(headers);
   core::header_list kept;
   for (const auto& [name, value] : headers) {
     const std::string lower = ToLower(name);
--- a/src/endpoint/socket_stream.cc
+++ b/src/endpoint/socket_stream.cc
@@ -34,7 +34,7 @@
 }
 
 // What follows the percent sign in the escaped form of a percent sign.
-constexpr std::string_view kEscapeRest = "25";
+constexpr std::string_view kEscapeSuffix = "25";
 
 }  // namespace
 
@@ -63,17 +63,17 @@
 
 socket_stream::socket_stream(int socket,
                              clock::time_point read_deadline,
-                             std::chrono::milliseconds write_limit)
+                             std::chrono::milliseconds write_timeout)
     : socket_(socket),
       read_deadline_(read_deadline),
-      write_limit_(write_limit) {}
+      write_timeout_(write_timeout) {}
 
 bool socket_stream::is_readable() const {
   return HasBuffered() || WaitFor(socket_, POLLIN, read_deadline_);
 }
 
 bool socket_stream::is_writable() const {
-  return WaitFor(socket_, POLLOUT, clock::now() + write_limit_);
+  return WaitFor(socket_, POLLOUT, clock::now() + write_timeout_);
 }
 
 ssize_t socket_stream::Receive(char* data, std::size_t size) {
@@ -91,18 +91,18 @@
 }
 
 ssize_t socket_stream::read(char* data, size_t size) {
-  return head_.InHead() && size > 0 ? ReadOfHead(data) : ReadRaw(data, size);
+  return head_.InHead() && size > 0 ? ReadHeadByte(data) : ReadRaw(data, size);
 }
 
-ssize_t socket_stream::ReadOfHead(char* data) {
-  if (!escape_rest_.empty()) {
-    *data = escape_rest_.front();
-    escape_rest_.remove_prefix(1);
+ssize_t socket_stream::ReadHeadByte(char* data) {
+  if (!pending_escape_.empty()) {
+    *data = pending_escape_.front();
+    pending_escape_.remove_prefix(1);
     return 1;
   }
   const ssize_t count = ReadRaw(data, 1);
-  if (count == 1 && head_.Take(*data)) {
-    escape_rest_ = kEscapeRest;
+  if (count == 1 && head_.Consume(*data)) {
+    pending_escape_ = kEscapeSuffix;
   }
   return count;
 }
@@ -114,7 +114,7 @@
     if (size >= buffer_.size()) {
       const ssize_t count = Receive(data, size);
       if (count > 0) {
-        Remember(data, static_cast<std::size_t>(count));
+        UpdateTail(data, static_cast<std::size_t>(count));
       }
       return count;
     }
@@ -127,11 +127,11 @@
   const std::size_t count = std::min(size, end_ - begin_);
   std::memcpy(data, buffer_.data() + begin_, count);
   begin_ += count;
-  Remember(data, count);
+  UpdateTail(data, count);
   return static_cast<ssize_t>(count);
 }
 
-void socket_stream::Remember(const char* data, std::size_t size) {
+void socket_stream::UpdateTail(const char* data, std::size_t size) {
   const std::size_t count = std::min(size, kTailSize);
   tail_.append(data + size - count, count);
   if (tail_.size() > kTailSize) {
--- a/src/endpoint/socket_stream.h
+++ b/src/endpoint/socket_stream.h
@@ -26,7 +26,7 @@
 
   socket_stream(int socket,
                 clock::time_point read_deadline,
-                std::chrono::milliseconds write_limit);
+                std::chrono::milliseconds write_timeout);
 
   void set_read_deadline(clock::time_point deadline) {
     read_deadline_ = deadline;
@@ -58,23 +58,23 @@
 
  private:
   ssize_t ReadRaw(char* data, std::size_t size);
-  ssize_t ReadOfHead(char* data);
+  ssize_t ReadHeadByte(char* data);
   ssize_t Receive(char* data, std::size_t size);
-  void Remember(const char* data, std::size_t size);
+  void UpdateTail(const char* data, std::size_t size);
 
   static constexpr std::size_t kBufferSize = 4096;
 
   const int socket_;
   clock::time_point read_deadline_;
-  const std::chrono::milliseconds write_limit_;
+  const std::chrono::milliseconds write_timeout_;
   std::array<char, kBufferSize> buffer_;
   std::size_t begin_ = 0;
   std::size_t end_ = 0;
   std::size_t written_ = 0;
   std::string tail_;
-  head_escaper head_;
+  header_escaper head_;
   // What is left of an escaped byte.
-  std::string_view escape_rest_;
+  std::string_view pending_escape_;
 };
 
 /// Waits until `socket` has one of `events` (of poll()) or `deadline` has
--- a/src/runtime/daemon_options.cc
+++ b/src/runtime/daemon_options.cc
@@ -59,10 +59,10 @@
 endpoint::endpoint_options EndpointOptions(
     const settings::entry_settings& settings) {
   endpoint::endpoint_options options;
-  options.most_threads = settings.endpoint_threads;
+  options.max_threads = settings.endpoint_threads;
   // An answer that no frame can carry would break the connection to the entry
   // that asked, and with it the answers of others. It counts as failed here.
-  options.answer_limit = settings.body_limit;
+  options.max_response_bytes = settings.body_limit;
   return options;
 }
 
--- a/src/runtime/entry_daemon.cc
+++ b/src/runtime/entry_daemon.cc
@@ -84,7 +84,7 @@
   daemon_config config_;
   caf::actor_system system_;
   std::unique_ptr<entry::peer_link> peers_;
-  std::unique_ptr<endpoint::endpoint_link> endpoints_;
+  std::unique_ptr<endpoint::endpoint_client> endpoints_;
   std::unique_ptr<platform::platform_link> platform_;
   std::unique_ptr<caller::http_server> http_;
   caf::actor core_;
@@ -139,7 +139,7 @@
   const auto now = [this] { return clock_.Now(); };
   const auto post = [this](core::event item) { Post(std::move(item)); };
 
-  endpoints_ = std::make_unique<endpoint::endpoint_link>(
+  endpoints_ = std::make_unique<endpoint::endpoint_client>(
       system_, EndpointOptions(settings_), now, post);
   platform_ = std::make_unique<platform::platform_link>(
       system_, PlatformOptions(settings_), post);
--- a/tests/caller/relay_test.cc
+++ b/tests/caller/relay_test.cc
@@ -83,7 +83,7 @@
   std::uint64_t calls_ = 0;
   caf::actor_system_config config_;
   caf::actor_system system_;
-  endpoint::endpoint_link link_;
+  endpoint::endpoint_client link_;
 };
 
 TEST_CASE("Many callers get their own answers through both sides") {
--- a/tests/endpoint/endpoint_client_test.cc
+++ b/tests/endpoint/endpoint_client_test.cc
@@ -25,9 +25,9 @@
 }
 
 // A link whose events the test waits for.
-class linked {
+class client_fixture {
  public:
-  explicit linked(endpoint_options options = {})
+  explicit client_fixture(endpoint_options options = {})
       : system_(config_),
         link_(system_, options, Now, [this](core::event what) {
           const std::lock_guard<std::mutex> lock(mutex_);
@@ -82,7 +82,7 @@
     return events_.size();
   }
 
-  endpoint_link& link() { return link_; }
+  endpoint_client& link() { return link_; }
 
  private:
   std::mutex mutex_;
@@ -91,7 +91,7 @@
   std::uint64_t calls_ = 0;
   caf::actor_system_config config_;
   caf::actor_system system_;
-  endpoint_link link_;
+  endpoint_client link_;
 };
 
 constexpr const char* kHello =
@@ -99,9 +99,9 @@
 constexpr std::size_t kBodySize = 3;
 
 TEST_CASE("An endpoint's whole answer is handed over") {
-  linked entry;
+  client_fixture fixture;
   const raw_listener endpoint;
-  entry.Start(entry.Request(endpoint.port()));
+  fixture.Start(fixture.Request(endpoint.port()));
   const raw_connection peer = endpoint.Accept();
   const std::string request = peer.ReadMessage(kBodySize);
 
@@ -114,14 +114,14 @@
     CHECK(request.find("Connection: close") == std::string::npos);
     CHECK(request.substr(request.size() - kBodySize) == "abc");
     peer.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
   }
 
   SECTION("by its length, without headers of the connection") {
     peer.Send(
         "HTTP/1.1 201 Created\r\nContent-Length: 5\r\nX-A: 1\r\n"
         "Keep-Alive: timeout=5\r\n\r\nhello");
-    const core::endpoint_replied reply = entry.AwaitReply();
+    const core::endpoint_replied reply = fixture.AwaitReply();
     CHECK(reply.status == 201);
     CHECK(*reply.body == "hello");
     REQUIRE(reply.headers.size() == 1);
@@ -132,7 +132,7 @@
     peer.Send(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
-    CHECK(*entry.AwaitReply().body == "hello");
+    CHECK(*fixture.AwaitReply().body == "hello");
   }
 
   SECTION("with header values that are left as they are") {
@@ -141,7 +141,7 @@
     peer.Send(
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-A: a%0d%0aB: "
         "%41\r\nLocation: /%41\r\nContent-Length: 3\r\n\r\n%41");
-    const core::endpoint_replied reply = entry.AwaitReply();
+    const core::endpoint_replied reply = fixture.AwaitReply();
     REQUIRE(reply.headers.size() == 2);
     CHECK(reply.headers[0].second == "/%41");
     CHECK(reply.headers[1].second == "a%0d%0aB: %41");
@@ -150,26 +150,26 @@
 
   SECTION("when it has no body") {
     peer.Send("HTTP/1.1 204 No Content\r\n\r\n");
-    CHECK(entry.AwaitReply().status == 204);
-    entry.Start(entry.Request(endpoint.port(), "HEAD"));
+    CHECK(fixture.AwaitReply().status == 204);
+    fixture.Start(fixture.Request(endpoint.port(), "HEAD"));
     peer.ReadMessage();
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
-    CHECK(entry.AwaitReply().status == 200);
-    entry.Start(entry.Request(endpoint.port(), "GET"));
+    CHECK(fixture.AwaitReply().status == 200);
+    fixture.Start(fixture.Request(endpoint.port(), "GET"));
     peer.ReadMessage();
     peer.Send("HTTP/1.1 304 Not Modified\r\nContent-Length: 500\r\n\r\n");
-    CHECK(entry.AwaitReply().status == 304);
+    CHECK(fixture.AwaitReply().status == 304);
   }
-  CHECK(entry.UnreadEvents() == 0);
+  CHECK(fixture.UnreadEvents() == 0);
 }
 
 TEST_CASE("An answer that isn't whole is never handed over as one") {
   // The endpoint runs the request and dies, or a proxy garbles the answer,
   // after a part of it went out. The caller must be told that nobody knows,
   // since half an appeal that looks whole is worse than none.
-  linked entry;
+  client_fixture fixture;
   const raw_listener endpoint;
-  entry.Start(entry.Request(endpoint.port()));
+  fixture.Start(fixture.Request(endpoint.port()));
   raw_connection peer = endpoint.Accept();
   peer.ReadMessage(kBodySize);
 
@@ -219,22 +219,22 @@
     peer.ResetOnClose();
   }
   peer.Close();
-  CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
-  entry.link().Stop();
-  CHECK(entry.UnreadEvents() == 0);
+  CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
+  fixture.link().Stop();
+  CHECK(fixture.UnreadEvents() == 0);
 }
 
 TEST_CASE("A request is sent once, whatever becomes of its connection") {
   // A kept connection ends just as the next request goes out on it. A client
   // that sends the request again by itself makes an appeal be logged twice.
-  linked entry;
+  client_fixture fixture;
   raw_listener endpoint;
-  entry.Start(entry.Request(endpoint.port()));
+  fixture.Start(fixture.Request(endpoint.port()));
   raw_connection peer = endpoint.Accept();
   peer.ReadMessage(kBodySize);
   peer.Send(kHello);
-  entry.AwaitReply();
-  entry.Start(entry.Request(endpoint.port()));
+  fixture.AwaitReply();
+  fixture.Start(fixture.Request(endpoint.port()));
 
   SECTION("when the endpoint reads it and closes") {
     REQUIRE(peer.ReadMessage(kBodySize).find("POST") == 0);
@@ -245,29 +245,29 @@
     peer.ResetOnClose();
     peer.Close();
   }
-  CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
+  CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
   // Had it been sent again, it would wait in the listener's queue now.
-  entry.Start(entry.Request(endpoint.port(), "GET"));
+  fixture.Start(fixture.Request(endpoint.port(), "GET"));
   const raw_connection next = endpoint.Accept();
   CHECK(next.ReadMessage().find("GET ") == 0);
   next.Send(kHello);
-  entry.AwaitReply();
+  fixture.AwaitReply();
 }
 
 TEST_CASE("A kept connection is used again only when it is clean") {
-  linked entry;
+  client_fixture fixture;
   const raw_listener endpoint;
-  entry.Start(entry.Request(endpoint.port()));
+  fixture.Start(fixture.Request(endpoint.port()));
   raw_connection first = endpoint.Accept();
   first.ReadMessage(kBodySize);
 
   SECTION("it is, after a whole answer") {
     first.Send(kHello);
-    entry.AwaitReply();
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.AwaitReply();
+    fixture.Start(fixture.Request(endpoint.port()));
     CHECK(first.ReadMessage(kBodySize).find("POST") == 0);
     first.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
   }
 
   SECTION("not when bytes followed the answer") {
@@ -275,58 +275,58 @@
     // connection the next caller would get it as its own.
     first.Send(std::string(kHello) +
                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-    CHECK(*entry.AwaitReply().body == "hello");
-    entry.Start(entry.Request(endpoint.port()));
+    CHECK(*fixture.AwaitReply().body == "hello");
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
-    CHECK(*entry.AwaitReply().body == "hello");
+    CHECK(*fixture.AwaitReply().body == "hello");
   }
 
   SECTION("not when bytes came while nobody waited for any") {
     first.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
     first.Send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
-    CHECK(*entry.AwaitReply().body == "hello");
+    CHECK(*fixture.AwaitReply().body == "hello");
   }
 
   SECTION("not when the endpoint closed it meanwhile") {
     first.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
     first.Close();
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
-    CHECK(*entry.AwaitReply().body == "hello");
+    CHECK(*fixture.AwaitReply().body == "hello");
   }
 
   SECTION("not when the deadline passed before the answer") {
-    core::call_endpoint hurried = entry.Request(endpoint.port());
+    core::call_endpoint hurried = fixture.Request(endpoint.port());
     first.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
     hurried.envelope.deadline = Now() + 30ms;
-    entry.Start(std::move(hurried));
+    fixture.Start(std::move(hurried));
     REQUIRE(first.ReadMessage(kBodySize).find("POST") == 0);
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
     // The late answer meets a closed connection.
     CHECK(first.ReadAll().empty());
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
-    CHECK(*entry.AwaitReply().body == "hello");
+    CHECK(*fixture.AwaitReply().body == "hello");
   }
 
   SECTION("not when the endpoint asked to close it") {
     first.Send(
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: "
         "close\r\n\r\nhello");
-    entry.AwaitReply();
+    fixture.AwaitReply();
     CHECK(first.ReadAll().empty());
   }
 }
@@ -334,11 +334,11 @@
 TEST_CASE("A deadline holds against an endpoint that answers byte by byte") {
   // Each byte comes in time for a timeout of one read, and the whole never
   // ends. The caller would wait without limit and the slot stay taken.
-  linked entry;
+  client_fixture fixture;
   const raw_listener endpoint;
-  core::call_endpoint call = entry.Request(endpoint.port());
+  core::call_endpoint call = fixture.Request(endpoint.port());
   call.envelope.deadline = Now() + 50ms;
-  entry.Start(std::move(call));
+  fixture.Start(std::move(call));
   const raw_connection peer = endpoint.Accept();
   std::atomic<bool> ended = false;
   std::thread trickle([&] {
@@ -348,53 +348,53 @@
       std::this_thread::sleep_for(1ms);
     }
   });
-  CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
+  CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
   ended = true;
   trickle.join();
 }
 
 TEST_CASE("What surely wasn't run is told as such") {
-  linked entry;
+  client_fixture fixture;
   raw_listener endpoint;
 
   SECTION("when the endpoint refuses the connection") {
     const std::uint16_t port = endpoint.port();
     endpoint.Close();
-    entry.Start(entry.Request(port));
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kNotSent);
+    fixture.Start(fixture.Request(port));
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
   SECTION("when the deadline has passed already") {
-    core::call_endpoint late = entry.Request(endpoint.port());
+    core::call_endpoint late = fixture.Request(endpoint.port());
     late.envelope.deadline = Now() - 1ms;
-    entry.Start(std::move(late));
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kNotSent);
+    fixture.Start(std::move(late));
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
   SECTION("when the link has been stopped") {
-    entry.link().Stop();
-    entry.Start(entry.Request(endpoint.port()));
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kNotSent);
+    fixture.link().Stop();
+    fixture.Start(fixture.Request(endpoint.port()));
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
   SECTION("when the endpoint says so, and whether it is leaving") {
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send(
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n"
         "Plantain-Not-Run: true\r\nPlantain-Leaving: true\r\n\r\n");
-    const core::endpoint_failed failed = entry.AwaitFailure();
+    const core::endpoint_failed failed = fixture.AwaitFailure();
     CHECK(failed.failure == core::endpoint_failure::kRefused);
     CHECK(failed.leaving);
   }
 
   SECTION("but a 503 alone is the endpoint's answer") {
-    entry.Start(entry.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    CHECK(entry.AwaitReply().status == 503);
+    CHECK(fixture.AwaitReply().status == 503);
   }
 }
 
@@ -403,38 +403,38 @@
   const raw_listener endpoint;
 
   SECTION("a call beyond an endpoint's connections isn't sent") {
-    options.most_connections = 1;
-    linked entry(options);
-    entry.Start(entry.Request(endpoint.port()));
+    options.max_connections = 1;
+    client_fixture fixture(options);
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
-    entry.Start(entry.Request(endpoint.port()));
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kNotSent);
+    fixture.Start(fixture.Request(endpoint.port()));
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
     peer.Send(kHello);
-    entry.AwaitReply();
+    fixture.AwaitReply();
   }
 
   SECTION("a call beyond the threads waits for one") {
-    options.most_threads = 1;
-    linked entry(options);
-    entry.Start(entry.Request(endpoint.port()));
-    entry.Start(entry.Request(endpoint.port()));
+    options.max_threads = 1;
+    client_fixture fixture(options);
+    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     for (int i = 0; i < 2; ++i) {
       peer.ReadMessage(kBodySize);
       peer.Send(kHello);
-      entry.AwaitReply();
+      fixture.AwaitReply();
     }
   }
 
   SECTION("an answer beyond the limit isn't kept in memory") {
-    options.answer_limit = 4;
-    linked entry(options);
-    entry.Start(entry.Request(endpoint.port()));
+    options.max_response_bytes = 4;
+    client_fixture fixture(options);
+    fixture.Start(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send(kHello);
-    CHECK(entry.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
+    CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
   }
 }
 
--- a/tests/endpoint/header_escaper_test.cc
+++ b/tests/endpoint/header_escaper_test.cc
@@ -8,10 +8,10 @@
 
 // Returns the message with each byte that has to be escaped marked by '!'.
 std::string Mark(const std::string& message) {
-  head_escaper head;
+  header_escaper head;
   std::string marked;
   for (const char byte : message) {
-    const bool escape = head.InHead() && head.Take(byte);
+    const bool escape = head.InHead() && head.Consume(byte);
     marked += escape ? '!' : byte;
   }
   return marked;
--- a/tests/runtime/daemon_options_test.cc
+++ b/tests/runtime/daemon_options_test.cc
@@ -21,7 +21,7 @@
     settings.body_limit = std::uint64_t{100} << 20U;
     const std::size_t frame = PeerOptions(settings, {}).frame_limit;
     CHECK(HttpOptions(settings).body_limit < frame);
-    CHECK(EndpointOptions(settings).answer_limit < frame);
+    CHECK(EndpointOptions(settings).max_response_bytes < frame);
     CHECK(PeerOptions(settings, {}).queue_limit > frame);
   }
 
