--- a/include/plantainhead/endpoint/endpoint_client.h
+++ b/include/plantainhead/endpoint/endpoint_client.h
@@ -16,50 +16,54 @@
 
 namespace plantainhead::endpoint {
 
-/// Sizes and limits of an `endpoint_client`.
+/// Configures the timeouts and resource limits of an `endpoint_client`.
 struct endpoint_options {
-  /// Time within which an endpoint must accept a connection.
+  /// Timeout for establishing a connection to an endpoint.
   std::chrono::milliseconds connect_timeout = std::chrono::seconds(1);
-  /// Connections to one endpoint, in use and kept together.
+  /// Maximum number of connections to one endpoint, active and idle together.
   std::size_t max_connections = 64;
-  /// Calls in progress at once, over all endpoints; later ones wait.
+  /// Maximum number of concurrent calls over all endpoints; further calls are
+  /// queued.
   std::size_t max_threads = 512;
-  /// A kept connection that was unused for this long isn't used again.
+  /// Idle connections are not reused after this time.
   std::chrono::milliseconds idle_timeout = std::chrono::seconds(4);
-  /// Most bytes of an answer's body; a longer one counts as failed.
+  /// Maximum size of a response body in bytes; a call with a longer response
+  /// fails.
   std::size_t max_response_bytes = std::size_t{64} << 20U;
 };
 
-/// Sends requests to endpoints by HTTP and tells the decisions how each ended.
+/// Sends requests to endpoints over HTTP and reports the result of each call as
+/// an event to the entry core.
 ///
-/// Each call is made once, on one connection: nothing is ever sent a second
-/// time here. Whether that is safe is for the decisions.
+/// Each call is attempted exactly once, on one connection. The client never
+/// retries; the entry core decides whether a retry is safe.
 class endpoint_client {
  public:
-  /// `now` is the runtime's clock and `post` takes what happened; both are
-  /// called from many threads. `system` must outlive the link.
-  /// Throws `std::invalid_argument` when a limit is 0 or a function is not set.
+  /// `now` is the runtime's clock and `post` receives the events; both are
+  /// called concurrently from several threads. `system` must outlive the
+  /// client. Throws `std::invalid_argument` if a limit is 0 or a function is
+  /// not set.
   endpoint_client(caf::actor_system& system,
                   endpoint_options options,
                   std::function<core::time_point()> now,
                   std::function<void(core::event)> post);
 
-  /// Stops if that hasn't been done.
+  /// Calls `Stop()`.
   ~endpoint_client();
 
   endpoint_client(const endpoint_client&) = delete;
   endpoint_client& operator=(const endpoint_client&) = delete;
 
-  /// Starts a call and returns at once. Posts exactly one event for it:
-  /// `endpoint_replied` once the whole answer was read, else
-  /// `endpoint_failed`, at the request's deadline at the latest. After `Stop()`
-  /// every call ends in `endpoint_failure::kNotSent`.
+  /// Starts a call without blocking. Posts exactly one event for it, at the
+  /// request's deadline at the latest: `endpoint_replied` once the complete
+  /// response has been read, otherwise `endpoint_failed`. After `Stop()`, every
+  /// call fails with `endpoint_failure::kNotSent`.
   /// Thread safety: safe from any thread.
   void Call(core::call_endpoint request);
 
-  /// Waits for the calls in progress (their deadlines bound that) and closes
-  /// all connections.
-  /// Thread safety: safe from any thread but those that run `post`.
+  /// Waits for the calls in progress, which is bounded by their deadlines, and
+  /// closes all connections.
+  /// Thread safety: safe from any thread except those that run `post`.
   void Stop();
 
  private:
--- a/src/endpoint/connection_pool.cc
+++ b/src/endpoint/connection_pool.cc
@@ -3,7 +3,8 @@
 namespace plantainhead::endpoint {
 
 connection_pool::connection_ptr connection_pool::Acquire(const address& where) {
-  // Closed after the lock is released.
+  // Declared before the lock, so that the connections are closed after the
+  // lock has been released.
   std::vector<connection_ptr> closing;
   const std::lock_guard<std::mutex> lock(mutex_);
   endpoint_connections& pool = endpoints_[where];
--- a/src/endpoint/connection_pool.h
+++ b/src/endpoint/connection_pool.h
@@ -15,7 +15,8 @@
 
 namespace plantainhead::endpoint {
 
-/// The connections to all endpoints, with a bound for each endpoint.
+/// Pools the HTTP connections to all endpoints for reuse and limits their
+/// number for each endpoint.
 class connection_pool {
  public:
   using address = std::pair<std::string, std::uint16_t>;
@@ -29,17 +30,17 @@
 
   explicit connection_pool(limits bounds) : limits_(bounds) {}
 
-  /// Returns a kept connection that may be used again, else a new one that
-  /// isn't connected yet; null when the endpoint has as many as it may.
-  /// Give each back by `Release()`.
+  /// Returns a reusable idle connection, or a new one that is not connected
+  /// yet. Returns null if the endpoint already has the maximum number of
+  /// connections in use. The caller must return each one with `Release()`.
   /// Thread safety: safe from any thread.
   connection_ptr Acquire(const address& where);
 
-  /// Keeps the connection if it may be used again, else closes it.
+  /// Returns a connection to the pool if it is reusable, otherwise closes it.
   /// Thread safety: safe from any thread.
   void Release(const address& where, connection_ptr item);
 
-  /// Closes the kept ones. Thread safety: safe from any thread.
+  /// Closes all idle connections. Thread safety: safe from any thread.
   void Clear();
 
  private:
@@ -51,7 +52,7 @@
   };
   struct endpoint_connections {
     std::size_t in_use = 0;
-    // The back was used last.
+    // Ordered by the time of last use, most recent last.
     std::vector<idle_connection> idle;
   };
 
--- a/src/endpoint/endpoint_client.cc
+++ b/src/endpoint/endpoint_client.cc
@@ -17,7 +17,8 @@
 namespace plantainhead::endpoint {
 namespace {
 
-/// A call on its way to a worker. Shared, so that the message is cheap to copy.
+/// Message that assigns a call to a worker. The call is held by a shared
+/// pointer so that the message is cheap to copy.
 struct call_job {
   std::shared_ptr<const core::call_endpoint> call;
 };
@@ -25,7 +26,7 @@
 }  // namespace
 }  // namespace plantainhead::endpoint
 
-// Stays within this process.
+// This message never leaves the process, so it needs no serialization.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::endpoint::call_job)
 
 namespace plantainhead::endpoint {
@@ -76,8 +77,9 @@
   }
   if (result.status == kServiceUnavailable &&
       IsHeaderTrue(result.headers, kNotRunHeader)) {
-    return core::endpoint_failed{call, core::endpoint_failure::kRefused,
-                                 leaving, "the endpoint didn't run it"};
+    return core::endpoint_failed{
+        call, core::endpoint_failure::kRefused, leaving,
+        "endpoint rejected the request without executing it"};
   }
   return core::endpoint_replied{
       call, result.status, WithoutHopByHop(result.headers),
@@ -86,8 +88,8 @@
 
 }  // namespace
 
-// Blocking calls run on CAF actors that have a thread of their own, so that
-// they never hold a thread of CAF's scheduler.
+// Blocking calls run on detached CAF actors, each with its own thread, so that
+// they never block a thread of CAF's scheduler.
 class endpoint_client::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(caf::actor_system& system,
@@ -177,12 +179,12 @@
     const core::call_endpoint& call) {
   const core::duration left = call.envelope.deadline - now_();
   if (left <= core::duration::zero()) {
-    return NotSent(call.call, "the deadline passed before it was sent");
+    return NotSent(call.call, "deadline passed before the request was sent");
   }
   const connection_pool::address where = {call.host, call.port};
   connection_pool::connection_ptr connection = pool_.Acquire(where);
   if (connection == nullptr) {
-    return NotSent(call.call, "the endpoint has all its connections in use");
+    return NotSent(call.call, "all connections to the endpoint are in use");
   }
   exchange_result result;
   try {
@@ -190,8 +192,9 @@
         connection->Exchange(call.envelope, HeadersToSend(call),
                              clock::now() + left, options_.max_response_bytes);
   } catch (const std::exception& error) {
-    // Out of memory, for one. The call still has to end, and nobody knows how
-    // far it got.
+    // For example, out of memory. An event must be posted for the call in any
+    // case; the result is indeterminate because part of the request may have
+    // been sent.
     result = {};
     result.detail = error.what();
   }
@@ -225,12 +228,13 @@
                                  std::function<void(core::event)> post) {
   const auto zero = std::chrono::milliseconds::zero();
   if (now == nullptr || post == nullptr) {
-    throw std::invalid_argument("endpoint_link: a function is not set");
+    throw std::invalid_argument("endpoint_client: 'now' or 'post' is not set");
   }
   if (options.connect_timeout <= zero || options.idle_timeout <= zero ||
       options.max_connections == 0 || options.max_threads == 0 ||
       options.max_response_bytes == 0) {
-    throw std::invalid_argument("endpoint_link: a limit is 0");
+    throw std::invalid_argument(
+        "endpoint_client: limits and timeouts must be positive");
   }
   impl_ =
       std::make_shared<impl>(system, options, std::move(now), std::move(post));
--- a/src/endpoint/endpoint_connection.cc
+++ b/src/endpoint/endpoint_connection.cc
@@ -33,7 +33,7 @@
     : httplib::ClientImpl(host, port), connect_timeout_(connect_timeout) {
   set_keep_alive(true);
   set_tcp_nodelay(true);
-  // Bytes are passed on as they are.
+  // Paths and bodies are forwarded unmodified.
   set_decompress(false);
   set_url_encode(false);
   set_follow_location(false);
@@ -60,7 +60,7 @@
   message.content_receiver = [&](const char* data, std::size_t size,
                                  std::uint64_t, std::uint64_t) {
     if (current_.body.size() + size > max_response_bytes) {
-      error_detail_ = "the answer is too long";
+      error_detail_ = "response body exceeds the size limit";
       return false;
     }
     current_.body.append(data, size);
@@ -97,16 +97,17 @@
   CopyHead(head);
   for (const auto& [name, value] : head.headers) {
     if (!IsWellFormed(name, value)) {
-      error_detail_ = "a header is malformed";
+      error_detail_ = "malformed header in response";
       return false;
     }
   }
   if (head.status < kFirstFinalStatus) {
-    error_detail_ = "the answer isn't a final one";
+    error_detail_ = "response status below 200 is not final";
     return false;
   }
   if (head.status == kNotModified) {
-    // It has no body whatever its length says; the library would wait for one.
+    // A 304 response has no body, whatever its Content-Length says; the library
+    // would wait for one.
     framing_ = framing::kNoBody;
     return false;
   }
@@ -114,7 +115,7 @@
   const std::size_t encodings =
       head.get_header_value_count("Transfer-Encoding");
   if (lengths + encodings > 1) {
-    error_detail_ = "the length of the answer is given more than once";
+    error_detail_ = "response length is specified more than once";
     return false;
   }
   if (encodings == 1) {
@@ -125,16 +126,16 @@
   if (lengths == 1) {
     framing_ = framing::kLength;
     if (!IsNumber(length)) {
-      error_detail_ = "Content-Length isn't a number";
+      error_detail_ = "Content-Length is not a number";
     } else if (head.get_header_value<std::uint64_t>("Content-Length") >
                max_response_bytes) {
-      error_detail_ = "the answer is too long";
+      error_detail_ = "response body exceeds the size limit";
     }
     return error_detail_.empty();
   }
-  // Such a body lasts until the connection ends, and an endpoint that dies
-  // midway ends it just so.
-  error_detail_ = "the length of the answer isn't given";
+  // Without a length, the body extends to the end of the connection. This is
+  // rejected because an endpoint that crashes while sending looks the same.
+  error_detail_ = "response has no Content-Length or Transfer-Encoding";
   return false;
 }
 
@@ -152,7 +153,8 @@
 exchange_result endpoint_connection::BuildResult(
     const httplib::Result& result) {
   if (result && framing_ == framing::kUnknown) {
-    // The library asks nobody about the head of an answer that has no body.
+    // The library does not call the response handler for responses without a
+    // body.
     framing_ = framing::kNoBody;
     CopyHead(*result);
   }
@@ -163,10 +165,10 @@
     current_.detail = error_detail_.empty() ? httplib::to_string(result.error())
                                             : error_detail_;
   } else if (framing_ == framing::kChunked && !ends_in_last_chunk_) {
-    // The library takes a chunk that doesn't end as it should for the last
-    // one, and would pass the part before it as the whole answer.
+    // The library treats a chunk with a malformed end as the last one and would
+    // report a truncated response as complete.
     current_.how = exchange_result::kind::kIndeterminate;
-    current_.detail = "the answer has no last chunk";
+    current_.detail = "chunked response ended without the last chunk";
   } else {
     current_.how = exchange_result::kind::kComplete;
   }
--- a/src/endpoint/endpoint_connection.h
+++ b/src/endpoint/endpoint_connection.h
@@ -14,14 +14,15 @@
 
 namespace plantainhead::endpoint {
 
-/// How one exchange of a request and an answer ended.
+/// Holds the outcome of one HTTP exchange and the response, if any.
 struct exchange_result {
   enum class kind {
-    /// The answer was read to its end.
+    /// The complete response was read.
     kComplete,
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     kNotSent,
-    /// Bytes of the request left, and no whole answer came.
+    /// Bytes of the request were sent, but no complete response was received;
+    /// the endpoint may have executed the request.
     kIndeterminate,
   };
   kind how = kind::kIndeterminate;
@@ -31,12 +32,12 @@
   std::string detail;
 };
 
-/// One connection to an endpoint, for one request after the other.
+/// Sends requests one at a time over a single HTTP connection to an endpoint.
 ///
-/// cpp-httplib writes the request and parses the answer. This class adds what
-/// the library leaves open: a deadline for the whole exchange, whether a byte
-/// left, whether the answer's end was really seen, and whether the connection
-/// may be used again.
+/// cpp-httplib writes the request and parses the response. This class adds what
+/// the library lacks: a deadline for the entire exchange, and information on
+/// whether any byte was sent, whether the end of the response was received and
+/// whether the connection can be reused.
 /// Thread safety: none.
 class endpoint_connection : private httplib::ClientImpl {
  public:
@@ -46,20 +47,20 @@
                       std::uint16_t port,
                       std::chrono::milliseconds connect_timeout);
 
-  /// Sends a request and reads its answer, until `deadline`. Connects first if
-  /// need be. `headers` hold no hop-by-hop ones.
+  /// Sends a request and reads the response, until `deadline`. Connects first
+  /// if necessary. Precondition: `headers` contains no hop-by-hop headers.
   exchange_result Exchange(const core::request_envelope& request,
                            const core::header_list& headers,
                            clock::time_point deadline,
                            std::size_t max_response_bytes);
 
-  /// True when the last exchange ended cleanly and the endpoint has sent
-  /// nothing since, not even the end of the connection. Anything that came
-  /// unasked would be taken for the answer to the next request.
+  /// Returns true if the last exchange ended cleanly and the endpoint has
+  /// neither sent data nor closed the connection since. Unsolicited data would
+  /// be mistaken for the response to the next request.
   bool IsReusable() const;
 
  private:
-  // What the head of an answer says about the length of its body.
+  // How the header section of a response delimits its body.
   enum class framing { kUnknown, kLength, kChunked, kNoBody };
 
   bool process_socket(const Socket& socket,
--- a/src/endpoint/header_escaper.h
+++ b/src/endpoint/header_escaper.h
@@ -5,23 +5,24 @@
 
 namespace plantainhead::endpoint {
 
-/// Finds the percent signs in the header lines of a message, byte by byte.
+/// Finds the percent signs in the header lines of an HTTP message, byte by
+/// byte, so that the caller can escape them.
 ///
-/// cpp-httplib decodes %XX in header values. Who writes an encoded line end
-/// into a value then adds headers of his own making to what is passed on. When
-/// each such percent sign is handed to the library as "%25", what it decodes is
-/// what was sent. The head ends here exactly where it ends for the library: at
-/// a line of a carriage return and a line feed, and at no other.
+/// cpp-httplib decodes %XX in header values, so that a sender could inject
+/// headers into the forwarded message with an encoded line end. If each such
+/// percent sign is passed to the library as "%25", the decoded value equals the
+/// value that was sent. The head ends exactly where it ends for the library: at
+/// a line that consists of a carriage return and a line feed, and at no other.
 /// Thread safety: none.
 class header_escaper {
  public:
-  /// A new message begins.
+  /// Resets the parser for a new message.
   void Restart() { *this = {}; }
 
-  /// True while the head isn't over.
+  /// Returns true until the end of the head has been consumed.
   bool InHead() const { return in_head_; }
 
-  /// Takes the next byte of the head; returns whether it has to be escaped.
+  /// Consumes the next byte of the head and returns whether it must be escaped.
   bool Consume(char byte) {
     const bool escape = byte == '%' && !in_start_line_;
     ParseStatus(byte);
@@ -32,7 +33,7 @@
     }
     const bool blank = only_carriage_return_ && line_size_ == 1;
     if (blank && !in_start_line_) {
-      // An interim answer (1xx) is followed by another head.
+      // An interim response (1xx) is followed by another head.
       in_head_ = interim_;
       in_start_line_ = interim_;
       interim_ = false;
@@ -45,9 +46,9 @@
   }
 
  private:
-  // Where the first digit of the status stands in "HTTP/1.1 100 Continue". A
-  // request is told from an answer by its first two letters: no method that the
-  // library knows starts with "HT".
+  // Offset of the first digit of the status in "HTTP/1.1 100 Continue". The
+  // first two letters distinguish responses from requests: no method that the
+  // library supports starts with "HT".
   static constexpr std::size_t kStatusOffset = 9;
 
   void ParseStatus(char byte) {
@@ -67,7 +68,7 @@
   bool in_start_line_ = true;
   bool is_response_ = false;
   bool interim_ = false;
-  // The line so far is a carriage return alone.
+  // True if the current line consists of a single carriage return so far.
   bool only_carriage_return_ = false;
   std::size_t line_size_ = 0;
 };
--- a/src/endpoint/http_headers.cc
+++ b/src/endpoint/http_headers.cc
@@ -7,7 +7,8 @@
 namespace plantainhead::endpoint {
 namespace {
 
-// `Content-Length` is set anew on each hop; `Expect` was met on this one.
+// Includes `Content-Length`, which is set anew on each hop, and `Expect`, which
+// has already been handled on this hop.
 constexpr std::array<std::string_view, 11> kHopByHopHeaders = {
     "connection",          "keep-alive", "proxy-authenticate",
     "proxy-authorization", "te",         "trailer",
--- a/src/endpoint/http_headers.h
+++ b/src/endpoint/http_headers.h
@@ -6,35 +6,36 @@
 
 #include "plantainhead/core/requests/request.h"
 
-/// What HTTP says of headers, for both sides of an entry. All functions here
-/// are safe from any thread.
+/// Helpers for HTTP headers, used for connections from clients and for
+/// connections to endpoints. All functions are safe from any thread.
 namespace plantainhead::endpoint {
 
-/// The bytes that end a chunked body without trailers.
+/// The terminating bytes of a chunked body without trailers.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// Returns `text` without spaces and tabs at its ends.
+/// Returns `text` without leading and trailing spaces and tabs.
 std::string_view Trim(std::string_view text);
 
-/// Returns the first value of the header called `name` (in lower case), or
-/// null.
+/// Returns the first value of the header `name`, which must be in lower case,
+/// or null if there is none.
 const std::string* FindHeader(const core::header_list& headers,
                               std::string_view name);
 
-/// Returns `text` with ASCII letters in lower case.
+/// Returns `text` with ASCII letters converted to lower case.
 std::string ToLower(std::string_view text);
 
-/// Returns the headers without those that concern one connection only: the
-/// fixed ones and those that `Connection` names.
+/// Returns the headers without the hop-by-hop headers, which are a fixed set
+/// and those listed in `Connection`.
 core::header_list WithoutHopByHop(const core::header_list& headers);
 
-/// True when the name is one that HTTP allows and the value can't end its line.
-/// Others are refused: readers differ in what they take them for, so that one
-/// sees a `Transfer-Encoding` where the next sees none, and the rest of one
-/// caller's body becomes another caller's request.
+/// Returns true if the name is a valid HTTP token and the value contains no
+/// line end or null byte. Other headers must be rejected to prevent request
+/// smuggling: parsers interpret them differently, so that one sees a
+/// `Transfer-Encoding` where the next sees none, and the rest of one client's
+/// body becomes another client's request.
 bool IsWellFormed(std::string_view name, std::string_view value);
 
-/// True when `text` has digits only, and at least one.
+/// Returns true if `text` is not empty and consists of decimal digits.
 bool IsNumber(std::string_view text);
 
 }  // namespace plantainhead::endpoint
--- a/src/endpoint/socket_stream.cc
+++ b/src/endpoint/socket_stream.cc
@@ -11,8 +11,8 @@
 namespace plantainhead::endpoint {
 namespace {
 
-// Reads the IP number and the port out of what getpeername() and
-// getsockname() fill in.
+// Reads the IP address and the port with `getter`, which is getpeername() or
+// getsockname().
 template <typename Getter>
 void ReadAddress(Getter getter, int socket, std::string* ip, int* port) {
   sockaddr_storage address = {};
@@ -33,7 +33,7 @@
   *ip = text.data();
 }
 
-// What follows the percent sign in the escaped form of a percent sign.
+// The characters after the first one in an escaped percent sign, "%25".
 constexpr std::string_view kEscapeSuffix = "25";
 
 }  // namespace
--- a/src/endpoint/socket_stream.h
+++ b/src/endpoint/socket_stream.h
@@ -13,13 +13,14 @@
 
 namespace plantainhead::endpoint {
 
-/// A connected socket as cpp-httplib reads and writes it, with deadlines for
-/// the whole instead of a timeout for each read.
+/// Adapts a connected socket to cpp-httplib's stream interface, with one
+/// deadline for reading a message instead of a timeout for each read.
 ///
-/// cpp-httplib's own stream takes a timeout for each read, so a peer that sends
-/// a byte now and then holds its thread for ever; it also drops what it has
-/// read beyond one message. This one keeps those bytes and shows them.
-/// Thread safety: none. Doesn't own the socket.
+/// With the timeout per read of cpp-httplib's own stream, a peer that sends
+/// single bytes slowly can block a thread indefinitely. That stream also
+/// discards the bytes that it has read beyond the end of a message; this class
+/// keeps them and reports them with `HasBuffered()`.
+/// Thread safety: none. Does not own the socket.
 class socket_stream : public httplib::Stream {
  public:
   using clock = std::chrono::steady_clock;
@@ -32,16 +33,16 @@
     read_deadline_ = deadline;
   }
 
-  /// True when bytes were received that nobody has read yet.
+  /// Returns true if received bytes are buffered that have not been read yet.
   bool HasBuffered() const { return begin_ != end_; }
 
-  /// What is read next is the head of a message.
+  /// Declares that the next byte read starts the head of a message.
   void StartMessage() { head_.Restart(); }
 
-  /// True once a byte of the current message has been handed to the system.
+  /// Returns true once the system has accepted at least one byte for sending.
   bool has_written() const { return written_ > 0; }
 
-  /// The last bytes that were read, at most `kTailSize`.
+  /// Returns the bytes read last, at most `kTailSize`.
   std::string_view tail() const { return tail_; }
 
   static constexpr std::size_t kTailSize = 5;
@@ -52,8 +53,9 @@
   ssize_t write(const char* data, size_t size) override;
   void get_remote_ip_and_port(std::string& ip, int& port) const override;
   void get_local_ip_and_port(std::string& ip, int& port) const override;
-  /// Returns 0: cpp-httplib refuses numbers from FD_SETSIZE on, because of its
-  /// select(); here poll() is used, which has no such limit.
+  /// Returns 0, because cpp-httplib rejects descriptors of FD_SETSIZE and
+  /// above, which its select() cannot handle. This class uses poll(), which has
+  /// no such limit.
   socket_t socket() const override { return 0; }
 
  private:
@@ -73,12 +75,12 @@
   std::size_t written_ = 0;
   std::string tail_;
   header_escaper head_;
-  // What is left of an escaped byte.
+  // The rest of an escape sequence that has not been read yet.
   std::string_view pending_escape_;
 };
 
-/// Waits until `socket` has one of `events` (of poll()) or `deadline` has
-/// passed; returns whether it has.
+/// Waits until one of `events`, as defined for poll(), occurs on `socket` or
+/// `deadline` passes. Returns whether an event occurred.
 /// Thread safety: safe from any thread.
 bool WaitFor(int socket,
              short events,
--- a/tests/endpoint/endpoint_client_test.cc
+++ b/tests/endpoint/endpoint_client_test.cc
@@ -24,7 +24,7 @@
       std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-// A link whose events the test waits for.
+// Runs an `endpoint_client` and queues its events for the test.
 class client_fixture {
  public:
   explicit client_fixture(endpoint_options options = {})
@@ -53,7 +53,7 @@
     return call;
   }
 
-  void Start(core::call_endpoint call) { link_.Call(std::move(call)); }
+  void StartCall(core::call_endpoint call) { link_.Call(std::move(call)); }
 
   core::event AwaitEvent() {
     std::unique_lock<std::mutex> lock(mutex_);
@@ -98,14 +98,14 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 constexpr std::size_t kBodySize = 3;
 
-TEST_CASE("An endpoint's whole answer is handed over") {
+TEST_CASE("A complete response from an endpoint is reported") {
   client_fixture fixture;
   const raw_listener endpoint;
-  fixture.Start(fixture.Request(endpoint.port()));
+  fixture.StartCall(fixture.Request(endpoint.port()));
   const raw_connection peer = endpoint.Accept();
   const std::string request = peer.ReadMessage(kBodySize);
 
-  SECTION("after a request that carries what the endpoint needs") {
+  SECTION("after a request with the required headers and body") {
     CHECK(request.find("POST /appeals?a=b%2F HTTP/1.1\r\n") == 0);
     CHECK(request.find("Idempotency-Key: k-1\r\n") != std::string::npos);
     CHECK(request.find("Plantain-Request-Id: 0000000000000abc-1\r\n") !=
@@ -117,7 +117,7 @@
     fixture.AwaitReply();
   }
 
-  SECTION("by its length, without headers of the connection") {
+  SECTION("delimited by Content-Length, without hop-by-hop headers") {
     peer.Send(
         "HTTP/1.1 201 Created\r\nContent-Length: 5\r\nX-A: 1\r\n"
         "Keep-Alive: timeout=5\r\n\r\nhello");
@@ -128,16 +128,16 @@
     CHECK(reply.headers[0].first == "X-A");
   }
 
-  SECTION("by its last chunk") {
+  SECTION("delimited by the last chunk") {
     peer.Send(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
     CHECK(*fixture.AwaitReply().body == "hello");
   }
 
-  SECTION("with header values that are left as they are") {
-    // cpp-httplib decodes %XX in them, and so would let an endpoint's data
-    // put headers into the answer to a caller.
+  SECTION("with unmodified header values") {
+    // cpp-httplib decodes %XX in header values, which would let an endpoint's
+    // data inject headers into the response to a client.
     peer.Send(
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-A: a%0d%0aB: "
         "%41\r\nLocation: /%41\r\nContent-Length: 3\r\n\r\n%41");
@@ -148,14 +148,14 @@
     CHECK(*reply.body == "%41");
   }
 
-  SECTION("when it has no body") {
+  SECTION("without a body") {
     peer.Send("HTTP/1.1 204 No Content\r\n\r\n");
     CHECK(fixture.AwaitReply().status == 204);
-    fixture.Start(fixture.Request(endpoint.port(), "HEAD"));
+    fixture.StartCall(fixture.Request(endpoint.port(), "HEAD"));
     peer.ReadMessage();
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
     CHECK(fixture.AwaitReply().status == 200);
-    fixture.Start(fixture.Request(endpoint.port(), "GET"));
+    fixture.StartCall(fixture.Request(endpoint.port(), "GET"));
     peer.ReadMessage();
     peer.Send("HTTP/1.1 304 Not Modified\r\nContent-Length: 500\r\n\r\n");
     CHECK(fixture.AwaitReply().status == 304);
@@ -163,58 +163,60 @@
   CHECK(fixture.UnreadEvents() == 0);
 }
 
-TEST_CASE("An answer that isn't whole is never handed over as one") {
-  // The endpoint runs the request and dies, or a proxy garbles the answer,
-  // after a part of it went out. The caller must be told that nobody knows,
-  // since half an appeal that looks whole is worse than none.
+TEST_CASE("An incomplete or malformed response is reported as a failure") {
+  // The endpoint executes the request and crashes, or a proxy corrupts the
+  // response, after a part of it has been sent. The result must be reported as
+  // indeterminate, because a truncated response that looks complete is worse
+  // than none.
   client_fixture fixture;
   const raw_listener endpoint;
-  fixture.Start(fixture.Request(endpoint.port()));
+  fixture.StartCall(fixture.Request(endpoint.port()));
   raw_connection peer = endpoint.Accept();
   peer.ReadMessage(kBodySize);
 
   const std::string chunked =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello";
 
-  SECTION("when the connection ends before Content-Length is met") {
+  SECTION("when the connection closes before Content-Length bytes are read") {
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello");
   }
-  SECTION("when it ends within the head") {
+  SECTION("when the connection closes within the head") {
     peer.Send("HTTP/1.1 200 OK\r\nContent-Le");
   }
-  SECTION("when it ends without a byte") {}
-  SECTION("when it ends before the last chunk") {
+  SECTION("when the connection closes before the first byte") {}
+  SECTION("when the connection closes before the last chunk") {
     peer.Send(chunked + "\r\n");
   }
-  SECTION("when a chunk doesn't end where its size says") {
+  SECTION("when a chunk is longer than its size") {
     peer.Send(chunked + "XX\r\n0\r\n\r\n");
   }
-  SECTION("when trailers follow the last chunk, which the library can't read") {
+  SECTION(
+      "when trailers, which the library cannot read, follow the last chunk") {
     peer.Send(chunked + "\r\n0\r\nX-Sum: 1\r\n\r\n");
   }
-  SECTION("when the last chunk isn't ended") {
+  SECTION("when the last chunk is not terminated") {
     peer.Send(chunked + "\r\n0\r\n");
   }
-  SECTION("when only the end of the connection would end it") {
+  SECTION("when only the end of the connection delimits the body") {
     peer.Send("HTTP/1.1 200 OK\r\n\r\nhello");
   }
-  SECTION("when its length is given twice") {
+  SECTION("when Content-Length is given twice") {
     peer.Send(
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 3\r\n\r\n"
         "hello");
   }
-  SECTION("when its length isn't a number") {
+  SECTION("when Content-Length is not a number") {
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: five\r\n\r\nhello");
   }
-  SECTION("when a header's name is none") {
+  SECTION("when a header name is malformed") {
     peer.Send(
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length : 3\r\n\r\n"
         "hello");
   }
-  SECTION("when it isn't a final answer") {
+  SECTION("when the response is not final") {
     peer.Send("HTTP/1.1 102 Processing\r\nContent-Length: 5\r\n\r\nhello");
   }
-  SECTION("when the connection is reset midway") {
+  SECTION("when the connection is reset within the body") {
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello");
     peer.ResetOnClose();
   }
@@ -224,17 +226,17 @@
   CHECK(fixture.UnreadEvents() == 0);
 }
 
-TEST_CASE("A request is sent once, whatever becomes of its connection") {
-  // A kept connection ends just as the next request goes out on it. A client
-  // that sends the request again by itself makes an appeal be logged twice.
+TEST_CASE("A request is never resent when its connection fails") {
+  // A reused connection closes just as the next request is sent on it. A client
+  // library that resends the request on its own would have it executed twice.
   client_fixture fixture;
   raw_listener endpoint;
-  fixture.Start(fixture.Request(endpoint.port()));
+  fixture.StartCall(fixture.Request(endpoint.port()));
   raw_connection peer = endpoint.Accept();
   peer.ReadMessage(kBodySize);
   peer.Send(kHello);
   fixture.AwaitReply();
-  fixture.Start(fixture.Request(endpoint.port()));
+  fixture.StartCall(fixture.Request(endpoint.port()));
 
   SECTION("when the endpoint reads it and closes") {
     REQUIRE(peer.ReadMessage(kBodySize).find("POST") == 0);
@@ -246,83 +248,83 @@
     peer.Close();
   }
   CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
-  // Had it been sent again, it would wait in the listener's queue now.
-  fixture.Start(fixture.Request(endpoint.port(), "GET"));
+  // A resent request would be pending in the listener's queue by now.
+  fixture.StartCall(fixture.Request(endpoint.port(), "GET"));
   const raw_connection next = endpoint.Accept();
   CHECK(next.ReadMessage().find("GET ") == 0);
   next.Send(kHello);
   fixture.AwaitReply();
 }
 
-TEST_CASE("A kept connection is used again only when it is clean") {
+TEST_CASE("A connection is reused only after a clean exchange") {
   client_fixture fixture;
   const raw_listener endpoint;
-  fixture.Start(fixture.Request(endpoint.port()));
+  fixture.StartCall(fixture.Request(endpoint.port()));
   raw_connection first = endpoint.Accept();
   first.ReadMessage(kBodySize);
 
-  SECTION("it is, after a whole answer") {
+  SECTION("reused after a complete response") {
     first.Send(kHello);
     fixture.AwaitReply();
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     CHECK(first.ReadMessage(kBodySize).find("POST") == 0);
     first.Send(kHello);
     fixture.AwaitReply();
   }
 
-  SECTION("not when bytes followed the answer") {
-    // The endpoint sends a second answer that nobody asked for. On a kept
-    // connection the next caller would get it as its own.
+  SECTION("not reused when bytes follow the response") {
+    // The endpoint sends a second, unsolicited response. On a reused connection
+    // it would be delivered as the response to the next request.
     first.Send(std::string(kHello) +
                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
     CHECK(*fixture.AwaitReply().body == "hello");
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
     CHECK(*fixture.AwaitReply().body == "hello");
   }
 
-  SECTION("not when bytes came while nobody waited for any") {
+  SECTION("not reused when bytes arrive while the connection is idle") {
     first.Send(kHello);
     fixture.AwaitReply();
     first.Send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
     CHECK(*fixture.AwaitReply().body == "hello");
   }
 
-  SECTION("not when the endpoint closed it meanwhile") {
+  SECTION("not reused when the endpoint closed it while idle") {
     first.Send(kHello);
     fixture.AwaitReply();
     first.Close();
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
     CHECK(*fixture.AwaitReply().body == "hello");
   }
 
-  SECTION("not when the deadline passed before the answer") {
+  SECTION("not reused when the deadline passed before the response") {
     core::call_endpoint hurried = fixture.Request(endpoint.port());
     first.Send(kHello);
     fixture.AwaitReply();
     hurried.envelope.deadline = Now() + 30ms;
-    fixture.Start(std::move(hurried));
+    fixture.StartCall(std::move(hurried));
     REQUIRE(first.ReadMessage(kBodySize).find("POST") == 0);
     CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kMaybeSent);
-    // The late answer meets a closed connection.
+    // A late response would find the connection closed.
     CHECK(first.ReadAll().empty());
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection second = endpoint.Accept();
     second.ReadMessage(kBodySize);
     second.Send(kHello);
     CHECK(*fixture.AwaitReply().body == "hello");
   }
 
-  SECTION("not when the endpoint asked to close it") {
+  SECTION("not reused when the endpoint requested to close it") {
     first.Send(
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: "
         "close\r\n\r\nhello");
@@ -331,14 +333,15 @@
   }
 }
 
-TEST_CASE("A deadline holds against an endpoint that answers byte by byte") {
-  // Each byte comes in time for a timeout of one read, and the whole never
-  // ends. The caller would wait without limit and the slot stay taken.
+TEST_CASE("The deadline applies to a response that arrives byte by byte") {
+  // Each byte arrives within a timeout per read, but the response never ends.
+  // Without a deadline for the entire exchange, the client would wait
+  // indefinitely and its slot would stay occupied.
   client_fixture fixture;
   const raw_listener endpoint;
   core::call_endpoint call = fixture.Request(endpoint.port());
   call.envelope.deadline = Now() + 50ms;
-  fixture.Start(std::move(call));
+  fixture.StartCall(std::move(call));
   const raw_connection peer = endpoint.Accept();
   std::atomic<bool> ended = false;
   std::thread trickle([&] {
@@ -353,32 +356,32 @@
   trickle.join();
 }
 
-TEST_CASE("What surely wasn't run is told as such") {
+TEST_CASE("A request that was certainly not executed is reported as such") {
   client_fixture fixture;
   raw_listener endpoint;
 
   SECTION("when the endpoint refuses the connection") {
     const std::uint16_t port = endpoint.port();
     endpoint.Close();
-    fixture.Start(fixture.Request(port));
+    fixture.StartCall(fixture.Request(port));
     CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
-  SECTION("when the deadline has passed already") {
+  SECTION("when the deadline has already passed") {
     core::call_endpoint late = fixture.Request(endpoint.port());
     late.envelope.deadline = Now() - 1ms;
-    fixture.Start(std::move(late));
+    fixture.StartCall(std::move(late));
     CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
-  SECTION("when the link has been stopped") {
+  SECTION("when the client has been stopped") {
     fixture.link().Stop();
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
   }
 
-  SECTION("when the endpoint says so, and whether it is leaving") {
-    fixture.Start(fixture.Request(endpoint.port()));
+  SECTION("when the endpoint reports it, including whether it is draining") {
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send(
@@ -389,8 +392,8 @@
     CHECK(failed.leaving);
   }
 
-  SECTION("but a 503 alone is the endpoint's answer") {
-    fixture.Start(fixture.Request(endpoint.port()));
+  SECTION("but a 503 without the header is a response") {
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -402,23 +405,23 @@
   endpoint_options options;
   const raw_listener endpoint;
 
-  SECTION("a call beyond an endpoint's connections isn't sent") {
+  SECTION("a call beyond the connection limit of an endpoint fails") {
     options.max_connections = 1;
     client_fixture fixture(options);
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     CHECK(fixture.AwaitFailure().failure == core::endpoint_failure::kNotSent);
     peer.Send(kHello);
     fixture.AwaitReply();
   }
 
-  SECTION("a call beyond the threads waits for one") {
+  SECTION("a call beyond the thread limit waits for a thread") {
     options.max_threads = 1;
     client_fixture fixture(options);
-    fixture.Start(fixture.Request(endpoint.port()));
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     for (int i = 0; i < 2; ++i) {
       peer.ReadMessage(kBodySize);
@@ -427,10 +430,10 @@
     }
   }
 
-  SECTION("an answer beyond the limit isn't kept in memory") {
+  SECTION("a response beyond the size limit fails") {
     options.max_response_bytes = 4;
     client_fixture fixture(options);
-    fixture.Start(fixture.Request(endpoint.port()));
+    fixture.StartCall(fixture.Request(endpoint.port()));
     const raw_connection peer = endpoint.Accept();
     peer.ReadMessage(kBodySize);
     peer.Send(kHello);
--- a/tests/endpoint/fake_runner_test.cc
+++ b/tests/endpoint/fake_runner_test.cc
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("The stand-in for a runner") {
+TEST_CASE("The fake runner") {
   runner_options options;
   options.slots = 1;
   options.threads = 4;
@@ -43,7 +43,7 @@
     CHECK(fake.Counters()["peak"] == 1);
   }
 
-  SECTION("refuses what goes beyond its slots, and counts that") {
+  SECTION("rejects and counts requests beyond its slots") {
     auto pending = start_hanging();
     const auto refused = client.Get("/work");
     REQUIRE(refused);
@@ -52,20 +52,20 @@
     CHECK_FALSE(refused->has_header("Plantain-Leaving"));
     CHECK(fake.Counters()["overshoot"] == 1);
 
-    SECTION("and a reboot cuts what is in progress") {
+    SECTION("and a reboot aborts requests in progress") {
       REQUIRE(client.Post("/control/reboot"));
       CHECK_FALSE(pending.get());
       CHECK(fake.Counters()["cut"] == 1);
       CHECK(fake.Counters()["reboots"] == 1);
     }
-    SECTION("and a drain tells how many are in progress") {
+    SECTION("and a drain reports the number of requests in progress") {
       const auto drained = client.Post("/control/drain");
       CHECK(nlohmann::json::parse(drained->body)["in_flight"] == 1);
       CHECK(client.Post("/control/reboot"));
     }
   }
 
-  SECTION("takes nothing while it drains, and does again afterwards") {
+  SECTION("rejects requests while draining and accepts them afterwards") {
     REQUIRE(client.Post("/control/drain"));
     const auto refused = client.Get("/work");
     CHECK(refused->status == 503);
