--- a/fuzz/frame_fuzz.cc
+++ b/fuzz/frame_fuzz.cc
@@ -39,6 +39,6 @@
   plantainhead::entry::ReadAndWriteBack(bytes);
   // Random bytes hardly ever have a matching checksum.
   plantainhead::entry::ReadAndWriteBack(
-      plantainhead::entry::SealPayload(bytes));
+      plantainhead::entry::PrependHeader(bytes));
   return 0;
 }
--- a/include/plantainhead/entry/frame_codec.h
+++ b/include/plantainhead/entry/frame_codec.h
@@ -28,7 +28,7 @@
 
 /// Times left until a deadline travel within plus or minus this much; longer
 /// ones are cut to it.
-inline constexpr core::duration kLongestTimeLeft = std::chrono::hours(24 * 30);
+inline constexpr core::duration kMaxTimeLeft = std::chrono::hours(24 * 30);
 
 /// What is wrong with the bytes of a frame.
 enum class frame_fault {
@@ -115,7 +115,7 @@
 /// For `EncodeFrame`, and for tests that must get beyond the checksum.
 /// Precondition: `payload` is shorter than 4 GiB.
 /// Thread safety: safe from any thread.
-std::string SealPayload(std::string_view payload);
+std::string PrependHeader(std::string_view payload);
 
 }  // namespace plantainhead::entry
 
--- a/src/entry/frame_codec.cc
+++ b/src/entry/frame_codec.cc
@@ -15,11 +15,11 @@
 
 constexpr unsigned char kMagic = 0xA7;
 constexpr unsigned char kGreetingMagic = 0xC3;
-constexpr std::size_t kGreetedAt = 4;
+constexpr std::size_t kIncarnationOffset = 4;
 constexpr unsigned char kVersion = 1;
-constexpr std::size_t kMagicAt = 4;
-constexpr std::size_t kVersionAt = 5;
-constexpr std::size_t kChecksumAt = 8;
+constexpr std::size_t kMagicOffset = 4;
+constexpr std::size_t kVersionOffset = 5;
+constexpr std::size_t kChecksumOffset = 8;
 // FlatBuffers reads scalars in place; the widest has 8 bytes.
 constexpr std::size_t kAlignment = 8;
 
@@ -58,8 +58,9 @@
   bytes[1] = static_cast<char>(kGreetingMagic);
   bytes[2] = static_cast<char>(kVersion);
   const auto number = static_cast<std::uint64_t>(to);
-  PutUint32(static_cast<std::uint32_t>(number), &bytes[kGreetedAt]);
-  PutUint32(static_cast<std::uint32_t>(number >> 32), &bytes[kGreetedAt + 4]);
+  PutUint32(static_cast<std::uint32_t>(number), &bytes[kIncarnationOffset]);
+  PutUint32(static_cast<std::uint32_t>(number >> 32),
+            &bytes[kIncarnationOffset + 4]);
   return bytes;
 }
 
@@ -74,17 +75,17 @@
   if (static_cast<unsigned char>(bytes[2]) != kVersion || bytes[3] != 0) {
     throw frame_error(frame_fault::kUnknownVersion);
   }
-  const std::uint64_t low = GetUint32(&bytes[kGreetedAt]);
-  const std::uint64_t high = GetUint32(&bytes[kGreetedAt + 4]);
+  const std::uint64_t low = GetUint32(&bytes[kIncarnationOffset]);
+  const std::uint64_t high = GetUint32(&bytes[kIncarnationOffset + 4]);
   return core::incarnation{low | (high << 32)};
 }
 
-std::string SealPayload(std::string_view payload) {
+std::string PrependHeader(std::string_view payload) {
   std::string bytes(kFrameHeaderSize, '\0');
   PutUint32(static_cast<std::uint32_t>(payload.size()), bytes.data());
-  bytes[kMagicAt] = static_cast<char>(kMagic);
-  bytes[kVersionAt] = static_cast<char>(kVersion);
-  PutUint32(Checksum(payload), bytes.data() + kChecksumAt);
+  bytes[kMagicOffset] = static_cast<char>(kMagic);
+  bytes[kVersionOffset] = static_cast<char>(kVersion);
+  PutUint32(Checksum(payload), bytes.data() + kChecksumOffset);
   bytes.append(payload);
   return bytes;
 }
@@ -97,25 +98,26 @@
   if (builder.GetSize() > limit) {
     throw frame_error(frame_fault::kTooLong);
   }
-  return SealPayload({reinterpret_cast<const char*>(builder.GetBufferPointer()),
-                      builder.GetSize()});
+  return PrependHeader(
+      {reinterpret_cast<const char*>(builder.GetBufferPointer()),
+       builder.GetSize()});
 }
 
 frame_header DecodeHeader(std::string_view bytes, std::size_t limit) {
   if (bytes.size() < kFrameHeaderSize) {
     throw frame_error(frame_fault::kTruncated);
   }
-  if (static_cast<unsigned char>(bytes[kMagicAt]) != kMagic) {
+  if (static_cast<unsigned char>(bytes[kMagicOffset]) != kMagic) {
     throw frame_error(frame_fault::kBadMagic);
   }
   const bool reserved_are_zero =
-      bytes[kVersionAt + 1] == 0 && bytes[kVersionAt + 2] == 0;
-  if (static_cast<unsigned char>(bytes[kVersionAt]) != kVersion ||
+      bytes[kVersionOffset + 1] == 0 && bytes[kVersionOffset + 2] == 0;
+  if (static_cast<unsigned char>(bytes[kVersionOffset]) != kVersion ||
       !reserved_are_zero) {
     throw frame_error(frame_fault::kUnknownVersion);
   }
   const frame_header header{GetUint32(bytes.data()),
-                            GetUint32(bytes.data() + kChecksumAt)};
+                            GetUint32(bytes.data() + kChecksumOffset)};
   if (header.payload_size == 0) {
     throw frame_error(frame_fault::kMalformed);
   }
--- a/src/entry/frame_reader.cc
+++ b/src/entry/frame_reader.cc
@@ -17,7 +17,7 @@
 template <typename Item>
 using items_of = flatbuffers::Vector<flatbuffers::Offset<Item>>;
 
-[[noreturn]] void Refuse() {
+[[noreturn]] void ThrowMalformed() {
   throw frame_error(frame_fault::kMalformed);
 }
 
@@ -44,8 +44,8 @@
 core::duration ReadDuration(std::int64_t microseconds) {
   // A wild number would overflow when it is added to a time.
   const core::duration value{microseconds};
-  if (value < -kLongestTimeLeft || value > kLongestTimeLeft) {
-    Refuse();
+  if (value < -kMaxTimeLeft || value > kMaxTimeLeft) {
+    ThrowMalformed();
   }
   return value;
 }
@@ -176,7 +176,7 @@
   result.body = ReadBody(answer.body());
   const auto outcome = FindEnumerator(core::kOutcomeNames, answer.result());
   if (!outcome) {
-    Refuse();
+    ThrowMalformed();
   }
   result.result = *outcome;
   // A newer entry may know more reasons; the outcome is what callers act on.
@@ -196,7 +196,7 @@
     case core::forward_stage::kDispatch:
       return stage;
   }
-  Refuse();
+  ThrowMalformed();
 }
 
 core::heartbeat ReadHeartbeat(const wire::Heartbeat& item) {
@@ -236,7 +236,7 @@
     case wire::Message::Heartbeat:
       return ReadHeartbeat(*frame.message_as_Heartbeat());
     case wire::Message::NONE:
-      Refuse();
+      ThrowMalformed();
   }
   throw frame_error(frame_fault::kUnknownMessage);
 }
@@ -247,7 +247,7 @@
   flatbuffers::Verifier verifier(
       reinterpret_cast<const std::uint8_t*>(payload.data()), payload.size());
   if (!wire::VerifyFrameBuffer(verifier)) {
-    Refuse();
+    ThrowMalformed();
   }
   const wire::Frame& frame = *wire::GetFrame(payload.data());
   return {core::incarnation{frame.from()}, frame.view(),
--- a/src/entry/frame_writer.cc
+++ b/src/entry/frame_writer.cc
@@ -29,7 +29,7 @@
 }
 
 core::duration Clamp(core::duration left) {
-  return std::clamp(left, -kLongestTimeLeft, kLongestTimeLeft);
+  return std::clamp(left, -kMaxTimeLeft, kMaxTimeLeft);
 }
 
 core::duration TimeLeft(core::time_point deadline, core::time_point now) {
--- a/src/entry/peer_broker.cc
+++ b/src/entry/peer_broker.cc
@@ -25,10 +25,10 @@
 caf::behavior peer_broker::make_behavior() {
   return {
       [this](listen_atom) { return Listen(); },
-      [this](const outgoing_frame& frame) { Queue(frame); },
-      [this](const backoff_over& item) { peers_.erase(item.peer); },
+      [this](const outgoing_frame& frame) { SendFrame(frame); },
+      [this](const backoff_expired& item) { peers_.erase(item.peer); },
       [this](const caf::io::new_connection_msg& item) { Accept(item.handle); },
-      [this](const caf::io::new_data_msg& item) { Read(item); },
+      [this](const caf::io::new_data_msg& item) { OnData(item); },
       [this](const caf::io::data_transferred_msg& item) {
         const auto found = outgoing_.find(item.handle);
         if (found != outgoing_.end()) {
@@ -36,38 +36,38 @@
         }
       },
       [this](const caf::io::connection_closed_msg& item) {
-        Forget(item.handle);
+        OnConnectionClosed(item.handle);
       },
   };
 }
 
 caf::result<std::uint16_t> peer_broker::Listen() {
   const peer_link_options& options = shared_->options;
-  auto door = add_tcp_doorman(options.port, options.host.c_str(), true);
-  if (!door) {
-    return std::move(door.error());
+  auto doorman = add_tcp_doorman(options.port, options.host.c_str(), true);
+  if (!doorman) {
+    return std::move(doorman.error());
   }
-  return door->second;
+  return doorman->second;
 }
 
-void peer_broker::Queue(const outgoing_frame& frame) {
+void peer_broker::SendFrame(const outgoing_frame& frame) {
   const auto [found, is_new] = peers_.try_emplace(frame.to);
   outgoing_connection& peer = found->second;
   if (is_new && !Connect(frame, peer)) {
-    Drop(frame.to);
-    Lose(frame.to);
+    CountDroppedFrame(frame.to);
+    OnPeerDisconnected(frame.to);
     return;
   }
   if (!peer.handle) {
-    Drop(frame.to);
+    CountDroppedFrame(frame.to);
     return;
   }
   if (peer.unsent + frame.bytes.size() > shared_->options.queue_limit) {
     // A peer that doesn't read would let the queue grow until this entry runs
     // out of memory. Its frames are useless by then, so the whole queue goes.
-    Drop(frame.to);
+    CountDroppedFrame(frame.to);
     Abort(SocketOf(*peer.handle));
-    Lose(frame.to);
+    OnPeerDisconnected(frame.to);
     return;
   }
   peer.unsent += frame.bytes.size();
@@ -96,14 +96,14 @@
 
 void peer_broker::Accept(connection_handle handle) {
   if (incoming_.size() >= shared_->options.inbound_limit) {
-    Refuse(handle);
+    RejectConnection(handle);
     return;
   }
   incoming_.emplace(handle, incoming_connection{});
   configure_read(handle, receive_policy::exactly(kFrameHeaderSize));
 }
 
-void peer_broker::Read(const caf::io::new_data_msg& data) {
+void peer_broker::OnData(const caf::io::new_data_msg& data) {
   const auto found = incoming_.find(data.handle);
   if (found == incoming_.end()) {
     return;
@@ -111,7 +111,7 @@
   shared_->counters.bytes_received += data.buf.size();
   incoming_connection& incoming = found->second;
   try {
-    if (incoming.greeted) {
+    if (incoming.greeting_received) {
       ReadFrame(data, incoming);
     } else {
       ReadGreeting(data, incoming);
@@ -119,7 +119,7 @@
   } catch (const frame_error&) {
     // The stream is out of step: what follows can't be told apart from frames.
     ++shared_->counters.malformed;
-    Refuse(data.handle);
+    RejectConnection(data.handle);
   }
 }
 
@@ -128,7 +128,7 @@
   const core::incarnation to =
       DecodeGreeting({data.buf.data(), data.buf.size()});
   const core::incarnation self = shared_->options.self;
-  incoming.greeted = true;
+  incoming.greeting_received = true;
   if (self == core::incarnation::kNone || to == self) {
     return;
   }
@@ -136,10 +136,10 @@
   // not read of its end yet would hand it requests for endpoints that it
   // doesn't own; the closed connection tells them to take another way.
   ++shared_->counters.misdirected;
-  Refuse(data.handle);
+  RejectConnection(data.handle);
 }
 
-void peer_broker::Refuse(connection_handle handle) {
+void peer_broker::RejectConnection(connection_handle handle) {
   incoming_.erase(handle);
   // CAF's graceful close ends one direction and waits for the other side to
   // end the other; a stranger that keeps its socket open would hold a
@@ -173,16 +173,16 @@
   }
 }
 
-void peer_broker::Forget(connection_handle handle) {
+void peer_broker::OnConnectionClosed(connection_handle handle) {
   incoming_.erase(handle);
   const auto found = outgoing_.find(handle);
   if (found != outgoing_.end()) {
     const core::incarnation peer = found->second;
-    Lose(peer);
+    OnPeerDisconnected(peer);
   }
 }
 
-void peer_broker::Lose(core::incarnation peer) {
+void peer_broker::OnPeerDisconnected(core::incarnation peer) {
   outgoing_connection& lost = peers_[peer];
   if (lost.handle) {
     outgoing_.erase(*lost.handle);
@@ -190,10 +190,10 @@
   lost = outgoing_connection{};
   ++shared_->counters.disconnects;
   shared_->post(core::peer_disconnected{peer});
-  delayed_send(this, shared_->options.reconnect_backoff, backoff_over{peer});
+  delayed_send(this, shared_->options.reconnect_backoff, backoff_expired{peer});
 }
 
-void peer_broker::Drop(core::incarnation peer) {
+void peer_broker::CountDroppedFrame(core::incarnation peer) {
   ++shared_->counters.dropped;
   shared_->post(core::peer_disconnected{peer});
 }
--- a/src/entry/peer_broker.h
+++ b/src/entry/peer_broker.h
@@ -47,7 +47,7 @@
 using listen_atom = caf::atom_constant<caf::atom("listen")>;
 
 /// Message of the broker to itself: a peer's pause is over.
-struct backoff_over {
+struct backoff_expired {
   core::incarnation peer = core::incarnation::kNone;
 };
 
@@ -68,24 +68,24 @@
   };
 
   struct incoming_connection {
-    bool greeted = false;
+    bool greeting_received = false;
     // Set while the payload is awaited.
     std::optional<frame_header> header;
   };
 
   caf::result<std::uint16_t> Listen();
-  void Queue(const outgoing_frame& frame);
+  void SendFrame(const outgoing_frame& frame);
   bool Connect(const outgoing_frame& frame, outgoing_connection& peer);
   void Accept(caf::io::connection_handle handle);
-  void Read(const caf::io::new_data_msg& data);
+  void OnData(const caf::io::new_data_msg& data);
   void ReadGreeting(const caf::io::new_data_msg& data,
                     incoming_connection& incoming);
   void ReadFrame(const caf::io::new_data_msg& data,
                  incoming_connection& incoming);
-  void Refuse(caf::io::connection_handle handle);
-  void Forget(caf::io::connection_handle handle);
-  void Lose(core::incarnation peer);
-  void Drop(core::incarnation peer);
+  void RejectConnection(caf::io::connection_handle handle);
+  void OnConnectionClosed(caf::io::connection_handle handle);
+  void OnPeerDisconnected(core::incarnation peer);
+  void CountDroppedFrame(core::incarnation peer);
 
   std::shared_ptr<peer_link_shared> shared_;
   std::map<core::incarnation, outgoing_connection> peers_;
@@ -97,6 +97,6 @@
 
 // These stay within the process.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::entry::outgoing_frame)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::entry::backoff_over)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::entry::backoff_expired)
 
 #endif  // PLANTAINHEAD_ENTRY_PEER_BROKER_H_
--- a/src/entry/peer_link.cc
+++ b/src/entry/peer_link.cc
@@ -10,7 +10,7 @@
 
 // CAF starts a worker for each processor. The decisions need one thread; more
 // workers only cost the memory of their stacks and steal from each other.
-constexpr std::size_t kMostWorkers = 4;
+constexpr std::size_t kMaxWorkers = 4;
 
 }  // namespace
 
@@ -43,10 +43,10 @@
   if (!state_->system.has_middleman()) {
     throw std::logic_error("the actor system lacks caf::io::middleman");
   }
-  if (state_->system.scheduler().num_workers() > kMostWorkers) {
+  if (state_->system.scheduler().num_workers() > kMaxWorkers) {
     throw std::logic_error(
         "scheduler.max-threads is too great for a small VM: at most " +
-        std::to_string(kMostWorkers));
+        std::to_string(kMaxWorkers));
   }
   // Brokers run in the I/O thread; the function-based spawn of the middleman
   // would force the state into lambdas.
--- a/src/entry/peer_socket.cc
+++ b/src/entry/peer_socket.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Resends of the first packet; the kernel's default takes two minutes.
-constexpr int kHandshakeResends = 2;
+constexpr int kMaxSynRetries = 2;
 
 struct socket_address {
   sockaddr_storage storage{};
@@ -61,8 +61,8 @@
           .count());
   ::setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds,
                sizeof(milliseconds));
-  ::setsockopt(handle, IPPROTO_TCP, TCP_SYNCNT, &kHandshakeResends,
-               sizeof(kHandshakeResends));
+  ::setsockopt(handle, IPPROTO_TCP, TCP_SYNCNT, &kMaxSynRetries,
+               sizeof(kMaxSynRetries));
   const int result =
       ::connect(handle, reinterpret_cast<const sockaddr*>(&address->storage),
                 address->size);
--- a/tests/entry/frame_codec_test.cc
+++ b/tests/entry/frame_codec_test.cc
@@ -94,7 +94,7 @@
       const auto back = std::get<core::forward_request>(
           DecodeFrame(EncodeFrame(frame, kSampleNow), kSampleNow).message);
       const core::duration left = back.request.deadline - kSampleNow;
-      CHECK(std::chrono::abs(left) == kLongestTimeLeft);
+      CHECK(std::chrono::abs(left) == kMaxTimeLeft);
     }
   }
 }
@@ -113,8 +113,8 @@
 }
 
 TEST_CASE("Random frames survive the wire") {
-  const auto survives = [](std::string text, std::uint64_t number,
-                           bool has_body) {
+  const auto round_trips = [](std::string text, std::uint64_t number,
+                              bool has_body) {
     core::peer_frame frame = SampleRequest();
     auto& item = std::get<core::forward_request>(frame.message);
     item.id.sequence = number;
@@ -136,7 +136,7 @@
       RC_ASSERT(*back.request.body == text);
     }
   };
-  CHECK(rc::check("any bytes in any text, any number", survives));
+  CHECK(rc::check("any bytes in any text, any number", round_trips));
 }
 
 // A caller must never get an answer that a bad cable or a wrong program made
@@ -171,12 +171,12 @@
           EncodeFrame(frame, kSampleNow).substr(kFrameHeaderSize);
       for (std::size_t bit = 0; bit < payload.size() * 8; ++bit) {
         payload[bit / 8] ^= static_cast<char>(1 << (bit % 8));
-        FaultOf(SealPayload(payload));
+        FaultOf(PrependHeader(payload));
         payload[bit / 8] ^= static_cast<char>(1 << (bit % 8));
       }
     }
     CHECK(rc::check("random payloads", [](const std::string& payload) {
-      RC_ASSERT(FaultOf(SealPayload(payload)).has_value());
+      RC_ASSERT(FaultOf(PrependHeader(payload)).has_value());
     }));
   }
 
@@ -191,7 +191,7 @@
   }
 
   SECTION("when it is of a kind that only newer entries know") {
-    CHECK(FaultOf(FrameOfNewerKind()) == frame_fault::kUnknownMessage);
+    CHECK(FaultOf(FrameOfUnknownKind()) == frame_fault::kUnknownMessage);
   }
 
   SECTION("when it has another version") {
--- a/tests/entry/frame_fuzz_test.cc
+++ b/tests/entry/frame_fuzz_test.cc
@@ -14,18 +14,18 @@
 namespace plantainhead::entry {
 namespace {
 
-void Feed(const std::string& bytes) {
+void RunFuzzTarget(const std::string& bytes) {
   const auto* data = reinterpret_cast<const std::uint8_t*>(bytes.data());
   CHECK(LLVMFuzzerTestOneInput(data, bytes.size()) == 0);
 }
 
 TEST_CASE("The fuzz target takes its seeds") {
-  Feed("");
+  RunFuzzTarget("");
   for (const core::peer_frame& frame : SampleFrames()) {
     const std::string bytes = EncodeFrame(frame, kSampleNow);
-    Feed(bytes);
+    RunFuzzTarget(bytes);
     const std::string payload = bytes.substr(kFrameHeaderSize);
-    Feed(payload);
+    RunFuzzTarget(payload);
 
     // A few bytes of a payload replaced, with a checksum that matches: this
     // gets past the header to the verifier and the reader.
@@ -37,7 +37,7 @@
       for (int change = 0; change < 3; ++change) {
         damaged[random() % damaged.size()] = static_cast<char>(random());
       }
-      Feed(damaged);
+      RunFuzzTarget(damaged);
     }
   }
 }
--- a/tests/entry/frame_samples.h
+++ b/tests/entry/frame_samples.h
@@ -75,14 +75,15 @@
 }
 
 // The bytes of a valid frame of a kind that only a newer entry knows.
-inline std::string FrameOfNewerKind() {
+inline std::string FrameOfUnknownKind() {
   flatbuffers::FlatBufferBuilder builder;
   const wire::RequestId id(7, 8);
   const auto message = wire::CreateCancelForward(builder, &id).Union();
   const auto kind = static_cast<wire::Message>(200);
   builder.Finish(wire::CreateFrame(builder, 7, 99, kind, message));
-  return SealPayload({reinterpret_cast<const char*>(builder.GetBufferPointer()),
-                      builder.GetSize()});
+  return PrependHeader(
+      {reinterpret_cast<const char*>(builder.GetBufferPointer()),
+       builder.GetSize()});
 }
 
 inline std::vector<core::peer_frame> SampleFrames() {
--- a/tests/entry/peer_link_test.cc
+++ b/tests/entry/peer_link_test.cc
@@ -19,10 +19,10 @@
 namespace plantainhead::entry {
 namespace {
 
-constexpr std::chrono::seconds kPatience(20);
+constexpr std::chrono::seconds kTimeout(20);
 
 // Events that a link posted, in order.
-class inbox {
+class event_queue {
  public:
   void Post(core::event item) {
     std::lock_guard lock(mutex_);
@@ -35,7 +35,7 @@
   Event Await() {
     std::unique_lock lock(mutex_);
     while (true) {
-      REQUIRE(changed_.wait_for(lock, kPatience,
+      REQUIRE(changed_.wait_for(lock, kTimeout,
                                 [this] { return !events_.empty(); }));
       const core::event item = std::move(events_.front());
       events_.pop_front();
@@ -62,8 +62,8 @@
   std::optional<caf::actor_system> system;
 };
 
-struct linked_entry {
-  explicit linked_entry(test_system& with, peer_link_options options = {})
+struct test_entry {
+  explicit test_entry(test_system& with, peer_link_options options = {})
       : link(
             *with.system,
             std::move(options),
@@ -71,7 +71,7 @@
             [this](core::event item) { events.Post(std::move(item)); }),
         port(link.Start()) {}
 
-  inbox events;
+  event_queue events;
   peer_link link;
   std::uint16_t port;
 };
@@ -118,9 +118,9 @@
     REQUIRE(::recv(handle_, &byte, 1, 0) <= 0);
     ::send(handle_, &byte, 1, MSG_NOSIGNAL);
     pollfd waiting{handle_, 0, 0};
-    const auto patience =
-        std::chrono::duration_cast<std::chrono::milliseconds>(kPatience);
-    REQUIRE(::poll(&waiting, 1, static_cast<int>(patience.count())) == 1);
+    const auto timeout =
+        std::chrono::duration_cast<std::chrono::milliseconds>(kTimeout);
+    REQUIRE(::poll(&waiting, 1, static_cast<int>(timeout.count())) == 1);
     REQUIRE((waiting.revents & POLLHUP) != 0);
   }
 
@@ -154,8 +154,8 @@
 
 TEST_CASE("Two entries exchange frames") {
   test_system system;
-  linked_entry a(system);
-  linked_entry b(system);
+  test_entry a(system);
+  test_entry b(system);
 
   SECTION("both ways, of every kind") {
     for (const core::peer_frame& frame : SampleFrames()) {
@@ -186,42 +186,44 @@
 // nothing.
 TEST_CASE("Bytes that aren't a frame close their connection only") {
   test_system system;
-  linked_entry a(system);
-  linked_entry b(system);
+  test_entry a(system);
+  test_entry b(system);
   a.link.Send(To(2, b.port, NumberedCancel(1)));
   b.events.Await<core::frame_received>();
 
   SECTION("when it doesn't begin with a greeting") {
-    raw_socket stranger(b.port);
-    stranger.Write("GET / HTTP/1.1\r\n\r\n");
-    stranger.AwaitEnd();
+    raw_socket unknown_client(b.port);
+    unknown_client.Write("GET / HTTP/1.1\r\n\r\n");
+    unknown_client.AwaitEnd();
   }
 
   SECTION("when the header is wrong") {
-    raw_socket stranger(b.port);
-    stranger.Write(EncodeGreeting(core::incarnation{2}) + "GET / HTTP/1.1");
-    stranger.AwaitEnd();
+    raw_socket unknown_client(b.port);
+    unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
+                         "GET / HTTP/1.1");
+    unknown_client.AwaitEnd();
   }
 
   SECTION("when the payload is wrong") {
-    raw_socket stranger(b.port);
-    stranger.Write(EncodeGreeting(core::incarnation{2}) +
-                   SealPayload("this is no table"));
-    stranger.AwaitEnd();
+    raw_socket unknown_client(b.port);
+    unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
+                         PrependHeader("this is no table"));
+    unknown_client.AwaitEnd();
   }
 
   SECTION("when a bit of the payload was flipped on its way") {
     std::string bytes = EncodeFrame(SampleReply(), kSampleNow);
     bytes.back() ^= 1;
-    raw_socket stranger(b.port);
-    stranger.Write(EncodeGreeting(core::incarnation{2}) + bytes);
-    stranger.AwaitEnd();
+    raw_socket unknown_client(b.port);
+    unknown_client.Write(EncodeGreeting(core::incarnation{2}) + bytes);
+    unknown_client.AwaitEnd();
   }
 
   SECTION("when there is no payload at all") {
-    raw_socket stranger(b.port);
-    stranger.Write(EncodeGreeting(core::incarnation{2}) + SealPayload(""));
-    stranger.AwaitEnd();
+    raw_socket unknown_client(b.port);
+    unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
+                         PrependHeader(""));
+    unknown_client.AwaitEnd();
   }
 
   CHECK(b.link.counters().malformed == 1);
@@ -234,8 +236,8 @@
 // at their deadlines.
 TEST_CASE("A peer that can't be reached is told of") {
   test_system system;
-  linked_entry a(system);
-  auto b = std::make_unique<linked_entry>(system);
+  test_entry a(system);
+  auto b = std::make_unique<test_entry>(system);
   const std::uint16_t port = b->port;
 
   SECTION("when it goes away") {
@@ -277,7 +279,7 @@
   test_system system;
   peer_link_options options;
   options.queue_limit = std::size_t{1} << 20;
-  linked_entry a(system, options);
+  test_entry a(system, options);
   raw_listener frozen(128);
 
   core::peer_frame frame = SampleRequest();
@@ -298,9 +300,9 @@
   test_system system;
   peer_link_options options;
   options.stall_timeout = std::chrono::milliseconds(300);
-  linked_entry a(system, options);
+  test_entry a(system, options);
   raw_listener silent(0);
-  raw_socket fills_the_queue(silent.port());
+  raw_socket backlog_filler(silent.port());
 
   a.link.Send(To(2, silent.port(), NumberedCancel(1)));
   CHECK(a.events.Await<core::peer_disconnected>().peer == core::incarnation{2});
@@ -311,9 +313,9 @@
 // it over and over; the stream is in step, so that the frame can be skipped.
 TEST_CASE("A frame of a newer kind is skipped") {
   test_system system;
-  linked_entry b(system);
+  test_entry b(system);
   raw_socket newer(b.port);
-  newer.Write(EncodeGreeting(core::incarnation{2}) + FrameOfNewerKind() +
+  newer.Write(EncodeGreeting(core::incarnation{2}) + FrameOfUnknownKind() +
               EncodeFrame(NumberedCancel(3), kSampleNow));
   CHECK(NumberOf(b.events.Await<core::frame_received>()) == 3);
   CHECK(b.link.counters().skipped == 1);
@@ -328,23 +330,23 @@
   test_system system;
   peer_link_options options;
   options.self = core::incarnation{22};
-  linked_entry reborn(system, options);
-  linked_entry a(system);
+  test_entry restarted(system, options);
+  test_entry a(system);
 
-  a.link.Send(To(2, reborn.port, NumberedCancel(1)));
+  a.link.Send(To(2, restarted.port, NumberedCancel(1)));
   CHECK(a.events.Await<core::peer_disconnected>().peer == core::incarnation{2});
-  a.link.Send(To(22, reborn.port, NumberedCancel(2)));
-  CHECK(NumberOf(reborn.events.Await<core::frame_received>()) == 2);
-  CHECK(reborn.link.counters().misdirected == 1);
-  CHECK(reborn.link.counters().frames_received == 1);
+  a.link.Send(To(22, restarted.port, NumberedCancel(2)));
+  CHECK(NumberOf(restarted.events.Await<core::frame_received>()) == 2);
+  CHECK(restarted.link.counters().misdirected == 1);
+  CHECK(restarted.link.counters().frames_received == 1);
 }
 
 TEST_CASE("An entry takes a bounded number of connections") {
   test_system system;
   peer_link_options options;
   options.inbound_limit = 1;
-  linked_entry b(system, options);
-  linked_entry a(system);
+  test_entry b(system, options);
+  test_entry a(system);
   a.link.Send(To(2, b.port, NumberedCancel(1)));
   b.events.Await<core::frame_received>();
 
@@ -359,12 +361,12 @@
     test_system system;
     peer_link_options options;
     options.host = "192.0.2.1";
-    CHECK_THROWS_AS(linked_entry(system, options), std::runtime_error);
+    CHECK_THROWS_AS(test_entry(system, options), std::runtime_error);
   }
 
   SECTION("when the actor system has a crowd of workers") {
     test_system system(16);
-    CHECK_THROWS_AS(linked_entry(system), std::logic_error);
+    CHECK_THROWS_AS(test_entry(system), std::logic_error);
   }
 }
 
