--- a/include/plantainhead/entry/peer_link.h
+++ b/include/plantainhead/entry/peer_link.h
@@ -18,60 +18,64 @@
 
 namespace plantainhead::entry {
 
+/// Configures the address, limits and timeouts of a `peer_link`.
 struct peer_link_options {
-  /// This entry process. Connections that are for another one, such as an
-  /// earlier process at the same port, are closed. With `kNone` all are taken.
+  /// The incarnation of this entry process. Connections intended for another
+  /// one, such as an earlier process at the same port, are closed. With
+  /// `kNone`, all connections are accepted.
   core::incarnation self = core::incarnation::kNone;
-  /// The IP number to listen at.
+  /// The IP address to listen on.
   std::string host = "127.0.0.1";
-  /// 0 picks a free port.
+  /// The port to listen on; 0 selects a free port.
   std::uint16_t port = 0;
-  /// Longest payload that is sent or taken, in bytes.
+  /// Maximum size in bytes of a payload that is sent or accepted.
   std::size_t frame_limit = kDefaultFrameLimit;
-  /// Bytes that may wait for one peer; a longer queue ends the connection.
+  /// Maximum number of bytes queued for one peer; beyond it, the connection is
+  /// closed.
   std::size_t queue_limit = std::size_t{32} << 20;
-  /// Connections that other entries may have open here at once.
+  /// Maximum number of concurrent inbound connections.
   std::size_t inbound_limit = 1024;
-  /// Pause after a connection was lost or could not be made. Frames to the
-  /// peer are dropped meanwhile.
+  /// Delay before reconnecting after a connection was lost or could not be
+  /// established. Frames to the peer are dropped during this time.
   core::duration reconnect_backoff = std::chrono::milliseconds(200);
-  /// A connection whose bytes aren't acknowledged for this long is lost.
+  /// A connection fails if sent bytes stay unacknowledged for this long.
   core::duration stall_timeout = std::chrono::seconds(5);
 };
 
-/// What a link did since its start.
+/// Counts the traffic and errors of a `peer_link` since its start.
 struct peer_link_counters {
   std::uint64_t frames_sent = 0;
   std::uint64_t frames_received = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
-  /// Connections that were closed because of bytes that aren't a frame.
+  /// Connections closed because of bytes that are not a valid frame.
   std::uint64_t malformed = 0;
-  /// Connections that were closed because they were for another process.
+  /// Connections closed because they were intended for another process.
   std::uint64_t misdirected = 0;
-  /// Valid frames of a kind that this version doesn't know.
+  /// Valid frames of a message type that this version does not know.
   std::uint64_t skipped = 0;
-  /// Frames that were dropped before they were written.
+  /// Frames dropped before they were written to a connection.
   std::uint64_t dropped = 0;
-  /// Outgoing connections that were lost or could not be made.
+  /// Outgoing connections that were lost or could not be established.
   std::uint64_t disconnects = 0;
 };
 
-/// Carries frames between this entry and the others over TCP, one outgoing
-/// connection for each peer incarnation. Frames to a peer arrive in the order
-/// of `Send`, or the connection breaks and `peer_disconnected` is posted; a
-/// peer's own connection to this entry is another one. It uses CAF's brokers
-/// and none of CAF's remote actors, groups or discovery.
+/// Exchanges frames between this entry and its peers over TCP, with one
+/// outgoing connection for each peer incarnation. Frames to a peer arrive in
+/// the order of the calls to `Send`; otherwise the connection fails and
+/// `peer_disconnected` is posted. A peer sends its own frames on a separate
+/// connection. The implementation uses CAF's brokers, but not CAF's remote
+/// actors, groups or discovery.
 class peer_link {
  public:
   using clock_function = std::function<core::time_point()>;
   using post_function = std::function<void(core::event)>;
 
-  /// `post` gets `frame_received` and `peer_disconnected`. It and `now` are
-  /// called from the broker's thread and from callers of `Send`, and must
-  /// neither block nor throw. Preconditions: `system` has the module
-  /// caf::io::middleman loaded and outlives the link; its scheduler has at most
-  /// 4 workers (`scheduler.max-threads`).
+  /// `post` receives `frame_received` and `peer_disconnected`. `post` and `now`
+  /// are called from the broker's thread and from callers of `Send`, and must
+  /// neither block nor throw. Preconditions: `system` has loaded the module
+  /// caf::io::middleman and outlives the link; its scheduler has at most 4
+  /// workers (`scheduler.max-threads`).
   peer_link(caf::actor_system& system,
             peer_link_options options,
             clock_function now,
@@ -83,22 +87,23 @@
   peer_link(const peer_link&) = delete;
   peer_link& operator=(const peer_link&) = delete;
 
-  /// Listens, and returns the port. Throws `std::runtime_error` when the
-  /// address can't be bound, `std::logic_error` when the actor system isn't as
-  /// the constructor asks. Precondition: not called before.
-  /// Thread safety: none.
+  /// Starts listening and returns the port. Throws `std::runtime_error` if the
+  /// address cannot be bound, and `std::logic_error` if the actor system does
+  /// not meet the preconditions of the constructor. Precondition: not called
+  /// before. Thread safety: none.
   std::uint16_t Start();
 
-  /// Queues a frame, connecting first when there is no connection. Each frame
-  /// that is dropped posts `peer_disconnected`. Does nothing before `Start` and
-  /// after `Stop`.
-  /// Thread safety: safe from any thread between `Start` and `Stop`.
+  /// Queues a frame and connects to the peer if there is no connection. Posts
+  /// `peer_disconnected` for each dropped frame. Does nothing before `Start`
+  /// and after `Stop`. Thread safety: safe from any thread between `Start` and
+  /// `Stop`.
   void Send(const core::send_frame& item);
 
   /// Closes all connections. Nothing is posted after it returns.
-  /// Thread safety: none; not from within `post`.
+  /// Thread safety: none; must not be called from within `post`.
   void Stop();
 
+  /// Returns a snapshot of the counters.
   /// Thread safety: safe from any thread.
   peer_link_counters counters() const;
 
--- a/src/entry/frame_codec.cc
+++ b/src/entry/frame_codec.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t kMagicOffset = 4;
 constexpr std::size_t kVersionOffset = 5;
 constexpr std::size_t kChecksumOffset = 8;
-// FlatBuffers reads scalars in place; the widest has 8 bytes.
+// FlatBuffers reads scalars in place; the largest ones have 8 bytes.
 constexpr std::size_t kAlignment = 8;
 
 void PutUint32(std::uint32_t value, char* at) {
@@ -49,7 +49,7 @@
 }  // namespace
 
 frame_error::frame_error(frame_fault fault)
-    : std::runtime_error("bad frame: " + std::string(core::NameOf(fault))),
+    : std::runtime_error("invalid frame: " + std::string(core::NameOf(fault))),
       fault_(fault) {}
 
 std::string EncodeGreeting(core::incarnation to) {
@@ -133,15 +133,15 @@
   if (payload.size() != header.payload_size) {
     throw frame_error(frame_fault::kTruncated);
   }
-  // Without the checksum a flipped bit in a number or a name would verify, and
-  // one caller's answer could reach another.
+  // The FlatBuffers verifier does not detect a flipped bit in a number or a
+  // name, which could deliver a response to the wrong client.
   if (Checksum(payload) != header.checksum) {
     throw frame_error(frame_fault::kBadChecksum);
   }
   if (IsAligned(payload.data())) {
     return ReadFrame(payload, now);
   }
-  // Memory from new is aligned for every scalar.
+  // Memory allocated by new is aligned for all scalars.
   const auto copy = std::make_unique<char[]>(payload.size());
   payload.copy(copy.get(), payload.size());
   return ReadFrame({copy.get(), payload.size()}, now);
--- a/src/entry/frame_reader.cc
+++ b/src/entry/frame_reader.cc
@@ -29,7 +29,8 @@
   return {core::incarnation{id.entry()}, id.sequence()};
 }
 
-// Returns the enumerator with this number; `table` lists all there are.
+// Returns the enumerator with this number, or nothing if `table`, which lists
+// all enumerators, has none.
 template <typename E, std::size_t N>
 std::optional<E> FindEnumerator(const core::name_table<E, N>& table,
                                 std::uint8_t number) {
@@ -42,7 +43,7 @@
 }
 
 core::duration ReadDuration(std::int64_t microseconds) {
-  // A wild number would overflow when it is added to a time.
+  // An extreme value would overflow when it is added to a time.
   const core::duration value{microseconds};
   if (value < -kMaxTimeLeft || value > kMaxTimeLeft) {
     ThrowMalformed();
@@ -50,9 +51,9 @@
   return value;
 }
 
-// The verifier checks that a vector's length is aligned, but not its elements;
-// a damaged frame can put eight-byte numbers at any multiple of four, and to
-// read them in place is undefined.
+// The verifier checks the alignment of a vector's length, but not that of its
+// elements. A corrupted frame can place 8-byte numbers at any multiple of 4,
+// and reading them in place would be undefined behavior, so they are copied.
 std::vector<std::uint64_t> ReadNumbers(
     const flatbuffers::Vector<std::uint64_t>* numbers) {
   std::vector<std::uint64_t> result;
@@ -128,7 +129,7 @@
     read.work = core::class_name(item->work()->str());
     const std::vector<std::uint64_t> by_fate = ReadNumbers(item->by_fate());
     const std::size_t known = read.counts.by_fate.size();
-    // A newer sender may know more fates.
+    // A newer sender may have more fates than this version knows.
     for (std::size_t i = 0; i < std::min(known, by_fate.size()); ++i) {
       read.counts.by_fate[i] = by_fate[i];
     }
@@ -179,7 +180,8 @@
     ThrowMalformed();
   }
   result.result = *outcome;
-  // A newer entry may know more reasons; the outcome is what callers act on.
+  // A newer entry may send reasons that this version does not know. They are
+  // read as kNone, because clients act on the outcome only.
   result.reason = FindEnumerator(core::kAnswerReasonNames, answer.reason())
                       .value_or(core::answer_reason::kNone);
   result.detail = ReadString(answer.detail());
--- a/src/entry/frame_reader.h
+++ b/src/entry/frame_reader.h
@@ -8,7 +8,7 @@
 
 namespace plantainhead::entry {
 
-/// Returns the frame of `payload`. Throws `frame_error` when it isn't valid.
+/// Decodes the frame in `payload`. Throws `frame_error` if it is not valid.
 /// Precondition: `payload` starts at an address that is a multiple of 8.
 /// Thread safety: safe from any thread.
 core::peer_frame ReadFrame(std::string_view payload, core::time_point now);
--- a/src/entry/frame_writer.cc
+++ b/src/entry/frame_writer.cc
@@ -33,7 +33,7 @@
 }
 
 core::duration TimeLeft(core::time_point deadline, core::time_point now) {
-  // The difference of two extreme dates would overflow.
+  // The difference of two extreme times would overflow.
   constexpr auto kBound = core::time_point::max().time_since_epoch() / 4;
   const auto at = std::clamp(deadline.time_since_epoch(), -kBound, kBound);
   return Clamp(at - now.time_since_epoch());
--- a/src/entry/frame_writer.h
+++ b/src/entry/frame_writer.h
@@ -8,8 +8,8 @@
 
 namespace plantainhead::entry {
 
-/// Builds the payload of `frame` in `builder` and finishes it.
-/// Thread safety: safe while nobody else uses `builder`.
+/// Builds the payload of `frame` in `builder` and finishes the buffer.
+/// Thread safety: safe as long as no other thread uses `builder`.
 void WriteFrame(const core::peer_frame& frame,
                 core::time_point now,
                 flatbuffers::FlatBufferBuilder& builder);
--- a/src/entry/peer_broker.cc
+++ b/src/entry/peer_broker.cc
@@ -8,7 +8,8 @@
 namespace plantainhead::entry {
 namespace {
 
-// CAF makes a connection's handle from its socket (conn_hdl_from_socket).
+// CAF derives the handle of a connection from its socket descriptor
+// (conn_hdl_from_socket).
 int SocketOf(caf::io::connection_handle handle) {
   return static_cast<int>(handle.id());
 }
@@ -63,8 +64,9 @@
     return;
   }
   if (peer.unsent + frame.bytes.size() > shared_->options.queue_limit) {
-    // A peer that doesn't read would let the queue grow until this entry runs
-    // out of memory. Its frames are useless by then, so the whole queue goes.
+    // If a peer stops reading, its queue would grow until this entry runs out
+    // of memory. The queued frames are outdated by then, so the entire queue is
+    // discarded with the connection.
     CountDroppedFrame(frame.to);
     Abort(SocketOf(*peer.handle));
     OnPeerDisconnected(frame.to);
@@ -87,7 +89,7 @@
   peer.handle = add_scribe(*socket);
   outgoing_.emplace(*peer.handle, frame.to);
   ack_writes(*peer.handle, true);
-  // The peer sends nothing here; reading shows the end of the connection.
+  // The peer sends no data on this connection; reading detects when it closes.
   configure_read(*peer.handle, receive_policy::at_most(1));
   const std::string greeting = EncodeGreeting(frame.to);
   write(*peer.handle, greeting.size(), greeting.data());
@@ -117,7 +119,8 @@
       ReadGreeting(data, incoming);
     }
   } catch (const frame_error&) {
-    // The stream is out of step: what follows can't be told apart from frames.
+    // The stream is no longer synchronized, so the start of the next frame is
+    // unknown.
     ++shared_->counters.malformed;
     RejectConnection(data.handle);
   }
@@ -132,19 +135,20 @@
   if (self == core::incarnation::kNone || to == self) {
     return;
   }
-  // A restarted entry listens at the port of its earlier life. Others that have
-  // not read of its end yet would hand it requests for endpoints that it
-  // doesn't own; the closed connection tells them to take another way.
+  // A restarted entry listens on the same port as its previous incarnation.
+  // Peers that have not yet learned of the restart would forward requests for
+  // endpoints that this process does not own. Closing the connection makes them
+  // choose another route.
   ++shared_->counters.misdirected;
   RejectConnection(data.handle);
 }
 
 void peer_broker::RejectConnection(connection_handle handle) {
   incoming_.erase(handle);
-  // CAF's graceful close ends one direction and waits for the other side to
-  // end the other; a stranger that keeps its socket open would hold a
-  // descriptor here for ever. Ending both directions makes the reading see the
-  // end at once, and CAF closes the socket.
+  // CAF's graceful close shuts down one direction and waits until the remote
+  // side closes the other, so that a client that keeps its socket open would
+  // occupy a descriptor indefinitely. After a shutdown of both directions, the
+  // next read reports the end of the stream and CAF closes the socket.
   configure_read(handle, receive_policy::at_most(1));
   Abort(SocketOf(handle));
 }
--- a/src/entry/peer_broker.h
+++ b/src/entry/peer_broker.h
@@ -14,7 +14,8 @@
 
 namespace plantainhead::entry {
 
-/// Counters that one thread adds to and any may read.
+/// Atomic form of `peer_link_counters`, so that any thread can read the
+/// counters while they are updated.
 struct atomic_counters {
   std::atomic<std::uint64_t> frames_sent{0};
   std::atomic<std::uint64_t> frames_received{0};
@@ -27,7 +28,8 @@
   std::atomic<std::uint64_t> disconnects{0};
 };
 
-/// What a link and its broker share.
+/// Holds the options, callbacks and counters that a `peer_link` shares with its
+/// broker.
 struct peer_link_shared {
   peer_link_options options;
   peer_link::clock_function now;
@@ -35,7 +37,7 @@
   atomic_counters counters;
 };
 
-/// Message to the broker: an encoded frame to queue.
+/// Message to the broker that queues an encoded frame for a peer.
 struct outgoing_frame {
   core::incarnation to = core::incarnation::kNone;
   std::string host;
@@ -43,15 +45,17 @@
   std::string bytes;
 };
 
-/// Message to the broker: listen and answer with the port.
+/// Message that makes the broker start listening and reply with the port.
 using listen_atom = caf::atom_constant<caf::atom("listen")>;
 
-/// Message of the broker to itself: a peer's pause is over.
+/// Message from the broker to itself when the reconnect backoff of a peer has
+/// expired.
 struct backoff_expired {
   core::incarnation peer = core::incarnation::kNone;
 };
 
-/// Owns the sockets of one link; runs in CAF's I/O thread.
+/// Owns the sockets of one `peer_link` and sends and receives its frames. Runs
+/// in CAF's I/O thread.
 class peer_broker : public caf::io::broker {
  public:
   peer_broker(caf::actor_config& config,
@@ -61,7 +65,7 @@
   caf::behavior make_behavior() override;
 
  private:
-  // No handle while the pause after a lost connection lasts.
+  // Has no handle during the backoff after a lost connection.
   struct outgoing_connection {
     std::optional<caf::io::connection_handle> handle;
     std::size_t unsent = 0;
@@ -69,7 +73,7 @@
 
   struct incoming_connection {
     bool greeting_received = false;
-    // Set while the payload is awaited.
+    // Set after the header has been received, until the payload arrives.
     std::optional<frame_header> header;
   };
 
@@ -95,7 +99,7 @@
 
 }  // namespace plantainhead::entry
 
-// These stay within the process.
+// These messages never leave the process, so they need no serialization.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::entry::outgoing_frame)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::entry::backoff_expired)
 
--- a/src/entry/peer_link.cc
+++ b/src/entry/peer_link.cc
@@ -8,8 +8,9 @@
 namespace plantainhead::entry {
 namespace {
 
-// CAF starts a worker for each processor. The decisions need one thread; more
-// workers only cost the memory of their stacks and steal from each other.
+// By default, CAF starts one worker for each processor. The entry core needs
+// one thread; more workers only use memory for their stacks and steal work from
+// each other.
 constexpr std::size_t kMaxWorkers = 4;
 
 }  // namespace
@@ -41,15 +42,16 @@
 
 std::uint16_t peer_link::Start() {
   if (!state_->system.has_middleman()) {
-    throw std::logic_error("the actor system lacks caf::io::middleman");
+    throw std::logic_error("actor system has not loaded caf::io::middleman");
   }
   if (state_->system.scheduler().num_workers() > kMaxWorkers) {
     throw std::logic_error(
-        "scheduler.max-threads is too great for a small VM: at most " +
+        "scheduler.max-threads exceeds the maximum number of workers, " +
         std::to_string(kMaxWorkers));
   }
-  // Brokers run in the I/O thread; the function-based spawn of the middleman
-  // would force the state into lambdas.
+  // The broker is spawned by its class, on the I/O thread. The middleman's own
+  // spawn functions accept only functions, so that the state would have to be
+  // kept in lambdas.
   caf::actor_config config{&state_->system.middleman().backend()};
   state_->broker =
       state_->system.spawn_class<peer_broker, caf::no_spawn_options>(
@@ -64,7 +66,7 @@
                });
   if (!failure.empty()) {
     throw std::runtime_error(
-        "can't listen at " + state_->shared->options.host + ":" +
+        "cannot listen on " + state_->shared->options.host + ":" +
         std::to_string(state_->shared->options.port) + ": " + failure);
   }
   return port;
--- a/src/entry/peer_socket.cc
+++ b/src/entry/peer_socket.cc
@@ -12,7 +12,8 @@
 namespace plantainhead::entry {
 namespace {
 
-// Resends of the first packet; the kernel's default takes two minutes.
+// Maximum number of SYN retransmissions. With the kernel's default, a failed
+// handshake takes two minutes.
 constexpr int kMaxSynRetries = 2;
 
 struct socket_address {
--- a/src/entry/peer_socket.h
+++ b/src/entry/peer_socket.h
@@ -9,18 +9,18 @@
 
 namespace plantainhead::entry {
 
-/// Starts to connect to an IP number and returns the socket at once; the
-/// connection may still be on its way. Returns nothing when the address is
-/// malformed or the machine refuses. The socket reports an error once its bytes
-/// (or the handshake) go unacknowledged for about `stall_timeout`.
+/// Starts a non-blocking connect to an IP address and returns the socket, whose
+/// connection may still be in progress. Returns nothing if the address is
+/// malformed or the system rejects the connect. The socket reports an error if
+/// sent bytes or the handshake stay unacknowledged for about `stall_timeout`.
 /// Thread safety: safe from any thread.
 std::optional<int> StartConnecting(const std::string& host,
                                    std::uint16_t port,
                                    core::duration stall_timeout);
 
-/// Ends a connection with all bytes that it still holds; its owner sees the
-/// end of the stream.
-/// Thread safety: safe while nobody closes `socket`.
+/// Shuts down both directions of a connection and discards its pending bytes.
+/// The owner of the socket then reads the end of the stream. Thread safety:
+/// safe as long as no other thread closes `socket`.
 void Abort(int socket);
 
 }  // namespace plantainhead::entry
--- a/tests/entry/frame_codec_test.cc
+++ b/tests/entry/frame_codec_test.cc
@@ -19,7 +19,7 @@
   }
 }
 
-// Encoding what was decoded gives the same bytes only if no field was lost.
+// Encoding the decoded frame yields the same bytes only if no field was lost.
 void CheckRoundTrip(const core::peer_frame& frame) {
   const std::string bytes = EncodeFrame(frame, kSampleNow);
   const core::peer_frame back = DecodeFrame(bytes, kSampleNow);
@@ -29,14 +29,14 @@
   CHECK(EncodeFrame(back, kSampleNow) == bytes);
 }
 
-TEST_CASE("An entry turns frames into bytes and back") {
-  SECTION("of every kind of message") {
+TEST_CASE("Frames are encoded and decoded") {
+  SECTION("for every message type") {
     for (const core::peer_frame& frame : SampleFrames()) {
       CheckRoundTrip(frame);
     }
   }
 
-  SECTION("with all parts of a request") {
+  SECTION("with all fields of a request") {
     const core::peer_frame frame =
         DecodeFrame(EncodeFrame(SampleRequest(), kSampleNow), kSampleNow);
     const auto& item = std::get<core::forward_request>(frame.message);
@@ -49,7 +49,7 @@
     CHECK(item.request.key == core::claim_key("surgery/42"));
   }
 
-  SECTION("with all parts of an answer and of a heartbeat") {
+  SECTION("with all fields of a response and of a heartbeat") {
     const auto reply = std::get<core::forward_reply>(
         DecodeFrame(EncodeFrame(SampleReply(), kSampleNow), kSampleNow)
             .message);
@@ -76,7 +76,7 @@
           std::vector{core::incarnation{3}, core::incarnation{4}});
   }
 
-  SECTION("whose deadline counts from the receiver's own clock") {
+  SECTION("with the deadline computed from the receiver's clock") {
     const core::time_point receiver_now = kSampleNow + std::chrono::minutes(90);
     const core::peer_frame frame =
         DecodeFrame(EncodeFrame(SampleRequest(), kSampleNow), receiver_now);
@@ -84,7 +84,7 @@
           receiver_now + std::chrono::seconds(3));
   }
 
-  SECTION("with deadlines at the ends of time cut to a month") {
+  SECTION("with extreme deadlines clamped to 30 days") {
     core::peer_frame frame = SampleRequest();
     auto& deadline =
         std::get<core::forward_request>(frame.message).request.deadline;
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("A connection says whom it is for") {
+TEST_CASE("A greeting identifies the intended receiver") {
   const core::incarnation to{0xFEDCBA9876543210ULL};
   const std::string greeting = EncodeGreeting(to);
   CHECK(greeting.size() == kFrameHeaderSize);
@@ -112,7 +112,7 @@
   }
 }
 
-TEST_CASE("Random frames survive the wire") {
+TEST_CASE("Random frames are encoded and decoded without loss") {
   const auto round_trips = [](std::string text, std::uint64_t number,
                               bool has_body) {
     core::peer_frame frame = SampleRequest();
@@ -136,15 +136,16 @@
       RC_ASSERT(*back.request.body == text);
     }
   };
-  CHECK(rc::check("any bytes in any text, any number", round_trips));
+  CHECK(
+      rc::check("arbitrary bytes in texts and arbitrary numbers", round_trips));
 }
 
-// A caller must never get an answer that a bad cable or a wrong program made
-// up. A frame is damaged on its way: cut, a bit flipped, or random bytes behind
-// a good checksum. Each is refused with its reason, or read as a valid frame
-// when the checksum was forged too; none crashes the entry.
-TEST_CASE("A damaged frame is refused") {
-  SECTION("when it is cut anywhere") {
+// Guards against delivering a corrupted response to a client. A frame is
+// corrupted in transit: truncated, a bit flipped, or random bytes with a valid
+// checksum. Each is rejected with a reason, or decoded as a valid frame if the
+// checksum matches; none crashes the entry.
+TEST_CASE("A corrupted frame is rejected") {
+  SECTION("when it is truncated at any position") {
     for (const core::peer_frame& frame : SampleFrames()) {
       const std::string bytes = EncodeFrame(frame, kSampleNow);
       for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -165,7 +166,7 @@
     }
   }
 
-  SECTION("or read, but never a crash, when the checksum was forged too") {
+  SECTION("or decoded without a crash when the checksum matches") {
     for (const core::peer_frame& frame : SampleFrames()) {
       std::string payload =
           EncodeFrame(frame, kSampleNow).substr(kFrameHeaderSize);
@@ -180,7 +181,7 @@
     }));
   }
 
-  SECTION("when it is longer than the limit, by both sides") {
+  SECTION("by sender and receiver when it exceeds the size limit") {
     const std::string bytes = EncodeFrame(SampleRequest(), kSampleNow);
     const std::size_t payload_size = bytes.size() - kFrameHeaderSize;
     CHECK_NOTHROW(EncodeFrame(SampleRequest(), kSampleNow, payload_size));
@@ -190,7 +191,7 @@
                     frame_error);
   }
 
-  SECTION("when it is of a kind that only newer entries know") {
+  SECTION("when its message type is unknown to this version") {
     CHECK(FaultOf(FrameOfUnknownKind()) == frame_fault::kUnknownMessage);
   }
 
--- a/tests/entry/frame_fuzz_test.cc
+++ b/tests/entry/frame_fuzz_test.cc
@@ -19,7 +19,7 @@
   CHECK(LLVMFuzzerTestOneInput(data, bytes.size()) == 0);
 }
 
-TEST_CASE("The fuzz target takes its seeds") {
+TEST_CASE("The fuzz target accepts sample and mutated frames") {
   RunFuzzTarget("");
   for (const core::peer_frame& frame : SampleFrames()) {
     const std::string bytes = EncodeFrame(frame, kSampleNow);
@@ -27,8 +27,9 @@
     const std::string payload = bytes.substr(kFrameHeaderSize);
     RunFuzzTarget(payload);
 
-    // A few bytes of a payload replaced, with a checksum that matches: this
-    // gets past the header to the verifier and the reader.
+    // Replaces a few bytes of the payload. The fuzz target adds a matching
+    // checksum, so that the input passes the header check and reaches the
+    // verifier and the reader.
     constexpr unsigned kSeed = 17;
     constexpr int kTries = 2000;
     std::mt19937 random(kSeed);
--- a/tests/entry/frame_samples.h
+++ b/tests/entry/frame_samples.h
@@ -63,7 +63,7 @@
   return {core::incarnation{11}, 101, item};
 }
 
-// One without load, which tells of members that aren't heard.
+// Returns a heartbeat without load that reports suspected members.
 inline core::peer_frame SampleSmallHeartbeat() {
   core::heartbeat item;
   item.sequence = 6;
@@ -74,7 +74,8 @@
   return {core::incarnation{11}, 101, item};
 }
 
-// The bytes of a valid frame of a kind that only a newer entry knows.
+// Returns the bytes of a valid frame of a message type that this version does
+// not know.
 inline std::string FrameOfUnknownKind() {
   flatbuffers::FlatBufferBuilder builder;
   const wire::RequestId id(7, 8);
--- a/tests/entry/peer_link_test.cc
+++ b/tests/entry/peer_link_test.cc
@@ -21,7 +21,7 @@
 
 constexpr std::chrono::seconds kTimeout(20);
 
-// Events that a link posted, in order.
+// Queues the events that a link posts, in order.
 class event_queue {
  public:
   void Post(core::event item) {
@@ -30,7 +30,7 @@
     changed_.notify_all();
   }
 
-  // Waits for the next event of type `Event`, dropping others.
+  // Waits for the next event of type `Event` and discards other events.
   template <typename Event>
   Event Await() {
     std::unique_lock lock(mutex_);
@@ -91,7 +91,7 @@
   return std::get<core::cancel_forward>(item.frame.message).id.sequence;
 }
 
-// A plain socket to a port, closed at the end.
+// Connects a plain TCP socket to a local port and closes it on destruction.
 class raw_socket {
  public:
   explicit raw_socket(std::uint16_t port)
@@ -111,8 +111,8 @@
             static_cast<ssize_t>(bytes.size()));
   }
 
-  // Waits until the other side has closed both directions: after its end of
-  // stream, a byte more makes it answer with a reset.
+  // Waits until the remote side has closed both directions. After its end of
+  // stream, it replies to another byte with a reset.
   void AwaitEnd() {
     char byte = 0;
     REQUIRE(::recv(handle_, &byte, 1, 0) <= 0);
@@ -128,7 +128,7 @@
   int handle_;
 };
 
-// A listening socket that never accepts.
+// Listens on a local port but never accepts a connection.
 class raw_listener {
  public:
   explicit raw_listener(int backlog)
@@ -157,7 +157,7 @@
   test_entry a(system);
   test_entry b(system);
 
-  SECTION("both ways, of every kind") {
+  SECTION("in both directions, of every message type") {
     for (const core::peer_frame& frame : SampleFrames()) {
       a.link.Send(To(2, b.port, frame));
       const auto got = b.events.Await<core::frame_received>();
@@ -170,7 +170,7 @@
     CHECK(b.link.counters().frames_received == SampleFrames().size());
   }
 
-  SECTION("in the order of sending") {
+  SECTION("in the order in which they are sent") {
     constexpr std::uint64_t kFrames = 2000;
     for (std::uint64_t i = 0; i < kFrames; ++i) {
       a.link.Send(To(2, b.port, NumberedCancel(i)));
@@ -181,37 +181,37 @@
   }
 }
 
-// Some program that isn't an entry connects to an entry's port and sends what
-// it likes. Its connection is closed and counted; the entry's own peers notice
-// nothing.
-TEST_CASE("Bytes that aren't a frame close their connection only") {
+// Guards against a client that is not an entry, connects to an entry's port and
+// sends arbitrary bytes. Its connection is closed and counted; the connections
+// of the entry's peers are not affected.
+TEST_CASE("Invalid bytes close only the connection they arrive on") {
   test_system system;
   test_entry a(system);
   test_entry b(system);
   a.link.Send(To(2, b.port, NumberedCancel(1)));
   b.events.Await<core::frame_received>();
 
-  SECTION("when it doesn't begin with a greeting") {
+  SECTION("when the connection does not start with a greeting") {
     raw_socket unknown_client(b.port);
     unknown_client.Write("GET / HTTP/1.1\r\n\r\n");
     unknown_client.AwaitEnd();
   }
 
-  SECTION("when the header is wrong") {
+  SECTION("when the header is invalid") {
     raw_socket unknown_client(b.port);
     unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
                          "GET / HTTP/1.1");
     unknown_client.AwaitEnd();
   }
 
-  SECTION("when the payload is wrong") {
+  SECTION("when the payload is invalid") {
     raw_socket unknown_client(b.port);
     unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
                          PrependHeader("this is no table"));
     unknown_client.AwaitEnd();
   }
 
-  SECTION("when a bit of the payload was flipped on its way") {
+  SECTION("when a bit of the payload is flipped in transit") {
     std::string bytes = EncodeFrame(SampleReply(), kSampleNow);
     bytes.back() ^= 1;
     raw_socket unknown_client(b.port);
@@ -219,7 +219,7 @@
     unknown_client.AwaitEnd();
   }
 
-  SECTION("when there is no payload at all") {
+  SECTION("when the payload is empty") {
     raw_socket unknown_client(b.port);
     unknown_client.Write(EncodeGreeting(core::incarnation{2}) +
                          PrependHeader(""));
@@ -231,16 +231,16 @@
   CHECK(NumberOf(b.events.Await<core::frame_received>()) == 2);
 }
 
-// An entry waits for answers of a peer that dies. The link sees the connection
-// end and says so, so that waiting requests can be answered at once instead of
-// at their deadlines.
-TEST_CASE("A peer that can't be reached is told of") {
+// An entry waits for responses from a peer that crashes. The link detects that
+// the connection has closed and reports it, so that pending requests can be
+// answered immediately instead of at their deadlines.
+TEST_CASE("An unreachable peer is reported") {
   test_system system;
   test_entry a(system);
   auto b = std::make_unique<test_entry>(system);
   const std::uint16_t port = b->port;
 
-  SECTION("when it goes away") {
+  SECTION("when it stops") {
     a.link.Send(To(2, port, NumberedCancel(1)));
     b->events.Await<core::frame_received>();
     b.reset();
@@ -248,20 +248,20 @@
           core::incarnation{2});
   }
 
-  SECTION("when nobody listens") {
+  SECTION("when no process listens on its port") {
     b.reset();
     a.link.Send(To(2, port, NumberedCancel(1)));
     CHECK(a.events.Await<core::peer_disconnected>().peer ==
           core::incarnation{2});
   }
 
-  SECTION("when its address is no IP number") {
+  SECTION("when its address is not an IP address") {
     a.link.Send({core::incarnation{2}, "nowhere", port, NumberedCancel(1)});
     CHECK(a.events.Await<core::peer_disconnected>().peer ==
           core::incarnation{2});
   }
 
-  SECTION("when the frame is too long") {
+  SECTION("when the frame exceeds the size limit") {
     core::peer_frame frame = SampleRequest();
     std::get<core::forward_request>(frame.message).request.body =
         std::make_shared<const std::string>(kDefaultFrameLimit, 'x');
@@ -272,10 +272,10 @@
   }
 }
 
-// A peer is frozen: its kernel takes bytes until its buffers are full, then
-// nothing moves. What waits for it here must not grow without end, and those
-// who wait for answers must hear of it long before their deadlines.
-TEST_CASE("A peer that reads nothing is given up") {
+// A peer process hangs: its kernel accepts bytes until its buffers are full.
+// The send queue for it must stay bounded, and the failure must be reported
+// long before the deadlines of the pending requests.
+TEST_CASE("A peer that stops reading is disconnected") {
   test_system system;
   peer_link_options options;
   options.queue_limit = std::size_t{1} << 20;
@@ -293,10 +293,11 @@
   CHECK(a.link.counters().frames_sent < kFrames);
 }
 
-// A switch is lost: packets to a peer vanish and nobody answers the handshake.
-// The link gives up after its stall timeout, not after the kernel's minutes.
-// A listener whose queue is full drops handshakes in the same way.
-TEST_CASE("A peer that doesn't answer the handshake is given up") {
+// A network switch fails: packets to a peer are lost and the TCP handshake is
+// not answered. The link must fail after its stall timeout instead of the
+// kernel's default of two minutes. A listener whose queue is full drops
+// handshakes in the same way.
+TEST_CASE("A peer that does not answer the handshake is disconnected") {
   test_system system;
   peer_link_options options;
   options.stall_timeout = std::chrono::milliseconds(300);
@@ -308,10 +309,10 @@
   CHECK(a.events.Await<core::peer_disconnected>().peer == core::incarnation{2});
 }
 
-// Entries are replaced one by one by a newer version, which sends messages that
-// the older ones don't know. Closing the connection would lose the requests on
-// it over and over; the stream is in step, so that the frame can be skipped.
-TEST_CASE("A frame of a newer kind is skipped") {
+// During a rolling update, newer entries send messages that older ones do not
+// know. Closing the connection would lose the requests on it each time. The
+// stream stays synchronized, so the frame can be skipped.
+TEST_CASE("A frame of an unknown message type is skipped") {
   test_system system;
   test_entry b(system);
   raw_socket newer(b.port);
@@ -322,11 +323,11 @@
   CHECK(b.link.counters().malformed == 0);
 }
 
-// An entry dies and a new process starts at its port. Another entry has not
-// read of the end yet and forwards a request to the old incarnation. The new
-// process doesn't own those endpoints; it must not get the frame, and the
-// sender must hear so.
-TEST_CASE("A frame for an earlier process at the same port isn't taken") {
+// An entry crashes and a new process starts on its port. Another entry has not
+// yet learned of this and forwards a request to the old incarnation. The new
+// process does not own those endpoints; it must not receive the frame, and the
+// sender must be notified.
+TEST_CASE("A frame for an earlier process on the same port is rejected") {
   test_system system;
   peer_link_options options;
   options.self = core::incarnation{22};
@@ -341,7 +342,7 @@
   CHECK(restarted.link.counters().frames_received == 1);
 }
 
-TEST_CASE("An entry takes a bounded number of connections") {
+TEST_CASE("The number of inbound connections is limited") {
   test_system system;
   peer_link_options options;
   options.inbound_limit = 1;
@@ -356,15 +357,15 @@
   CHECK(NumberOf(b.events.Await<core::frame_received>()) == 2);
 }
 
-TEST_CASE("An entry that can't start its link says so") {
-  SECTION("when the address is another machine's") {
+TEST_CASE("A link that cannot start throws an exception") {
+  SECTION("when the address belongs to another machine") {
     test_system system;
     peer_link_options options;
     options.host = "192.0.2.1";
     CHECK_THROWS_AS(test_entry(system, options), std::runtime_error);
   }
 
-  SECTION("when the actor system has a crowd of workers") {
+  SECTION("when the actor system has too many workers") {
     test_system system(16);
     CHECK_THROWS_AS(test_entry(system), std::logic_error);
   }
