--- a/include/plantainhead/settings/entry_settings.h
+++ b/include/plantainhead/settings/entry_settings.h
@@ -40,7 +40,7 @@
   std::uint32_t endpoint_threads = 128;
   /// `limits.patience`: the longest deadline that a caller may ask for. After
   /// an entry was lost, drains wait so long for what it may have had in flight.
-  core::duration patience = std::chrono::seconds(60);
+  core::duration max_request_timeout = std::chrono::seconds(60);
 
   /// `heartbeat.interval`: time between heartbeats to the other entries.
   core::duration heartbeat_interval = std::chrono::milliseconds(200);
@@ -54,7 +54,7 @@
   core::duration count_interval = std::chrono::minutes(1);
 
   /// `log.level`: lines below it are left out.
-  core::note_level log_level = core::note_level::kInfo;
+  core::log_severity log_level = core::log_severity::kInfo;
   /// `log.file`: path of the log, or "-" for the standard output.
   std::string log_file = "-";
   /// `port-file`: file that the entry writes once it listens, with its HTTP
--- a/src/platform/appender.h
+++ b/src/platform/appender.h
@@ -1,12 +1,12 @@
 #ifndef PLANTAINHEAD_SRC_PLATFORM_APPENDER_H_
 #define PLANTAINHEAD_SRC_PLATFORM_APPENDER_H_
 
-#include "platform/worker.h"
+#include "platform/link_worker.h"
 
 namespace plantainhead::platform {
 
-/// Carries out `append_job`s, one after the other.
-class appender : public worker {
+/// Carries out `append_message`s, one after the other.
+class appender : public link_worker {
  public:
   explicit appender(link_context* context);
 
--- a/src/settings/targets.cc
+++ b/src/settings/targets.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t kSchemaVersion = 1;
-constexpr std::uint64_t kMostVms = 1'000'000;
-constexpr double kMostPriority = 1000;
+constexpr std::uint64_t kMaxVms = 1'000'000;
+constexpr double kMaxPriority = 1000;
 constexpr int kDaysOfWindow = 366;
 constexpr int kHoursOfDay = 24;
 
@@ -23,17 +23,17 @@
 void ReadName(yaml_mapping* mapping,
               const std::string& key,
               Id* id,
-              presence need = presence::kRequired) {
+              presence requirement = presence::kRequired) {
   std::string text;
-  mapping->ReadText(key, &text, need);
+  mapping->ReadText(key, &text, requirement);
   *id = Id(text);
 }
 
 std::uint32_t ReadCount(yaml_mapping* mapping,
                         const std::string& key,
-                        presence need = presence::kOptional) {
+                        presence requirement = presence::kOptional) {
   std::uint64_t count = 0;
-  mapping->ReadWholeNumber(key, &count, {0, kMostVms}, need);
+  mapping->ReadWholeNumber(key, &count, {0, kMaxVms}, requirement);
   return static_cast<std::uint32_t>(count);
 }
 
@@ -72,7 +72,7 @@
     core::pool_spec spec;
     ReadName(&item, "name", &spec.name);
     ReadName(&item, "team", &spec.team, presence::kOptional);
-    spec.least_vms = ReadCount(&item, "least-vms");
+    spec.min_vms = ReadCount(&item, "least-vms");
     item.CheckKeys();
     builder->AddPool(std::move(spec), item.place());
   }
@@ -94,8 +94,8 @@
   if (!section) {
     return;
   }
-  core::measure_priorities priorities;
-  const value_range<double> range{0, kMostPriority};
+  core::objective_priorities priorities;
+  const value_range<double> range{0, kMaxPriority};
   section->ReadNumber("buffer-cost", &priorities.buffer_cost, range);
   section->ReadNumber("roll-out-time", &priorities.roll_out_time, range);
   section->ReadNumber("moves", &priorities.moves, range);
@@ -140,7 +140,7 @@
   if (!spec.team.empty()) {
     node["team"] = spec.team.value();
   }
-  node["least-vms"] = spec.least_vms;
+  node["least-vms"] = spec.min_vms;
   return node;
 }
 
