--- a/src/platform/appender.h
+++ b/src/platform/appender.h
@@ -1,7 +1,7 @@
 #ifndef PLANTAINHEAD_SRC_PLATFORM_APPENDER_H_
 #define PLANTAINHEAD_SRC_PLATFORM_APPENDER_H_
 
-#include "platform/worker.h"
+#include "platform/link_worker.h"
 
 namespace plantainhead::platform {
 
--- a/src/platform/worker.h
+++ b/src/platform/link_worker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_PLATFORM_WORKER_H_
-#define PLANTAINHEAD_SRC_PLATFORM_WORKER_H_
+#ifndef PLANTAINHEAD_SRC_PLATFORM_LINK_WORKER_H_
+#define PLANTAINHEAD_SRC_PLATFORM_LINK_WORKER_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -15,7 +15,7 @@
 
 #include "plantainhead/platform/platform_link.h"
 #include "platform/backoff.h"
-#include "platform/http_client.h"
+#include "platform/platform_http_client.h"
 
 namespace plantainhead::platform {
 
@@ -110,4 +110,4 @@
 
 }  // namespace plantainhead::platform
 
-#endif  // PLANTAINHEAD_SRC_PLATFORM_WORKER_H_
+#endif  // PLANTAINHEAD_SRC_PLATFORM_LINK_WORKER_H_
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "platform/link_worker.h"
 #include "platform/platform_json.h"
-#include "platform/worker.h"
 
 namespace plantainhead::platform {
 
--- a/src/platform/operation_runner.h
+++ b/src/platform/operation_runner.h
@@ -5,7 +5,7 @@
 #include <list>
 #include <optional>
 
-#include "platform/worker.h"
+#include "platform/link_worker.h"
 
 namespace plantainhead::platform {
 
--- a/src/platform/http_client.cc
+++ b/src/platform/platform_http_client.cc
@@ -1,4 +1,4 @@
-#include "platform/http_client.h"
+#include "platform/platform_http_client.h"
 
 #include <cctype>
 #include <utility>
--- a/src/platform/platform_link.cc
+++ b/src/platform/platform_link.cc
@@ -12,10 +12,10 @@
 #include <caf/send.hpp>
 
 #include "platform/appender.h"
+#include "platform/link_worker.h"
 #include "platform/list_reader.h"
 #include "platform/operation_runner.h"
 #include "platform/stream_reader.h"
-#include "platform/worker.h"
 
 namespace plantainhead::platform {
 namespace {
--- a/src/platform/stream_reader.h
+++ b/src/platform/stream_reader.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "platform/worker.h"
+#include "platform/link_worker.h"
 
 namespace plantainhead::platform {
 
