--- a/include/plantainhead/platform/platform_link.h
+++ b/include/plantainhead/platform/platform_link.h
@@ -36,13 +36,13 @@
   core::duration list_interval = std::chrono::seconds(1);
   /// First and greatest wait after a failure; each failure doubles the wait,
   /// and a random part of up to half is taken off.
-  core::duration first_backoff = std::chrono::milliseconds(50);
-  core::duration greatest_backoff = std::chrono::seconds(2);
+  core::duration initial_backoff = std::chrono::milliseconds(50);
+  core::duration max_backoff = std::chrono::seconds(2);
   /// Threads that append. Each stream belongs to one, so that streams beyond
   /// this number share.
-  std::size_t appenders = 8;
+  std::size_t append_threads = 8;
   /// Threads that run operations.
-  std::size_t operators = 4;
+  std::size_t operation_threads = 4;
   /// How often an operation that has not reached its effect is asked again.
   core::duration operation_poll = std::chrono::milliseconds(200);
   /// When an operation that has still not reached its effect ends as
--- a/include/plantainhead/settings/entry_settings.h
+++ b/include/plantainhead/settings/entry_settings.h
@@ -40,7 +40,7 @@
   std::uint32_t endpoint_threads = 128;
   /// `limits.patience`: the longest deadline that a caller may ask for. After
   /// an entry was lost, drains wait so long for what it may have had in flight.
-  core::duration patience = std::chrono::seconds(60);
+  core::duration max_request_timeout = std::chrono::seconds(60);
 
   /// `heartbeat.interval`: time between heartbeats to the other entries.
   core::duration heartbeat_interval = std::chrono::milliseconds(200);
--- a/include/plantainhead/settings/scheduler_settings.h
+++ b/include/plantainhead/settings/scheduler_settings.h
@@ -29,7 +29,7 @@
   /// `fleet.address`: of the interface to the fleet; empty for none.
   std::string fleet_address;
   /// `lease.most`: the longest lease that VMs allow.
-  core::duration longest_lease = std::chrono::seconds(6);
+  core::duration max_vm_lease = std::chrono::seconds(6);
   /// `lease.holder`: how long an order for a host keeps other holders out.
   core::duration holder_lease = std::chrono::seconds(3);
   /// `configuration.apply`: within this time of its publication a configuration
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -188,7 +188,7 @@
     owner_settings made;
     made.time_to_live = member_settings_.time_to_live;
     made.scheduler.lease =
-        std::min(made.scheduler.lease, settings_.longest_lease);
+        std::min(made.scheduler.lease, settings_.max_vm_lease);
     return made;
   }
 
--- a/src/platform/appender.cc
+++ b/src/platform/appender.cc
@@ -9,7 +9,7 @@
 constexpr int kClientErrorBegin = 400;
 constexpr int kClientErrorEnd = 500;
 
-std::string BodyOf(const core::append_records& what) {
+std::string EncodeRequestBody(const core::append_records& what) {
   json records = json::array();
   for (const core::record& item : what.records) {
     records.push_back(EncodeRecord(item));
@@ -18,7 +18,7 @@
 }
 
 // Reads the offset of the first record from a successful answer.
-core::log_offset FirstOf(const http_reply& reply) {
+core::log_offset ParseFirstOffset(const http_reply& reply) {
   core::log_offset first = 0;
   const json body = ParseObject(reply.body);
   const json_reader in(body, "");
@@ -29,17 +29,17 @@
 }  // namespace
 
 appender::appender(link_context* context)
-    : worker(context, context->options.answer_timeout) {}
+    : link_worker(context, context->options.answer_timeout) {}
 
 void appender::Run(caf::blocking_actor* self) {
   while (!IsStopping()) {
     self->receive(
-        [this](const append_job& job) {
+        [this](const append_message& job) {
           if (!IsStopping()) {
             Post(Append(job.what));
           }
         },
-        [](stop_job) {});
+        [](stop_message) {});
   }
 }
 
@@ -48,13 +48,13 @@
   finished.append = what.append;
   std::string body;
   try {
-    body = BodyOf(what);
+    body = EncodeRequestBody(what);
   } catch (const codec_error&) {
     finished.result = core::append_result::kRejected;
     return finished;
   }
   const http_reply reply = client_.Post(
-      "/streams/" + EscapeSegment(what.stream.value()) + "/records", body);
+      "/streams/" + EscapePathSegment(what.stream.value()) + "/records", body);
 
   // An answer can be lost after its append took effect. Only a connection that
   // was never made and a refusal show that it didn't; calling anything else a
@@ -62,11 +62,11 @@
   // targets appear that its author was told had failed.
   const bool is_refusal =
       reply.status >= kClientErrorBegin && reply.status < kClientErrorEnd;
-  if (reply.reached == delivery::kNotSent || is_refusal) {
+  if (reply.outcome == delivery::kNotSent || is_refusal) {
     finished.result = core::append_result::kRejected;
   } else if (reply.IsSuccess()) {
     try {
-      finished.first = FirstOf(reply);
+      finished.first = ParseFirstOffset(reply);
       finished.result = core::append_result::kAppended;
     } catch (const codec_error&) {
       finished.result = core::append_result::kUnknown;
--- a/src/platform/appender.h
+++ b/src/platform/appender.h
@@ -5,8 +5,8 @@
 
 namespace plantainhead::platform {
 
-/// Carries out `append_job`s, one after the other.
-class appender : public worker {
+/// Carries out `append_message`s, one after the other.
+class appender : public link_worker {
  public:
   explicit appender(link_context* context);
 
--- a/src/platform/backoff.h
+++ b/src/platform/backoff.h
@@ -15,24 +15,24 @@
 /// Thread safety: none.
 class backoff {
  public:
-  backoff(core::duration first, core::duration greatest, std::uint64_t seed)
-      : first_(first), greatest_(greatest), next_(first), random_(seed) {}
+  backoff(core::duration initial, core::duration max, std::uint64_t seed)
+      : initial_(initial), max_(max), next_(initial), random_(seed) {}
 
   /// Returns the next wait.
   core::duration Next() {
-    const core::duration whole = std::min(next_, greatest_);
-    next_ = whole * 2;
-    std::uniform_int_distribution<core::duration::rep> part(0,
-                                                            whole.count() / 2);
-    return whole - core::duration(part(random_));
+    const core::duration full_wait = std::min(next_, max_);
+    next_ = full_wait * 2;
+    std::uniform_int_distribution<core::duration::rep> reduction(
+        0, full_wait.count() / 2);
+    return full_wait - core::duration(reduction(random_));
   }
 
   /// The next wait is the first again.
-  void Reset() { next_ = first_; }
+  void Reset() { next_ = initial_; }
 
  private:
-  core::duration first_;
-  core::duration greatest_;
+  core::duration initial_;
+  core::duration max_;
   core::duration next_;
   std::mt19937_64 random_;
 };
--- a/src/platform/json_archive.cc
+++ b/src/platform/json_archive.cc
@@ -36,8 +36,8 @@
   const bool is_overlong =
       (lead == 0xE0 && second < 0xA0) || (lead == 0xF0 && second < 0x90);
   const bool is_surrogate = lead == 0xED && second > 0x9F;
-  const bool is_beyond = lead == 0xF4 && second > 0x8F;
-  return is_overlong || is_surrogate || is_beyond ? 0 : length;
+  const bool is_out_of_range = lead == 0xF4 && second > 0x8F;
+  return is_overlong || is_surrogate || is_out_of_range ? 0 : length;
 }
 
 bool IsUtf8(const std::string& text) {
--- a/src/platform/link_worker.h
+++ b/src/platform/link_worker.h
@@ -21,19 +21,19 @@
 
 // The messages that the link sends to its actors. They stay in the process.
 
-struct append_job {
+struct append_message {
   core::append_records what;
 };
-struct operation_job {
+struct operation_message {
   core::run_operation what;
 };
-struct stop_job {};
+struct stop_message {};
 
 }  // namespace plantainhead::platform
 
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::append_job)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::operation_job)
-CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::stop_job)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::append_message)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::operation_message)
+CAF_ALLOW_UNSAFE_MESSAGE_TYPE(plantainhead::platform::stop_message)
 
 namespace plantainhead::platform {
 
@@ -49,24 +49,24 @@
   std::size_t running = 0;
 
   backoff MakeBackoff() const {
-    return backoff(options.first_backoff, options.greatest_backoff,
+    return backoff(options.initial_backoff, options.max_backoff,
                    std::random_device()());
   }
 };
 
 /// A blocking actor with a connection of its own. A derived worker has
 /// `void Run(caf::blocking_actor* self)`, which returns soon after `Stop`.
-class worker {
+class link_worker {
  public:
-  worker(link_context* context, core::duration answer_timeout)
+  link_worker(link_context* context, core::duration answer_timeout)
       : context_(*context),
         client_(context->options.host,
                 context->options.port,
                 context->options.connect_timeout,
                 answer_timeout) {}
 
-  worker(const worker&) = delete;
-  worker& operator=(const worker&) = delete;
+  link_worker(const link_worker&) = delete;
+  link_worker& operator=(const link_worker&) = delete;
 
   /// Ends the worker: it posts nothing that it has not begun to post. A request
   /// that it is just about to send may still run to its end, unless this is
@@ -74,7 +74,7 @@
   /// Thread safety: safe from any thread.
   void Stop() {
     stopping_ = true;
-    caf::anon_send(address_, stop_job{});
+    caf::anon_send(address_, stop_message{});
     client_.Interrupt();
   }
 
@@ -88,7 +88,7 @@
   void set_ended() { has_ended_ = true; }
 
  protected:
-  ~worker() = default;
+  ~link_worker() = default;
 
   bool IsStopping() const { return stopping_; }
   const platform_options& options() const { return context_.options; }
@@ -100,7 +100,7 @@
   }
 
   link_context& context_;
-  http_client client_;
+  platform_http_client client_;
 
  private:
   caf::actor address_;
--- a/src/platform/list_reader.cc
+++ b/src/platform/list_reader.cc
@@ -7,23 +7,23 @@
 namespace plantainhead::platform {
 
 list_reader::list_reader(link_context* context)
-    : worker(context, context->options.answer_timeout),
+    : link_worker(context, context->options.answer_timeout),
       vms_("vms", &core::vm_listing::vm),
       tasks_("tasks", &core::task_listing::job),
       backoff_(context->MakeBackoff()) {}
 
 void list_reader::Run(caf::blocking_actor* self) {
   while (!IsStopping()) {
-    core::duration pause = options().list_interval;
+    core::duration delay = options().list_interval;
     if (ReadLists()) {
       backoff_.Reset();
       Post(core::vm_list_read{vms_.Items(), tasks_.Items()});
     } else {
-      pause = std::max(pause, backoff_.Next());
+      delay = std::max(delay, backoff_.Next());
       Post(core::vm_list_unavailable{});
     }
     if (!IsStopping()) {
-      self->receive([](stop_job) {}, caf::after(pause) >> [] {});
+      self->receive([](stop_message) {}, caf::after(delay) >> [] {});
     }
   }
 }
@@ -38,8 +38,8 @@
     return false;
   }
   try {
-    vms_.Update(vms.body);
-    tasks_.Update(tasks.body);
+    vms_.ApplyAnswer(vms.body);
+    tasks_.ApplyAnswer(tasks.body);
     return true;
   } catch (const codec_error&) {
     return false;
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -14,38 +14,38 @@
 /// with hundreds of VMs a whole list each second would be most of an entry's
 /// traffic. Thread safety: none.
 template <typename Key, typename T>
-class list_copy {
+class list_replica {
  public:
   /// `name` is that of the list in answers; `key` the key of an item.
-  list_copy(const char* name, Key T::*key) : name_(name), key_(key) {}
+  list_replica(const char* name, Key T::*key) : name_(name), key_(key) {}
 
   std::string Path() const {
     return std::string("/") + name_ + "?cursor=" + cursor_;
   }
 
   /// Takes an answer in. Throws `codec_error` and stays as it was.
-  void Update(const std::string& text) {
+  void ApplyAnswer(const std::string& text) {
     const json body = ParseObject(text);
     json_reader in(body, "");
     bool is_whole = true;
     std::string cursor;
     std::vector<T> changed;
-    std::vector<Key> gone;
+    std::vector<Key> removed;
     in("whole", is_whole);
     in("cursor", cursor);
-    in("gone", gone);
+    in("gone", removed);
     json_reader::Read(in.Require(name_), changed, std::string("/") + name_);
     if (is_whole) {
       items_.clear();
     }
-    for (const Key& key : gone) {
+    for (const Key& key : removed) {
       items_.erase(key);
     }
     for (T& item : changed) {
       const Key key = item.*key_;
       items_[key] = std::move(item);
     }
-    cursor_ = EscapeSegment(cursor);
+    cursor_ = EscapePathSegment(cursor);
   }
 
   std::vector<T> Items() const {
@@ -65,7 +65,7 @@
 };
 
 /// Reads the lists of VMs and tasks at an interval.
-class list_reader : public worker {
+class list_reader : public link_worker {
  public:
   explicit list_reader(link_context* context);
 
@@ -75,8 +75,8 @@
  private:
   bool ReadLists();
 
-  list_copy<core::vm_id, core::vm_listing> vms_;
-  list_copy<core::job_id, core::task_listing> tasks_;
+  list_replica<core::vm_id, core::vm_listing> vms_;
+  list_replica<core::job_id, core::task_listing> tasks_;
   backoff backoff_;
 };
 
--- a/src/platform/operation_runner.cc
+++ b/src/platform/operation_runner.cc
@@ -10,17 +10,17 @@
 namespace plantainhead::platform {
 namespace {
 
-constexpr int kStillRunning = 202;
+constexpr int kAccepted = 202;
 constexpr int kTooManyRequests = 429;
 constexpr int kClientErrorBegin = 400;
 constexpr int kClientErrorEnd = 500;
 // An operation that takes long to ask is left alone for so many times as long.
-constexpr int kPauseFactor = 4;
+constexpr int kPollDelayFactor = 4;
 
 core::operation_result ResultOf(const http_reply& reply) {
   if (reply.IsSuccess()) {
-    return reply.status == kStillRunning ? core::operation_result::kUnknown
-                                         : core::operation_result::kDone;
+    return reply.status == kAccepted ? core::operation_result::kUnknown
+                                     : core::operation_result::kDone;
   }
   const bool is_refusal = reply.status >= kClientErrorBegin &&
                           reply.status < kClientErrorEnd &&
@@ -38,60 +38,60 @@
     in("error", detail);
     return detail;
   } catch (const codec_error&) {
-    return reply.Fault();
+    return reply.ErrorText();
   }
 }
 
 }  // namespace
 
 operation_runner::operation_runner(link_context* context)
-    : worker(context, context->options.answer_timeout) {}
+    : link_worker(context, context->options.answer_timeout) {}
 
 void operation_runner::Run(caf::blocking_actor* self) {
   while (!IsStopping()) {
-    TakeMessages(self);
+    ReceiveMessages(self);
     if (!IsStopping() && !pending_.empty()) {
-      AskFirst();
+      PollNext();
     }
   }
 }
 
-void operation_runner::TakeMessages(caf::blocking_actor* self) {
-  bool is_more = true;
-  const auto on_operation = [&](operation_job& job) {
+void operation_runner::ReceiveMessages(caf::blocking_actor* self) {
+  bool has_more = true;
+  const auto on_operation = [&](operation_message& job) {
     const auto now = steady::now();
     pending_.push_back(
         {std::move(job.what), now + options().operation_timeout, now});
   };
-  const auto on_stop = [](stop_job) {};
-  while (is_more && !IsStopping()) {
+  const auto on_stop = [](stop_message) {};
+  while (has_more && !IsStopping()) {
     if (pending_.empty()) {
       self->receive(on_operation, on_stop);
     } else {
       self->receive(
           on_operation, on_stop,
-          caf::after(UntilFirst()) >> [&] { is_more = false; });
+          caf::after(TimeUntilNextPoll()) >> [&] { has_more = false; });
     }
   }
 }
 
-std::list<operation_runner::pending>::iterator operation_runner::First() {
+std::list<operation_runner::pending>::iterator operation_runner::NextToPoll() {
   return std::min_element(pending_.begin(), pending_.end(),
                           [](const pending& left, const pending& right) {
-                            return left.ask_next < right.ask_next;
+                            return left.next_poll < right.next_poll;
                           });
 }
 
-core::duration operation_runner::UntilFirst() {
+core::duration operation_runner::TimeUntilNextPoll() {
   const auto wait = std::chrono::duration_cast<core::duration>(
-      First()->ask_next - steady::now());
+      NextToPoll()->next_poll - steady::now());
   return std::max(wait, core::duration::zero());
 }
 
-void operation_runner::AskFirst() {
-  const auto item = First();
+void operation_runner::PollNext() {
+  const auto item = NextToPoll();
   const auto start = steady::now();
-  auto finished = Ask(*item);
+  auto finished = Poll(*item);
   if (finished.has_value()) {
     Post(std::move(*finished));
     pending_.erase(item);
@@ -101,19 +101,19 @@
   // again at once, a few of these would keep all others from being asked: a
   // lost rack would stop every wave. So each gets a small share of the time.
   const auto now = steady::now();
-  const auto pause = std::max<steady::duration>(options().operation_poll,
-                                                (now - start) * kPauseFactor);
-  item->ask_next = now + pause;
+  const auto delay = std::max<steady::duration>(
+      options().operation_poll, (now - start) * kPollDelayFactor);
+  item->next_poll = now + delay;
 }
 
-std::optional<core::operation_finished> operation_runner::Ask(
+std::optional<core::operation_finished> operation_runner::Poll(
     const pending& item) {
-  const http_reply reply =
-      client_.Post("/operations/" + EscapeSegment(item.what.operation.value()),
-                   Dump(WriteOperation(item.what.what)));
+  const http_reply reply = client_.Post(
+      "/operations/" + EscapePathSegment(item.what.operation.value()),
+      Dump(WriteOperation(item.what.what)));
   const bool is_running =
-      reply.reached == delivery::kAnswered && reply.status == kStillRunning;
-  if (is_running && steady::now() < item.give_up) {
+      reply.outcome == delivery::kAnswered && reply.status == kAccepted;
+  if (is_running && steady::now() < item.deadline) {
     return std::nullopt;
   }
   return core::operation_finished{item.what.operation, ResultOf(reply),
--- a/src/platform/operation_runner.h
+++ b/src/platform/operation_runner.h
@@ -9,9 +9,9 @@
 
 namespace plantainhead::platform {
 
-/// Carries out `operation_job`s. Those that have not reached their effect are
-/// asked again in turn.
-class operation_runner : public worker {
+/// Carries out `operation_message`s. Those that have not reached their effect
+/// are asked again in turn.
+class operation_runner : public link_worker {
  public:
   explicit operation_runner(link_context* context);
 
@@ -23,17 +23,17 @@
 
   struct pending {
     core::run_operation what;
-    steady::time_point give_up;
-    steady::time_point ask_next;
+    steady::time_point deadline;
+    steady::time_point next_poll;
   };
 
-  void TakeMessages(caf::blocking_actor* self);
+  void ReceiveMessages(caf::blocking_actor* self);
   // The one to be asked first. Precondition: some are pending.
-  std::list<pending>::iterator First();
-  core::duration UntilFirst();
-  void AskFirst();
+  std::list<pending>::iterator NextToPoll();
+  core::duration TimeUntilNextPoll();
+  void PollNext();
   // Returns the end of the operation, or nothing while it runs.
-  std::optional<core::operation_finished> Ask(const pending& item);
+  std::optional<core::operation_finished> Poll(const pending& item);
 
   std::list<pending> pending_;
 };
--- a/src/platform/platform_http_client.cc
+++ b/src/platform/platform_http_client.cc
@@ -13,7 +13,7 @@
 http_reply ToReply(httplib::Result result) {
   http_reply reply;
   if (result) {
-    reply.reached = delivery::kAnswered;
+    reply.outcome = delivery::kAnswered;
     reply.status = result->status;
     reply.body = std::move(result->body);
     return reply;
@@ -22,25 +22,25 @@
   const bool is_connected = error != httplib::Error::Connection &&
                             error != httplib::Error::ConnectionTimeout &&
                             error != httplib::Error::BindIPAddress;
-  reply.reached = is_connected ? delivery::kUnanswered : delivery::kNotSent;
+  reply.outcome = is_connected ? delivery::kUnanswered : delivery::kNotSent;
   return reply;
 }
 
 }  // namespace
 
 bool http_reply::IsSuccess() const {
-  return reached == delivery::kAnswered && status >= kSuccessBegin &&
+  return outcome == delivery::kAnswered && status >= kSuccessBegin &&
          status < kSuccessEnd;
 }
 
-std::string http_reply::Fault() const {
-  if (reached == delivery::kAnswered) {
+std::string http_reply::ErrorText() const {
+  if (outcome == delivery::kAnswered) {
     return "status " + std::to_string(status);
   }
-  return std::string(core::NameOf(reached));
+  return std::string(core::NameOf(outcome));
 }
 
-std::string EscapeSegment(const std::string& text) {
+std::string EscapePathSegment(const std::string& text) {
   constexpr char kDigits[] = "0123456789ABCDEF";
   constexpr unsigned kBase = 16;
   std::string escaped;
@@ -57,10 +57,10 @@
   return escaped;
 }
 
-http_client::http_client(const std::string& host,
-                         std::uint16_t port,
-                         core::duration connect_timeout,
-                         core::duration answer_timeout)
+platform_http_client::platform_http_client(const std::string& host,
+                                           std::uint16_t port,
+                                           core::duration connect_timeout,
+                                           core::duration answer_timeout)
     : client_(host, port) {
   client_.set_connection_timeout(connect_timeout);
   client_.set_read_timeout(answer_timeout);
@@ -76,28 +76,29 @@
 // far as anyone can tell: an append after a quiet spell would end as unknown,
 // and a caller's claim with it, although nothing is wrong. No server closes as
 // early as this limit, so that a connection is never used near that moment.
-void http_client::DropIdleConnection() {
+void platform_http_client::DropIdleConnection() {
   const auto now = std::chrono::steady_clock::now();
   if (now - last_use_ > kIdleLimit) {
     client_.stop();
   }
 }
 
-http_reply http_client::Get(const std::string& path) {
+http_reply platform_http_client::Get(const std::string& path) {
   DropIdleConnection();
   http_reply reply = ToReply(client_.Get(path));
   last_use_ = std::chrono::steady_clock::now();
   return reply;
 }
 
-http_reply http_client::Post(const std::string& path, const std::string& body) {
+http_reply platform_http_client::Post(const std::string& path,
+                                      const std::string& body) {
   DropIdleConnection();
   http_reply reply = ToReply(client_.Post(path, body, "application/json"));
   last_use_ = std::chrono::steady_clock::now();
   return reply;
 }
 
-void http_client::Interrupt() {
+void platform_http_client::Interrupt() {
   client_.stop();
 }
 
--- a/src/platform/platform_http_client.h
+++ b/src/platform/platform_http_client.h
@@ -15,7 +15,7 @@
 using net::delivery;
 
 struct http_reply {
-  delivery reached = delivery::kNotSent;
+  delivery outcome = delivery::kNotSent;
   /// Of the answer, when there is one.
   int status = 0;
   std::string body;
@@ -23,20 +23,20 @@
   /// True for a whole answer with a status of 2xx.
   bool IsSuccess() const;
   /// What went wrong, for people.
-  std::string Fault() const;
+  std::string ErrorText() const;
 };
 
 /// Returns `text` as one segment of a path.
 /// Thread safety: safe from any thread.
-std::string EscapeSegment(const std::string& text);
+std::string EscapePathSegment(const std::string& text);
 
 /// A connection to the platform that blocks its one user.
-class http_client {
+class platform_http_client {
  public:
-  http_client(const std::string& host,
-              std::uint16_t port,
-              core::duration connect_timeout,
-              core::duration answer_timeout);
+  platform_http_client(const std::string& host,
+                       std::uint16_t port,
+                       core::duration connect_timeout,
+                       core::duration answer_timeout);
 
   /// Thread safety: one thread at a time.
   http_reply Get(const std::string& path);
--- a/src/platform/platform_json.cc
+++ b/src/platform/platform_json.cc
@@ -17,13 +17,13 @@
               std::variant_size_v<core::platform_operation>);
 
 // A lease stands as whole milliseconds.
-void LeaseField(json_reader& a, core::duration& lease) {
+void LeaseMsField(json_reader& a, core::duration& lease) {
   std::int64_t milliseconds = 0;
   a("lease_ms", milliseconds);
   lease = std::chrono::milliseconds(milliseconds);
 }
 
-void LeaseField(json_writer& a, const core::duration& lease) {
+void LeaseMsField(json_writer& a, const core::duration& lease) {
   a("lease_ms",
     std::chrono::duration_cast<std::chrono::milliseconds>(lease).count());
 }
@@ -51,14 +51,14 @@
   a("processors", x.processors);
   a("memory_mb", x.memory_mb);
   a("accelerators", x.accelerators);
-  LeaseField(a, x.lease);
+  LeaseMsField(a, x.lease);
 }
 
 template <typename Archive>
 void Fields(Archive& a, typename Archive::template ref<core::renew_task> x) {
   a("job", x.job);
   a("vm", x.vm);
-  LeaseField(a, x.lease);
+  LeaseMsField(a, x.lease);
 }
 
 template <typename Archive>
--- a/src/platform/platform_link.cc
+++ b/src/platform/platform_link.cc
@@ -34,23 +34,23 @@
 }
 
 // Counts a worker as running while its thread may touch the link.
-class running_mark {
+class running_worker_guard {
  public:
-  running_mark(link_context* context, worker* who)
-      : context_(*context), who_(*who) {}
-  ~running_mark() {
+  running_worker_guard(link_context* context, link_worker* worker)
+      : context_(*context), worker_(*worker) {}
+  ~running_worker_guard() {
     const std::lock_guard lock(context_.mutex);
-    who_.set_ended();
+    worker_.set_ended();
     --context_.running;
     context_.ended.notify_all();
   }
 
-  running_mark(const running_mark&) = delete;
-  running_mark& operator=(const running_mark&) = delete;
+  running_worker_guard(const running_worker_guard&) = delete;
+  running_worker_guard& operator=(const running_worker_guard&) = delete;
 
  private:
   link_context& context_;
-  worker& who_;
+  link_worker& worker_;
 };
 
 }  // namespace
@@ -72,7 +72,7 @@
   template <typename Worker, typename... Args>
   std::unique_ptr<Worker> Start(Args&&... args);
   // Returns the appender of a stream; starts it for the first streams.
-  appender& AppenderOf(const core::stream_name& stream);
+  appender& AppenderFor(const core::stream_name& stream);
   // Stops the reader of a stream, if there is one, and forgets those that have
   // ended.
   void RetireReader(const core::stream_name& stream);
@@ -102,7 +102,7 @@
   context_.post = std::move(post);
   const std::lock_guard lock(mutex_);
   list_reader_ = Start<list_reader>();
-  for (std::size_t i = 0; i < context_.options.operators; ++i) {
+  for (std::size_t i = 0; i < context_.options.operation_threads; ++i) {
     runners_.push_back(Start<operation_runner>());
   }
 }
@@ -117,33 +117,33 @@
   }
   started->set_address(system_.spawn<caf::detached>(
       [context = &context_, body = started.get()](caf::blocking_actor* self) {
-        const running_mark mark(context, body);
+        const running_worker_guard mark(context, body);
         BlockPipeSignal();
         body->Run(self);
       }));
   return started;
 }
 
-appender& platform_link::implementation::AppenderOf(
+appender& platform_link::implementation::AppenderFor(
     const core::stream_name& stream) {
   const auto known = appender_of_.find(stream);
   if (known != appender_of_.end()) {
     return *appenders_[known->second];
   }
-  const std::size_t most = context_.options.appenders;
-  std::size_t chosen = appender_of_.size() % most;
-  if (chosen == appenders_.size()) {
+  const std::size_t max_appenders = context_.options.append_threads;
+  std::size_t index = appender_of_.size() % max_appenders;
+  if (index == appenders_.size()) {
     appenders_.push_back(Start<appender>());
   }
-  appender_of_[stream] = chosen;
-  return *appenders_[chosen];
+  appender_of_[stream] = index;
+  return *appenders_[index];
 }
 
 void platform_link::implementation::Append(core::append_records action) {
   const std::lock_guard lock(mutex_);
   if (!stopping_) {
-    appender& to = AppenderOf(action.stream);
-    caf::anon_send(to.address(), append_job{std::move(action)});
+    appender& to = AppenderFor(action.stream);
+    caf::anon_send(to.address(), append_message{std::move(action)});
   }
 }
 
@@ -180,10 +180,10 @@
 void platform_link::implementation::Run(core::run_operation action) {
   const std::lock_guard lock(mutex_);
   if (!stopping_) {
-    const std::size_t chosen =
+    const std::size_t index =
         std::hash<core::operation_id>()(action.operation) % runners_.size();
-    caf::anon_send(runners_[chosen]->address(),
-                   operation_job{std::move(action)});
+    caf::anon_send(runners_[index]->address(),
+                   operation_message{std::move(action)});
   }
 }
 
--- a/src/platform/record_fields.h
+++ b/src/platform/record_fields.h
@@ -324,13 +324,13 @@
 
 // The remembered ids are most of a snapshot, and as a rule they are those of
 // the remembered records; only then they are left out.
-inline void RecentIds(json_writer& a, const core::fleet_state& x) {
+inline void RecentIdsField(json_writer& a, const core::fleet_state& x) {
   if (x.recent_ids != IdsOf(x.recent_records)) {
     a("recent_ids", x.recent_ids);
   }
 }
 
-inline void RecentIds(json_reader& a, core::fleet_state& x) {
+inline void RecentIdsField(json_reader& a, core::fleet_state& x) {
   x.recent_ids = IdsOf(x.recent_records);
   a("recent_ids", x.recent_ids);
 }
@@ -354,7 +354,7 @@
   a("ended_jobs", x.ended_jobs);
   a("writers", x.writers);
   a("recent_records", x.recent_records);
-  RecentIds(a, x);
+  RecentIdsField(a, x);
 }
 
 template <typename Archive>
--- a/src/platform/stream_reader.cc
+++ b/src/platform/stream_reader.cc
@@ -65,28 +65,28 @@
 }  // namespace
 
 stream_reader::stream_reader(link_context* context, core::follow_stream what)
-    : worker(context,
-             context->options.read_wait + context->options.answer_timeout),
+    : link_worker(context,
+                  context->options.read_wait + context->options.answer_timeout),
       stream_(std::move(what.stream)),
       after_(what.after),
       backoff_(context->MakeBackoff()) {}
 
 void stream_reader::Run(caf::blocking_actor* self) {
   while (!IsStopping()) {
-    pause_ = core::duration::zero();
+    next_read_delay_ = core::duration::zero();
     Handle(client_.Get(NextPath()));
-    if (!IsStopping() && pause_ > core::duration::zero()) {
-      self->receive([](stop_job) {}, caf::after(pause_) >> [] {});
+    if (!IsStopping() && next_read_delay_ > core::duration::zero()) {
+      self->receive([](stop_message) {}, caf::after(next_read_delay_) >> [] {});
     }
   }
 }
 
 std::string stream_reader::NextPath() const {
   const core::duration wait =
-      is_fresh_ ? core::duration::zero() : options().read_wait;
+      read_without_wait_ ? core::duration::zero() : options().read_wait;
   const auto wait_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
-  return "/streams/" + EscapeSegment(stream_.value()) +
+  return "/streams/" + EscapePathSegment(stream_.value()) +
          "/records?after=" + std::to_string(after_) +
          "&max=" + std::to_string(options().read_max) +
          "&wait_ms=" + std::to_string(wait_ms);
@@ -94,7 +94,7 @@
 
 void stream_reader::Handle(const http_reply& reply) {
   if (!reply.IsSuccess()) {
-    HandleFailure(reply.Fault());
+    HandleFailure(reply.ErrorText());
     return;
   }
   try {
@@ -105,8 +105,8 @@
 }
 
 void stream_reader::HandleFailure(std::string detail) {
-  is_fresh_ = true;
-  pause_ = backoff_.Next();
+  read_without_wait_ = true;
+  next_read_delay_ = backoff_.Next();
   Post(core::log_unavailable{stream_, std::move(detail)});
 }
 
@@ -114,8 +114,8 @@
   read.stream = stream_;
   if (read.end < after_) {
     read.entries.clear();
-    is_fresh_ = true;
-    pause_ = backoff_.Next();
+    read_without_wait_ = true;
+    next_read_delay_ = backoff_.Next();
     Post(std::move(read));
     return;
   }
@@ -127,7 +127,7 @@
     return;
   }
   backoff_.Reset();
-  is_fresh_ = false;
+  read_without_wait_ = false;
   after_ = first - 1 + read.entries.size();
   Post(std::move(read));
 }
--- a/src/platform/stream_reader.h
+++ b/src/platform/stream_reader.h
@@ -8,7 +8,7 @@
 namespace plantainhead::platform {
 
 /// Reads one stream by long polls.
-class stream_reader : public worker {
+class stream_reader : public link_worker {
  public:
   stream_reader(link_context* context, core::follow_stream what);
 
@@ -27,8 +27,8 @@
   core::log_offset after_ = 0;
   // True when nothing was read since the stream was followed or lost: the next
   // read then tells at once where the stream ends.
-  bool is_fresh_ = true;
-  core::duration pause_{};
+  bool read_without_wait_ = true;
+  core::duration next_read_delay_{};
   backoff backoff_;
 };
 
--- a/src/runtime/daemon_options.cc
+++ b/src/runtime/daemon_options.cc
@@ -50,7 +50,8 @@
   options.threads = settings.http_threads;
   options.body_limit = settings.body_limit;
   options.greatest_patience =
-      std::chrono::duration_cast<std::chrono::milliseconds>(settings.patience);
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+          settings.max_request_timeout);
   options.default_patience =
       std::min(options.default_patience, options.greatest_patience);
   return options;
@@ -83,7 +84,7 @@
   options.lease.lease = settings.planner_lease;
   options.lease.margin = settings.planner_lease / kLeaseMarginParts;
   options.lease.take_spread = settings.planner_lease / kLeaseSpreadParts;
-  options.planner.max_deadline = settings.patience;
+  options.planner.max_deadline = settings.max_request_timeout;
   options.planner.pause_burn_rate = kPauseBurnRate;
   options.planner.resume_burn_rate = kResumeBurnRate;
   options.count_interval = settings.count_interval;
--- a/src/settings/entry_settings.cc
+++ b/src/settings/entry_settings.cc
@@ -17,10 +17,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint64_t kMostPort = 65535;
-constexpr std::uint64_t kMostThreads = 4096;
-constexpr std::uint64_t kLeastBody = 1 << 10;
-constexpr std::uint64_t kMostBody = 1 << 30;
+constexpr std::uint64_t kMaxPort = 65535;
+constexpr std::uint64_t kMaxThreads = 4096;
+constexpr std::uint64_t kMinBody = 1 << 10;
+constexpr std::uint64_t kMaxBody = 1 << 30;
 
 bool IsIpNumber(const std::string& host) {
   std::array<unsigned char, sizeof(in6_addr)> address{};
@@ -51,9 +51,9 @@
                   const std::string& key,
                   T* value,
                   value_range<std::uint64_t> range,
-                  presence need = presence::kOptional) {
+                  presence requirement = presence::kOptional) {
   std::uint64_t number = *value;
-  mapping->ReadWholeNumber(key, &number, range, need);
+  mapping->ReadWholeNumber(key, &number, range, requirement);
   *value = static_cast<T>(number);
 }
 
@@ -73,7 +73,7 @@
     return;
   }
   ReadHost(&*platform, "host", sink, &settings->platform_host);
-  ReadUnsigned(&*platform, "port", &settings->platform_port, {1, kMostPort},
+  ReadUnsigned(&*platform, "port", &settings->platform_port, {1, kMaxPort},
                presence::kRequired);
   platform->CheckKeys();
 }
@@ -83,12 +83,13 @@
   if (!limits) {
     return;
   }
-  limits->ReadBytes("body", &settings->body_limit, {kLeastBody, kMostBody});
+  limits->ReadBytes("body", &settings->body_limit, {kMinBody, kMaxBody});
   ReadUnsigned(&*limits, "http-threads", &settings->http_threads,
-               {4, kMostThreads});
+               {4, kMaxThreads});
   ReadUnsigned(&*limits, "endpoint-threads", &settings->endpoint_threads,
-               {1, kMostThreads});
-  limits->ReadDuration("patience", &settings->patience, {seconds(1), hours(1)});
+               {1, kMaxThreads});
+  limits->ReadDuration("patience", &settings->max_request_timeout,
+                       {seconds(1), hours(1)});
   limits->CheckKeys();
 }
 
@@ -153,8 +154,8 @@
   ReadName(&top, "zone", &settings.zone);
   ReadName(&top, "region", &settings.region);
   ReadHost(&top, "host", &sink, &settings.host);
-  ReadUnsigned(&top, "http-port", &settings.http_port, {0, kMostPort});
-  ReadUnsigned(&top, "peer-port", &settings.peer_port, {0, kMostPort});
+  ReadUnsigned(&top, "http-port", &settings.http_port, {0, kMaxPort});
+  ReadUnsigned(&top, "peer-port", &settings.peer_port, {0, kMaxPort});
   top.ReadText("port-file", &settings.port_file);
   ReadPlatform(&top, &sink, &settings);
   ReadLimits(&top, &settings);
--- a/src/settings/scheduler_settings.cc
+++ b/src/settings/scheduler_settings.cc
@@ -38,7 +38,7 @@
     fleet->CheckKeys();
   }
   if (auto lease = top.Section("lease")) {
-    lease->ReadDuration("most", &settings.longest_lease,
+    lease->ReadDuration("most", &settings.max_vm_lease,
                         {milliseconds(1000), hours(1)});
     lease->ReadDuration("holder", &settings.holder_lease,
                         {milliseconds(0), hours(1)});
--- a/src/settings/settings_reloader.cc
+++ b/src/settings/settings_reloader.cc
@@ -8,21 +8,21 @@
 
 settings_reloader::settings_reloader(std::string file)
     : file_(std::move(file)),
-      known_{ReadFile(file_), {}},
-      current_(ParseSchedulerSettings(known_.text, file_)) {}
+      last_processed_{ReadFile(file_), {}},
+      current_(ParseSchedulerSettings(last_processed_.text, file_)) {}
 
 reload_outcome settings_reloader::Reload() {
   return Apply(Read());
 }
 
-std::optional<reload_outcome> settings_reloader::Look() {
+std::optional<reload_outcome> settings_reloader::Poll() {
   content found = Read();
-  if (found == known_) {
-    seen_.reset();
+  if (found == last_processed_) {
+    pending_change_.reset();
     return std::nullopt;
   }
-  if (seen_ != found) {
-    seen_ = std::move(found);
+  if (pending_change_ != found) {
+    pending_change_ = std::move(found);
     return std::nullopt;
   }
   return Apply(found);
@@ -37,8 +37,8 @@
 }
 
 reload_outcome settings_reloader::Apply(const content& found) {
-  known_ = found;
-  seen_.reset();
+  last_processed_ = found;
+  pending_change_.reset();
   if (!found.unreadable.empty()) {
     return reload_refused{found.unreadable};
   }
@@ -52,7 +52,7 @@
     return reload_unchanged{};
   }
   const std::vector<core::finding> restarts =
-      FindRestarts(current_, fresh, file_);
+      FindRestartOnlyChanges(current_, fresh, file_);
   if (!restarts.empty()) {
     return reload_refused{restarts};
   }
@@ -60,7 +60,7 @@
   return reload_applied{current_};
 }
 
-std::vector<core::finding> FindRestarts(
+std::vector<core::finding> FindRestartOnlyChanges(
     const scheduler_process_settings& current,
     const scheduler_process_settings& fresh,
     const std::string& file) {
@@ -81,7 +81,7 @@
   check("listen.metrics", current.metrics_address, fresh.metrics_address);
   check("store.address", current.store_address, fresh.store_address);
   check("fleet.address", current.fleet_address, fresh.fleet_address);
-  check("lease.most", current.longest_lease, fresh.longest_lease);
+  check("lease.most", current.max_vm_lease, fresh.max_vm_lease);
   check("lease.holder", current.holder_lease, fresh.holder_lease);
   return findings;
 }
--- a/src/settings/settings_reloader.h
+++ b/src/settings/settings_reloader.h
@@ -45,7 +45,7 @@
   /// row have found the same: while a file is being written its beginning may
   /// be a valid file with other settings. Returns nothing where nothing new is
   /// found.
-  std::optional<reload_outcome> Look();
+  std::optional<reload_outcome> Poll();
 
  private:
   /// What a file holds, or why it can't be read.
@@ -61,9 +61,9 @@
 
   std::string file_;
   /// What was last applied or refused.
-  content known_;
+  content last_processed_;
   /// What the last look found, if that is something else.
-  std::optional<content> seen_;
+  std::optional<content> pending_change_;
   scheduler_process_settings current_;
 };
 
@@ -71,7 +71,7 @@
 /// can't apply: all but `stop.grace`, since the rest is part of its
 /// connections, of its place in the group, or of leases that VMs have been
 /// given. Thread safety: safe from any thread.
-std::vector<core::finding> FindRestarts(
+std::vector<core::finding> FindRestartOnlyChanges(
     const scheduler_process_settings& current,
     const scheduler_process_settings& fresh,
     const std::string& file);
--- a/src/settings/targets.cc
+++ b/src/settings/targets.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t kSchemaVersion = 1;
-constexpr std::uint64_t kMostVms = 1'000'000;
-constexpr double kMostPriority = 1000;
+constexpr std::uint64_t kMaxVms = 1'000'000;
+constexpr double kMaxPriority = 1000;
 constexpr int kDaysOfWindow = 366;
 constexpr int kHoursOfDay = 24;
 
@@ -23,17 +23,17 @@
 void ReadName(yaml_mapping* mapping,
               const std::string& key,
               Id* id,
-              presence need = presence::kRequired) {
+              presence requirement = presence::kRequired) {
   std::string text;
-  mapping->ReadText(key, &text, need);
+  mapping->ReadText(key, &text, requirement);
   *id = Id(text);
 }
 
 std::uint32_t ReadCount(yaml_mapping* mapping,
                         const std::string& key,
-                        presence need = presence::kOptional) {
+                        presence requirement = presence::kOptional) {
   std::uint64_t count = 0;
-  mapping->ReadWholeNumber(key, &count, {0, kMostVms}, need);
+  mapping->ReadWholeNumber(key, &count, {0, kMaxVms}, requirement);
   return static_cast<std::uint32_t>(count);
 }
 
@@ -95,7 +95,7 @@
     return;
   }
   core::measure_priorities priorities;
-  const value_range<double> range{0, kMostPriority};
+  const value_range<double> range{0, kMaxPriority};
   section->ReadNumber("buffer-cost", &priorities.buffer_cost, range);
   section->ReadNumber("roll-out-time", &priorities.roll_out_time, range);
   section->ReadNumber("moves", &priorities.moves, range);
--- a/src/settings/units.cc
+++ b/src/settings/units.cc
@@ -74,9 +74,9 @@
       continue;
     }
     const double value = parts->number * static_cast<double>(factor);
-    constexpr auto kMost =
+    constexpr auto kMaxValue =
         static_cast<double>(std::numeric_limits<std::int64_t>::max());
-    if (value >= kMost) {
+    if (value >= kMaxValue) {
       throw unit_error("'" + std::string(text) + "' is too large");
     }
     return std::llround(value);
--- a/src/settings/yaml_mapping.cc
+++ b/src/settings/yaml_mapping.cc
@@ -38,13 +38,13 @@
 // Returns the known key that `key` most likely means, or an empty text.
 std::string NearestKey(const std::string& key,
                        const std::vector<std::string>& known) {
-  constexpr std::size_t kMostEdits = 3;
+  constexpr std::size_t kMaxEdits = 3;
   std::string nearest;
-  std::size_t least = kMostEdits + 1;
+  std::size_t min_distance = kMaxEdits + 1;
   for (const std::string& candidate : known) {
     const std::size_t distance = EditDistance(key, candidate);
-    if (distance < least && distance < candidate.size()) {
-      least = distance;
+    if (distance < min_distance && distance < candidate.size()) {
+      min_distance = distance;
       nearest = candidate;
     }
   }
@@ -88,7 +88,7 @@
                            finding_sink* sink)
     : node_(node), name_(std::move(name)), sink_(sink) {}
 
-std::string yaml_mapping::PathOf(const std::string& key) const {
+std::string yaml_mapping::QuotedPath(const std::string& key) const {
   return "'" + (name_.empty() ? key : name_ + "." + key) + "'";
 }
 
@@ -106,27 +106,27 @@
 }
 
 std::optional<YAML::Node> yaml_mapping::Find(const std::string& key,
-                                             presence need) {
-  known_.push_back(key);
+                                             presence requirement) {
+  known_keys_.push_back(key);
   for (const auto& item : node_) {
     if (item.first.IsScalar() && item.first.Scalar() == key) {
       return item.second;
     }
   }
-  if (need == presence::kRequired) {
-    sink_->Add(node_, PathOf(key) + " is missing");
+  if (requirement == presence::kRequired) {
+    sink_->Add(node_, QuotedPath(key) + " is missing");
   }
   return std::nullopt;
 }
 
 std::optional<std::string> yaml_mapping::Scalar(const std::string& key,
-                                                presence need) {
-  const std::optional<YAML::Node> node = Find(key, need);
+                                                presence requirement) {
+  const std::optional<YAML::Node> node = Find(key, requirement);
   if (!node) {
     return std::nullopt;
   }
   if (!node->IsScalar()) {
-    sink_->Add(*node, PathOf(key) + " must be a single value");
+    sink_->Add(*node, QuotedPath(key) + " must be a single value");
     return std::nullopt;
   }
   return node->Scalar();
@@ -134,16 +134,16 @@
 
 template <typename T, typename Parse>
 std::optional<T> yaml_mapping::ReadWith(const std::string& key,
-                                        presence need,
+                                        presence requirement,
                                         Parse parse) {
-  const std::optional<std::string> text = Scalar(key, need);
+  const std::optional<std::string> text = Scalar(key, requirement);
   if (!text) {
     return std::nullopt;
   }
   try {
     return parse(*text);
   } catch (const unit_error& error) {
-    sink_->Add(At(key), PathOf(key) + ": " + error.what());
+    sink_->Add(At(key), QuotedPath(key) + ": " + error.what());
     return std::nullopt;
   }
 }
@@ -152,16 +152,16 @@
 void yaml_mapping::ReadInRange(const std::string& key,
                                T* value,
                                value_range<T> range,
-                               presence need,
+                               presence requirement,
                                Parse parse,
                                Format format) {
-  const std::optional<T> read = ReadWith<T>(key, need, parse);
+  const std::optional<T> read = ReadWith<T>(key, requirement, parse);
   if (!read) {
     return;
   }
-  if (*read < range.least || *read > range.most) {
-    sink_->Add(At(key), PathOf(key) + " must be from " + format(range.least) +
-                            " to " + format(range.most) + ", not " +
+  if (*read < range.min || *read > range.max) {
+    sink_->Add(At(key), QuotedPath(key) + " must be from " + format(range.min) +
+                            " to " + format(range.max) + ", not " +
                             format(*read));
     return;
   }
@@ -170,13 +170,13 @@
 
 void yaml_mapping::ReadText(const std::string& key,
                             std::string* value,
-                            presence need) {
-  const std::optional<std::string> text = Scalar(key, need);
+                            presence requirement) {
+  const std::optional<std::string> text = Scalar(key, requirement);
   if (!text) {
     return;
   }
-  if (need == presence::kRequired && text->empty()) {
-    sink_->Add(At(key), PathOf(key) + " is empty");
+  if (requirement == presence::kRequired && text->empty()) {
+    sink_->Add(At(key), QuotedPath(key) + " is empty");
     return;
   }
   *value = *text;
@@ -195,8 +195,8 @@
 void yaml_mapping::ReadWholeNumber(const std::string& key,
                                    std::uint64_t* value,
                                    value_range<std::uint64_t> range,
-                                   presence need) {
-  ReadInRange(key, value, range, need, ParseWholeNumber,
+                                   presence requirement) {
+  ReadInRange(key, value, range, requirement, ParseWholeNumber,
               [](std::uint64_t number) { return std::to_string(number); });
 }
 
@@ -210,8 +210,8 @@
 void yaml_mapping::ReadDuration(const std::string& key,
                                 core::duration* value,
                                 value_range<core::duration> range,
-                                presence need) {
-  ReadInRange(key, value, range, need, ParseDuration, FormatDuration);
+                                presence requirement) {
+  ReadInRange(key, value, range, requirement, ParseDuration, FormatDuration);
 }
 
 void yaml_mapping::ReadBytes(const std::string& key,
@@ -222,18 +222,18 @@
 
 void yaml_mapping::ReadShare(const std::string& key,
                              double* value,
-                             presence need) {
-  *value = ReadWith<double>(key, need, ParseShare).value_or(*value);
+                             presence requirement) {
+  *value = ReadWith<double>(key, requirement, ParseShare).value_or(*value);
 }
 
 std::optional<yaml_mapping> yaml_mapping::Section(const std::string& key,
-                                                  presence need) {
-  const std::optional<YAML::Node> node = Find(key, need);
+                                                  presence requirement) {
+  const std::optional<YAML::Node> node = Find(key, requirement);
   if (!node) {
     return std::nullopt;
   }
   if (!node->IsMap()) {
-    sink_->Add(*node, PathOf(key) + " must be a mapping");
+    sink_->Add(*node, QuotedPath(key) + " must be a mapping");
     return std::nullopt;
   }
   return yaml_mapping(*node, name_.empty() ? key : name_ + "." + key, sink_);
@@ -246,7 +246,7 @@
     return items;
   }
   if (!node->IsSequence()) {
-    sink_->Add(*node, PathOf(key) + " must be a list");
+    sink_->Add(*node, QuotedPath(key) + " must be a list");
     return items;
   }
   for (std::size_t i = 0; i < node->size(); ++i) {
@@ -255,28 +255,28 @@
     if (item.IsMap()) {
       items.emplace_back(item, name, sink_);
     } else {
-      sink_->Add(item, PathOf(name) + " must be a mapping");
+      sink_->Add(item, QuotedPath(name) + " must be a mapping");
     }
   }
   return items;
 }
 
 std::vector<std::string> yaml_mapping::TextList(const std::string& key,
-                                                presence need) {
-  const std::optional<YAML::Node> node = Find(key, need);
+                                                presence requirement) {
+  const std::optional<YAML::Node> node = Find(key, requirement);
   std::vector<std::string> texts;
   if (!node) {
     return texts;
   }
   if (!node->IsSequence()) {
-    sink_->Add(*node, PathOf(key) + " must be a list");
+    sink_->Add(*node, QuotedPath(key) + " must be a list");
     return texts;
   }
   for (const YAML::Node& item : *node) {
     if (item.IsScalar()) {
       texts.push_back(item.Scalar());
     } else {
-      sink_->Add(item, PathOf(key) + " must hold single values");
+      sink_->Add(item, QuotedPath(key) + " must hold single values");
     }
   }
   return texts;
@@ -291,16 +291,17 @@
     }
     const std::string& key = item.first.Scalar();
     if (!seen.insert(key).second) {
-      sink_->Add(item.first, PathOf(key) + " stands twice");
+      sink_->Add(item.first, QuotedPath(key) + " stands twice");
       continue;
     }
-    if (std::find(known_.begin(), known_.end(), key) != known_.end()) {
+    if (std::find(known_keys_.begin(), known_keys_.end(), key) !=
+        known_keys_.end()) {
       continue;
     }
-    const std::string nearest = NearestKey(key, known_);
+    const std::string nearest = NearestKey(key, known_keys_);
     sink_->Add(
         item.first,
-        PathOf(key) + " is not known" +
+        QuotedPath(key) + " is not known" +
             (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
 }
--- a/src/settings/yaml_mapping.h
+++ b/src/settings/yaml_mapping.h
@@ -36,8 +36,8 @@
 /// Least and greatest value that is allowed.
 template <typename T>
 struct value_range {
-  T least;
-  T most;
+  T min;
+  T max;
 };
 
 /// Reads one YAML mapping key by key. What is wrong goes to the sink and leaves
@@ -51,30 +51,31 @@
 
   void ReadText(const std::string& key,
                 std::string* value,
-                presence need = presence::kOptional);
+                presence requirement = presence::kOptional);
   void ReadFlag(const std::string& key, bool* value);
   void ReadWholeNumber(const std::string& key,
                        std::uint64_t* value,
                        value_range<std::uint64_t> range,
-                       presence need = presence::kOptional);
+                       presence requirement = presence::kOptional);
   void ReadNumber(const std::string& key,
                   double* value,
                   value_range<double> range);
   void ReadDuration(const std::string& key,
                     core::duration* value,
                     value_range<core::duration> range,
-                    presence need = presence::kOptional);
+                    presence requirement = presence::kOptional);
   void ReadBytes(const std::string& key,
                  std::uint64_t* value,
                  value_range<std::uint64_t> range);
   void ReadShare(const std::string& key,
                  double* value,
-                 presence need = presence::kOptional);
+                 presence requirement = presence::kOptional);
 
   /// Returns the mapping under `key`; nothing when it is missing or of another
   /// kind.
-  std::optional<yaml_mapping> Section(const std::string& key,
-                                      presence need = presence::kOptional);
+  std::optional<yaml_mapping> Section(
+      const std::string& key,
+      presence requirement = presence::kOptional);
 
   /// Returns the mappings in the list under `key`, without those of another
   /// kind.
@@ -82,7 +83,7 @@
 
   /// Returns the texts in the list under `key`.
   std::vector<std::string> TextList(const std::string& key,
-                                    presence need = presence::kOptional);
+                                    presence requirement = presence::kOptional);
 
   /// Reports keys that nobody read, with the known key that is nearest, and
   /// keys that stand twice. Call it last.
@@ -98,25 +99,28 @@
  private:
   // Returns the node under `key`, or a null node after reporting that it is
   // missing. The key counts as known from then on.
-  std::optional<YAML::Node> Find(const std::string& key, presence need);
-  std::optional<std::string> Scalar(const std::string& key, presence need);
-  std::string PathOf(const std::string& key) const;
+  std::optional<YAML::Node> Find(const std::string& key, presence requirement);
+  std::optional<std::string> Scalar(const std::string& key,
+                                    presence requirement);
+  std::string QuotedPath(const std::string& key) const;
 
   // Parses the scalar under `key` by `parse`, which throws `unit_error`.
   template <typename T, typename Parse>
-  std::optional<T> ReadWith(const std::string& key, presence need, Parse parse);
+  std::optional<T> ReadWith(const std::string& key,
+                            presence requirement,
+                            Parse parse);
   template <typename T, typename Parse, typename Format>
   void ReadInRange(const std::string& key,
                    T* value,
                    value_range<T> range,
-                   presence need,
+                   presence requirement,
                    Parse parse,
                    Format format);
 
   YAML::Node node_;
   std::string name_;
   finding_sink* sink_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
 }  // namespace plantainhead::settings
--- a/tests/platform/platform_link_test.cc
+++ b/tests/platform/platform_link_test.cc
@@ -24,7 +24,7 @@
 using namespace core;
 
 // Bounds a wait for an event that never comes.
-constexpr auto kPatience = std::chrono::seconds(20);
+constexpr auto kEventTimeout = std::chrono::seconds(20);
 
 const stream_name kStream{"control"};
 
@@ -48,7 +48,7 @@
   T TakeIf(Predicate fits) {
     std::optional<T> found;
     std::unique_lock lock(mutex_);
-    const bool is_there = arrived_.wait_for(lock, kPatience, [&] {
+    const bool is_there = arrived_.wait_for(lock, kEventTimeout, [&] {
       std::erase_if(events_, [&](const event& item) {
         const T* candidate = std::get_if<T>(&item);
         if (candidate == nullptr || found.has_value()) {
@@ -101,8 +101,8 @@
   platform_options Options() const {
     platform_options options;
     options.port = server_->port();
-    options.first_backoff = std::chrono::milliseconds(5);
-    options.greatest_backoff = std::chrono::milliseconds(20);
+    options.initial_backoff = std::chrono::milliseconds(5);
+    options.max_backoff = std::chrono::milliseconds(20);
     options.list_interval = std::chrono::milliseconds(20);
     options.operation_poll = std::chrono::milliseconds(10);
     return options;
@@ -230,15 +230,15 @@
   platform_options options = Options();
   options.answer_timeout = std::chrono::milliseconds(50);
   inbox other;
-  platform_link hasty(system_, options,
-                      [&](event e) { other.Put(std::move(e)); });
+  platform_link short_timeout_link(system_, options,
+                                   [&](event e) { other.Put(std::move(e)); });
   Post("/faults", {{"slow_ms", 60000}});
-  hasty.Append(Append(1));
+  short_timeout_link.Append(Append(1));
   CHECK(other.Take<append_finished>().result == append_result::kUnknown);
   Post("/faults", {{"slow_ms", 0}});
   link_.Follow({kStream, 0});
   CHECK(ReadTo(1, 0).second);
-  hasty.Stop();
+  short_timeout_link.Stop();
 }
 
 // The platform has more to do than it takes and refuses an append with a
--- a/tests/runtime/daemon_options_test.cc
+++ b/tests/runtime/daemon_options_test.cc
@@ -9,10 +9,13 @@
   settings::entry_settings settings;
 
   SECTION("a caller can't outwait a drain") {
-    settings.patience = std::chrono::seconds(7);
-    CHECK(HttpOptions(settings).greatest_patience == settings.patience);
-    CHECK(HttpOptions(settings).default_patience <= settings.patience);
-    CHECK(CoreOptions(settings, {}).planner.max_deadline == settings.patience);
+    settings.max_request_timeout = std::chrono::seconds(7);
+    CHECK(HttpOptions(settings).greatest_patience ==
+          settings.max_request_timeout);
+    CHECK(HttpOptions(settings).default_patience <=
+          settings.max_request_timeout);
+    CHECK(CoreOptions(settings, {}).planner.max_deadline ==
+          settings.max_request_timeout);
   }
 
   // An endpoint answers with more than a frame can carry. The owner would lose
--- a/tests/settings/entry_settings_test.cc
+++ b/tests/settings/entry_settings_test.cc
@@ -22,7 +22,7 @@
   return {};
 }
 
-constexpr char kLeast[] =
+constexpr char kMinimalSettings[] =
     "name: entry-1\n"
     "zone: suwon\n"
     "region: gyeonggi\n"
@@ -38,13 +38,14 @@
     CHECK(settings.http_port == 8080);
     CHECK(settings.platform_port == 7070);
     CHECK(settings.body_limit == 8U << 20);
-    CHECK(settings.patience == std::chrono::seconds(60));
+    CHECK(settings.max_request_timeout == std::chrono::seconds(60));
     CHECK(settings.count_interval == std::chrono::minutes(1));
     CHECK(settings.suspicion_timeout == std::chrono::seconds(1));
   }
 
   SECTION("the least, with defaults for the rest") {
-    const entry_settings settings = ParseEntrySettings(kLeast, "entry.yaml");
+    const entry_settings settings =
+        ParseEntrySettings(kMinimalSettings, "entry.yaml");
 
     CHECK(settings.http_port == 0);
     CHECK(settings.heartbeat_interval == std::chrono::milliseconds(200));
@@ -81,19 +82,19 @@
   }
 
   SECTION("when a key stands twice") {
-    CHECK(FindingsIn(std::string(kLeast) + "zone: goyang\n") ==
+    CHECK(FindingsIn(std::string(kMinimalSettings) + "zone: goyang\n") ==
           std::vector<std::string>{"entry.yaml:6:1: 'zone' stands twice"});
   }
 
   SECTION("when one late heartbeat would accuse a healthy entry") {
     const std::string text =
-        std::string(kLeast) +
+        std::string(kMinimalSettings) +
         "heartbeat: {interval: 900ms, suspect-after: 1s}\n";
     CHECK(FindingsIn(text).size() == 1);
   }
 
   SECTION("when its address would not reach it") {
-    const std::string text = std::string(kLeast) + "http-port: 1\n";
+    const std::string text = std::string(kMinimalSettings) + "http-port: 1\n";
     std::string wildcard = text;
     wildcard.replace(wildcard.find("127.0.0.1"), 9, "0.0.0.0");
     CHECK(FindingsIn(wildcard).size() == 1);
--- a/tests/settings/settings_reloader_test.cc
+++ b/tests/settings/settings_reloader_test.cc
@@ -11,7 +11,7 @@
 namespace plantainhead::settings {
 namespace {
 
-constexpr const char* kLeast =
+constexpr const char* kMinimalSettings =
     "name: scheduler-1\n"
     "listen: {callers: 127.0.0.1:1, probes: 127.0.0.1:2}\n"
     "store: {address: 127.0.0.1:3}\n";
@@ -51,14 +51,15 @@
 // why; never the addresses of one file with the grace of another.
 TEST_CASE("A settings file that changes is applied or refused as a whole") {
   const settings_file file;
-  file.Write(kLeast);
+  file.Write(kMinimalSettings);
   settings_reloader reloader(file.path());
   const auto at_start = reloader.current();
-  const std::string longer_grace = std::string(kLeast) + "stop: {grace: 9s}\n";
+  const std::string longer_grace =
+      std::string(kMinimalSettings) + "stop: {grace: 9s}\n";
 
   SECTION("while it stays the same, looks find nothing") {
-    CHECK_FALSE(reloader.Look());
-    CHECK_FALSE(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
+    CHECK_FALSE(reloader.Poll());
     CHECK(std::holds_alternative<reload_unchanged>(reloader.Reload()));
   }
 
@@ -66,27 +67,27 @@
     file.Write(longer_grace);
     CHECK(std::holds_alternative<reload_applied>(reloader.Reload()));
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
-    CHECK_FALSE(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
   }
 
   SECTION("without a signal it is applied when two looks have found the same") {
     file.Write(longer_grace);
-    CHECK_FALSE(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
     CHECK(reloader.current() == at_start);
-    const auto outcome = reloader.Look();
+    const auto outcome = reloader.Poll();
     REQUIRE(outcome);
     CHECK(std::holds_alternative<reload_applied>(*outcome));
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
-    CHECK_FALSE(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
   }
 
   SECTION("a file that is being written isn't taken for a whole one") {
-    file.Write(std::string(kLeast) + "stop: {grace: 5s}\n");
-    CHECK_FALSE(reloader.Look());
+    file.Write(std::string(kMinimalSettings) + "stop: {grace: 5s}\n");
+    CHECK_FALSE(reloader.Poll());
     file.Write(longer_grace);
-    CHECK_FALSE(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
     CHECK(reloader.current() == at_start);
-    CHECK(reloader.Look());
+    CHECK(reloader.Poll());
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
   }
 
@@ -104,34 +105,34 @@
     CHECK(reloader.current() == at_start);
 
     SECTION("and is told once") {
-      CHECK_FALSE(reloader.Look());
-      CHECK_FALSE(reloader.Look());
+      CHECK_FALSE(reloader.Poll());
+      CHECK_FALSE(reloader.Poll());
     }
   }
 
   SECTION("one with faults is refused, and applied once they are mended") {
     file.Write(longer_grace + "grcae: 1s\n");
-    CHECK_FALSE(reloader.Look());
-    const auto outcome = reloader.Look();
+    CHECK_FALSE(reloader.Poll());
+    const auto outcome = reloader.Poll();
     REQUIRE(outcome);
     CHECK(MessagesOf(*outcome).size() == 1);
     CHECK(reloader.current() == at_start);
     file.Write(longer_grace);
-    CHECK_FALSE(reloader.Look());
-    CHECK(reloader.Look());
+    CHECK_FALSE(reloader.Poll());
+    CHECK(reloader.Poll());
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
   }
 
   SECTION("one that is gone is refused, and nothing is lost when it returns") {
     file.Remove();
-    CHECK_FALSE(reloader.Look());
-    const auto outcome = reloader.Look();
+    CHECK_FALSE(reloader.Poll());
+    const auto outcome = reloader.Poll();
     REQUIRE(outcome);
     CHECK(MessagesOf(*outcome) ==
           std::vector<std::string>{"the file can't be read"});
-    file.Write(kLeast);
-    CHECK_FALSE(reloader.Look());
-    const auto again = reloader.Look();
+    file.Write(kMinimalSettings);
+    CHECK_FALSE(reloader.Poll());
+    const auto again = reloader.Poll();
     REQUIRE(again);
     CHECK(std::holds_alternative<reload_unchanged>(*again));
     CHECK(reloader.current() == at_start);
--- a/tools/plantain_scheduler.cc
+++ b/tools/plantain_scheduler.cc
@@ -57,7 +57,7 @@
       if (error) {
         return;
       }
-      if (const auto outcome = reloader_->Look()) {
+      if (const auto outcome = reloader_->Poll()) {
         Take("its content", *outcome);
       }
       AwaitLook();
