--- a/src/platform/appender.cc
+++ b/src/platform/appender.cc
@@ -17,7 +17,7 @@
   return Dump({{"records", std::move(records)}});
 }
 
-// Reads the offset of the first record from a successful answer.
+// Returns the offset of the first appended record from a success response.
 core::log_offset ParseFirstOffset(const http_reply& reply) {
   core::log_offset first = 0;
   const json body = ParseObject(reply.body);
@@ -56,10 +56,11 @@
   const http_reply reply = client_.Post(
       "/streams/" + EscapePathSegment(what.stream.value()) + "/records", body);
 
-  // An answer can be lost after its append took effect. Only a connection that
-  // was never made and a refusal show that it didn't; calling anything else a
-  // refusal would let a request run that others see as claimed, or a change of
-  // targets appear that its author was told had failed.
+  // The response may be lost after the append took effect. Only a failed
+  // connection attempt or a refusal proves that the append had no effect. If
+  // any other outcome were treated as a refusal, a request could run although
+  // other entries see it as claimed, or a configuration could take effect after
+  // its author was told that publishing it had failed.
   const bool is_refusal =
       reply.status >= kClientErrorBegin && reply.status < kClientErrorEnd;
   if (reply.outcome == delivery::kNotSent || is_refusal) {
--- a/src/platform/appender.h
+++ b/src/platform/appender.h
@@ -5,12 +5,12 @@
 
 namespace plantainhead::platform {
 
-/// Carries out `append_message`s, one after the other.
+/// Executes `append_message`s sequentially.
 class appender : public link_worker {
  public:
   explicit appender(link_context* context);
 
-  /// The body of the actor.
+  /// Runs the message loop of the actor until the worker is stopped.
   void Run(caf::blocking_actor* self);
 
  private:
--- a/src/platform/backoff.h
+++ b/src/platform/backoff.h
@@ -9,16 +9,17 @@
 
 namespace plantainhead::platform {
 
-/// Waits between tries that fail. Each is twice the one before, up to a limit,
-/// less a random part of up to half: entries that all lost the platform at one
-/// moment would otherwise come back at one moment and bring it down again.
+/// Computes the delays between retries. Each delay is twice the previous one,
+/// up to a maximum, less a random part of up to half. Without this jitter,
+/// entries that lost the platform at the same moment would all reconnect at the
+/// same moment and overload it again.
 /// Thread safety: none.
 class backoff {
  public:
   backoff(core::duration initial, core::duration max, std::uint64_t seed)
       : initial_(initial), max_(max), next_(initial), random_(seed) {}
 
-  /// Returns the next wait.
+  /// Returns the next delay.
   core::duration Next() {
     const core::duration full_wait = std::min(next_, max_);
     next_ = full_wait * 2;
@@ -27,7 +28,7 @@
     return full_wait - core::duration(reduction(random_));
   }
 
-  /// The next wait is the first again.
+  /// Makes the next delay start from the initial one again.
   void Reset() { next_ = initial_; }
 
  private:
--- a/src/platform/json_archive.cc
+++ b/src/platform/json_archive.cc
@@ -5,7 +5,8 @@
 namespace plantainhead::platform {
 namespace {
 
-// Marks an escaped text: a NUL, then hexadecimal digits of all its bytes.
+// First byte of an escaped text. The hexadecimal digits of all its bytes
+// follow.
 constexpr char kEscapeMark = '\0';
 constexpr int kHexBase = 16;
 
@@ -14,7 +15,8 @@
          (static_cast<unsigned char>(text[at]) & 0xC0U) == 0x80U;
 }
 
-// Returns the length of the well-formed character at `at`, or 0.
+// Returns the length in bytes of the well-formed UTF-8 character at `at`, or 0
+// if there is none.
 std::size_t CharacterLength(const std::string& text, std::size_t at) {
   const auto byte = [&](std::size_t i) {
     return static_cast<unsigned char>(text[i]);
@@ -60,11 +62,12 @@
 
 }  // namespace
 
-// An idempotency key is a header of a caller and may hold any bytes. JSON holds
-// only UTF-8, and one such key would make a whole batch of claims impossible to
-// append; replacing bytes would make two keys equal. The escape keeps every key
-// apart, and a text that begins with the mark is escaped too, so that no two
-// texts have one form.
+// An idempotency key is taken from a request header and may contain any bytes,
+// but JSON strings must be UTF-8. Without escaping, one such key would make a
+// whole batch of claims impossible to append, and replacing invalid bytes could
+// make two keys equal. Escaping keeps all keys distinct. A text that begins
+// with the escape mark is escaped too, so that no two texts have the same
+// encoding.
 std::string EscapeText(const std::string& text) {
   const bool has_mark = !text.empty() && text.front() == kEscapeMark;
   if (!has_mark && IsUtf8(text)) {
@@ -82,7 +85,7 @@
     return text;
   }
   if (text.size() % 2 == 0) {
-    throw codec_error(place, "expected pairs of hexadecimal digits");
+    throw codec_error(place, "expected an even number of hexadecimal digits");
   }
   std::string plain;
   for (std::size_t i = 1; i < text.size(); i += 2) {
@@ -151,13 +154,13 @@
       from.get<std::uint64_t>() >
           static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
   Expect(from.is_number_integer() && !is_too_great, place,
-         "a whole number of 64 bits");
+         "a signed 64-bit integer");
   return from.get<std::int64_t>();
 }
 
 const std::string& json_reader::Text(const json& from,
                                      const std::string& place) {
-  Expect(from.is_string(), place, "a text");
+  Expect(from.is_string(), place, "a string");
   return from.get_ref<const std::string&>();
 }
 
--- a/src/platform/json_archive.h
+++ b/src/platform/json_archive.h
@@ -21,29 +21,32 @@
 #include "plantainhead/core/time.h"
 #include "plantainhead/platform/record_codec.h"
 
-/// Turns structs into JSON and back. The fields of a struct are listed once, in
-/// a function `Fields(archive, value)`, which serves both directions.
+/// Serializes structs to JSON and deserializes them. The fields of a struct are
+/// listed once, in a function `Fields(archive, value)`, which serves both
+/// directions.
 namespace plantainhead::platform {
 
 using json = nlohmann::json;
 
-/// Returns `text`, or an escaped form of it where it isn't UTF-8.
+/// Returns `text`, or an escaped form of it if it is not valid UTF-8.
 std::string EscapeText(const std::string& text);
-/// The inverse of `EscapeText`. Throws `codec_error` at `place`.
+/// Reverses `EscapeText`. Throws `codec_error` at `place` if the escaped form
+/// is malformed.
 std::string UnescapeText(const std::string& text, const std::string& place);
 
-/// Returns 16 hexadecimal digits.
+/// Returns `value` as 16 hexadecimal digits.
 std::string ToHex(std::uint64_t value);
-/// Throws `codec_error` at `place` unless `text` is 1 to 16 such digits.
+/// Returns the value of `text`. Throws `codec_error` at `place` unless `text`
+/// is 1 to 16 hexadecimal digits.
 std::uint64_t FromHex(const std::string& text, const std::string& place);
 
 /// Parses `text`. Throws `codec_error` unless it is a JSON object.
 json ParseObject(std::string_view text);
-/// Returns `value` on one line.
+/// Returns `value` serialized on one line.
 std::string Dump(const json& value);
 
-/// A number of 64 bits that stands as hexadecimal text, because scripts read
-/// JSON numbers as doubles of 53 bits.
+/// A 64-bit number that is encoded as hexadecimal text, because many JSON
+/// readers store numbers as doubles, which are exact only up to 53 bits.
 template <typename Number>
 struct hex_field {
   Number& number;
@@ -51,11 +54,13 @@
 template <typename Number>
 hex_field(Number&) -> hex_field<Number>;
 
+/// An enumeration whose values are encoded by name.
 template <typename E>
 concept named_enum = std::is_enum_v<E> && requires {
   NamesOf(E{});
 };
 
+/// True for the instances of `core::basic_id`.
 template <typename T>
 struct is_basic_id : std::false_type {};
 template <typename Tag>
@@ -125,7 +130,7 @@
  private:
   static json WriteDouble(double value) {
     if (!std::isfinite(value)) {
-      throw codec_error("", "a number is not finite");
+      throw codec_error("", "number is not finite");
     }
     return value;
   }
@@ -153,14 +158,14 @@
   json object_ = json::object();
 };
 
-/// Reads the fields of a struct from a JSON object. A field that isn't there
-/// keeps its value.
+/// Reads the fields of a struct from a JSON object. A missing field keeps its
+/// value.
 class json_reader {
  public:
   template <typename T>
   using ref = T&;
 
-  /// Throws `codec_error` unless `object` is one.
+  /// Throws `codec_error` unless `object` is a JSON object.
   json_reader(const json& object, std::string place);
 
   template <typename T>
@@ -178,15 +183,15 @@
     }
   }
 
-  /// Returns the field called `name`, or null.
+  /// Returns the field `name`, or null if it is missing.
   const json* Find(const char* name) const;
-  /// Returns the field called `name`; throws `codec_error` without one.
+  /// Returns the field `name`. Throws `codec_error` if it is missing.
   const json& Require(const char* name) const;
 
   const std::string& place() const { return place_; }
 
-  /// Returns the text that `from` holds, as it stands.
-  /// Errors: `codec_error` unless it is a text.
+  /// Returns the string in `from` without unescaping it.
+  /// Errors: `codec_error` unless `from` is a string.
   static const std::string& Text(const json& from, const std::string& place);
 
   template <typename T>
@@ -197,7 +202,7 @@
     } else if constexpr (std::unsigned_integral<T>) {
       Expect(from.is_number_unsigned() &&
                  from.get<std::uint64_t>() <= std::numeric_limits<T>::max(),
-             place, "a whole number from 0 that fits");
+             place, "an unsigned integer within the range of the field");
       to = from.get<T>();
     } else if constexpr (std::signed_integral<T>) {
       to = static_cast<T>(Signed(from, place));
@@ -211,7 +216,7 @@
       to = ReadKey<T>(Text(from, place), place);
     } else if constexpr (named_enum<T>) {
       const auto value = core::FromName<T>(Text(from, place));
-      Expect(value.has_value(), place, "a name that is known here");
+      Expect(value.has_value(), place, "a known name");
       to = *value;
     } else if constexpr (std::is_same_v<T, core::duration>) {
       to = core::duration(Signed(from, place));
@@ -276,7 +281,7 @@
       const char* end = text.data() + text.size();
       const auto result = std::from_chars(text.data(), end, number);
       Expect(result.ec == std::errc() && result.ptr == end, place,
-             "a whole number as key");
+             "an integer as key");
       return number;
     } else {
       return Key(UnescapeText(text, place));
--- a/src/platform/link_worker.h
+++ b/src/platform/link_worker.h
@@ -19,14 +19,17 @@
 
 namespace plantainhead::platform {
 
-// The messages that the link sends to its actors. They stay in the process.
+// Messages that the link sends to its actors. They are never serialized.
 
+/// Asks an `appender` to append records.
 struct append_message {
   core::append_records what;
 };
+/// Asks an `operation_runner` to run an operation.
 struct operation_message {
   core::run_operation what;
 };
+/// Wakes up a worker that is being stopped.
 struct stop_message {};
 
 }  // namespace plantainhead::platform
@@ -37,15 +40,15 @@
 
 namespace plantainhead::platform {
 
-/// What the workers of a link share.
+/// State shared by the workers of a link.
 struct link_context {
   platform_options options;
   platform_link::post_function post;
 
   std::mutex mutex;
-  /// Signalled when a worker has ended.
+  /// Notified when a worker has ended.
   std::condition_variable ended;
-  /// Workers whose thread still runs. Guarded by `mutex`.
+  /// Number of workers whose threads are still running. Guarded by `mutex`.
   std::size_t running = 0;
 
   backoff MakeBackoff() const {
@@ -54,8 +57,9 @@
   }
 };
 
-/// A blocking actor with a connection of its own. A derived worker has
-/// `void Run(caf::blocking_actor* self)`, which returns soon after `Stop`.
+/// Base class of the blocking actors that execute the work of a link, each with
+/// its own connection to the platform. A derived class has a method `void
+/// Run(caf::blocking_actor* self)` that returns soon after `Stop`.
 class link_worker {
  public:
   link_worker(link_context* context, core::duration answer_timeout)
@@ -68,9 +72,8 @@
   link_worker(const link_worker&) = delete;
   link_worker& operator=(const link_worker&) = delete;
 
-  /// Ends the worker: it posts nothing that it has not begun to post. A request
-  /// that it is just about to send may still run to its end, unless this is
-  /// called again.
+  /// Stops the worker: it starts no further post. A request that it is just
+  /// about to send may still run to completion unless this is called again.
   /// Thread safety: safe from any thread.
   void Stop() {
     stopping_ = true;
@@ -78,11 +81,11 @@
     client_.Interrupt();
   }
 
-  /// Returns true once the worker's thread no longer uses it.
+  /// Returns true once the thread of the worker no longer uses the object.
   /// Thread safety: safe from any thread.
   bool HasEnded() const { return has_ended_; }
 
-  /// Used by the link when it starts the actor that runs this worker.
+  /// Called by the link when it starts the actor of this worker.
   void set_address(caf::actor address) { address_ = std::move(address); }
   const caf::actor& address() const { return address_; }
   void set_ended() { has_ended_ = true; }
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -10,20 +10,24 @@
 
 namespace plantainhead::platform {
 
-/// A list of the platform, kept up to date by the changes since the last read:
-/// with hundreds of VMs a whole list each second would be most of an entry's
-/// traffic. Thread safety: none.
+/// A local copy of a list of the platform, updated incrementally with the
+/// changes since the last read. With hundreds of VMs, reading the whole list
+/// every second would make up most of the traffic of an entry.
+/// Thread safety: none.
 template <typename Key, typename T>
 class list_replica {
  public:
-  /// `name` is that of the list in answers; `key` the key of an item.
+  /// `name` is the name of the list in responses; `key` is the key field of an
+  /// item.
   list_replica(const char* name, Key T::*key) : name_(name), key_(key) {}
 
+  /// Returns the path and query that read the changes since the last read.
   std::string Path() const {
     return std::string("/") + name_ + "?cursor=" + cursor_;
   }
 
-  /// Takes an answer in. Throws `codec_error` and stays as it was.
+  /// Applies a response to the copy. Throws `codec_error` and leaves the copy
+  /// unchanged if the response is malformed.
   void ApplyAnswer(const std::string& text) {
     const json body = ParseObject(text);
     json_reader in(body, "");
@@ -64,12 +68,12 @@
   std::map<Key, T> items_;
 };
 
-/// Reads the lists of VMs and tasks at an interval.
+/// Reads the lists of VMs and tasks periodically and posts them.
 class list_reader : public link_worker {
  public:
   explicit list_reader(link_context* context);
 
-  /// The body of the actor.
+  /// Runs the loop of the actor until the worker is stopped.
   void Run(caf::blocking_actor* self);
 
  private:
--- a/src/platform/operation_runner.cc
+++ b/src/platform/operation_runner.cc
@@ -14,7 +14,8 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kClientErrorBegin = 400;
 constexpr int kClientErrorEnd = 500;
-// An operation that takes long to ask is left alone for so many times as long.
+// After each poll, an operation is not polled again for this multiple of the
+// time that the poll took.
 constexpr int kPollDelayFactor = 4;
 
 core::operation_result ResultOf(const http_reply& reply) {
@@ -97,9 +98,10 @@
     pending_.erase(item);
     return;
   }
-  // The platform may wait seconds for a VM that has died while it drains. Asked
-  // again at once, a few of these would keep all others from being asked: a
-  // lost rack would stop every wave. So each gets a small share of the time.
+  // The platform may take seconds to answer for a VM that has failed while it
+  // drains. If such operations were polled again immediately, a few of them
+  // would keep all others from being polled, and the loss of a rack would stop
+  // every wave. The delay limits each operation to a small share of the time.
   const auto now = steady::now();
   const auto delay = std::max<steady::duration>(
       options().operation_poll, (now - start) * kPollDelayFactor);
--- a/src/platform/operation_runner.h
+++ b/src/platform/operation_runner.h
@@ -9,13 +9,13 @@
 
 namespace plantainhead::platform {
 
-/// Carries out `operation_message`s. Those that have not reached their effect
-/// are asked again in turn.
+/// Executes `operation_message`s. Operations that have not taken effect yet are
+/// polled in turn.
 class operation_runner : public link_worker {
  public:
   explicit operation_runner(link_context* context);
 
-  /// The body of the actor.
+  /// Runs the message loop of the actor until the worker is stopped.
   void Run(caf::blocking_actor* self);
 
  private:
@@ -28,11 +28,12 @@
   };
 
   void ReceiveMessages(caf::blocking_actor* self);
-  // The one to be asked first. Precondition: some are pending.
+  // Returns the operation that is due first. Precondition: at least one
+  // operation is pending.
   std::list<pending>::iterator NextToPoll();
   core::duration TimeUntilNextPoll();
   void PollNext();
-  // Returns the end of the operation, or nothing while it runs.
+  // Returns the result of the operation, or nothing while it is running.
   std::optional<core::operation_finished> Poll(const pending& item);
 
   std::list<pending> pending_;
--- a/src/platform/platform_http_client.cc
+++ b/src/platform/platform_http_client.cc
@@ -66,16 +66,18 @@
   client_.set_read_timeout(answer_timeout);
   client_.set_write_timeout(answer_timeout);
   client_.set_keep_alive(true);
-  // Without this a small request waits up to 40 ms for the acknowledgement of
-  // the packet before it.
+  // Without TCP_NODELAY, a small request waits up to 40 ms for the
+  // acknowledgement of the previous packet.
   client_.set_tcp_nodelay(true);
 }
 
-// A server closes a connection that is idle for some seconds. If it does so as
-// a request leaves, no answer comes and the request may have taken effect as
-// far as anyone can tell: an append after a quiet spell would end as unknown,
-// and a caller's claim with it, although nothing is wrong. No server closes as
-// early as this limit, so that a connection is never used near that moment.
+// Closes the connection if it has been idle for longer than `kIdleLimit`. A
+// server closes connections that are idle for some seconds. If it does so just
+// as a request is sent, no response arrives and it is unknown whether the
+// request took effect: an append after an idle period, and the claim of a
+// caller in it, would end as unknown although nothing is wrong. The limit is
+// shorter than the idle timeout of any server, so that a connection is never
+// used close to that moment.
 void platform_http_client::DropIdleConnection() {
   const auto now = std::chrono::steady_clock::now();
   if (now - last_use_ > kIdleLimit) {
--- a/src/platform/platform_http_client.h
+++ b/src/platform/platform_http_client.h
@@ -14,23 +14,24 @@
 
 using net::delivery;
 
+/// The outcome of an HTTP request to the platform.
 struct http_reply {
   delivery outcome = delivery::kNotSent;
-  /// Of the answer, when there is one.
+  /// HTTP status of the response, or 0 if there is none.
   int status = 0;
   std::string body;
 
-  /// True for a whole answer with a status of 2xx.
+  /// Returns true if a complete response with a 2xx status was received.
   bool IsSuccess() const;
-  /// What went wrong, for people.
+  /// Returns a human-readable description of the failure.
   std::string ErrorText() const;
 };
 
-/// Returns `text` as one segment of a path.
+/// Returns `text` percent-encoded as one segment of a URL path.
 /// Thread safety: safe from any thread.
 std::string EscapePathSegment(const std::string& text);
 
-/// A connection to the platform that blocks its one user.
+/// A blocking HTTP connection to the platform for use by one thread.
 class platform_http_client {
  public:
   platform_http_client(const std::string& host,
@@ -40,11 +41,11 @@
 
   /// Thread safety: one thread at a time.
   http_reply Get(const std::string& path);
-  /// Never sends the body twice.
+  /// Sends a POST request. The body is never sent twice.
   /// Thread safety: one thread at a time.
   http_reply Post(const std::string& path, const std::string& body);
 
-  /// Makes a request that is waiting for its answer end now.
+  /// Aborts a request that is waiting for its response.
   /// Thread safety: safe from any thread.
   void Interrupt();
 
--- a/src/platform/platform_json.cc
+++ b/src/platform/platform_json.cc
@@ -8,7 +8,7 @@
 namespace plantainhead::platform {
 namespace {
 
-// The order of the variant's alternatives.
+// In the order of the variant's alternatives.
 constexpr std::array kOperationNames = {
     "drain_vm",   "reboot_vm",       "move_vm",       "start_task",
     "renew_task", "checkpoint_task", "throttle_task", "stop_task",
@@ -16,7 +16,7 @@
 static_assert(kOperationNames.size() ==
               std::variant_size_v<core::platform_operation>);
 
-// A lease stands as whole milliseconds.
+// A lease is encoded in whole milliseconds.
 void LeaseMsField(json_reader& a, core::duration& lease) {
   std::int64_t milliseconds = 0;
   a("lease_ms", milliseconds);
--- a/src/platform/platform_json.h
+++ b/src/platform/platform_json.h
@@ -6,7 +6,8 @@
 #include "plantainhead/core/platform_types.h"
 #include "platform/json_archive.h"
 
-/// The JSON of docs/PLATFORM.md. Times are in whole milliseconds there.
+/// The JSON format of the platform interface, as described in docs/PLATFORM.md.
+/// Times in it are whole milliseconds.
 namespace plantainhead::platform {
 
 template <typename Archive>
@@ -37,16 +38,16 @@
   a("detail", x.detail);
 }
 
-/// Returns the JSON of an operation, with its type.
+/// Returns the JSON of an operation, including its type.
 /// Thread safety: safe from any thread.
 json WriteOperation(const core::platform_operation& operation);
 
-/// Returns the operation that `from` holds.
+/// Returns the operation encoded in `from`.
 /// Errors: `codec_error`.
 /// Thread safety: safe from any thread.
 core::platform_operation ReadOperation(const json& from);
 
-/// Returns the name of the operation's type, as in `WriteOperation`.
+/// Returns the type name of the operation, as written by `WriteOperation`.
 /// Thread safety: safe from any thread.
 std::string TypeOf(const core::platform_operation& operation);
 
--- a/src/platform/platform_link.cc
+++ b/src/platform/platform_link.cc
@@ -20,12 +20,14 @@
 namespace plantainhead::platform {
 namespace {
 
-// How often `Stop` stops the workers until all have ended.
+// Interval at which `Stop` repeats the stop request until all workers have
+// ended.
 constexpr auto kStopInterval = std::chrono::milliseconds(5);
 
 // The HTTP library writes to sockets that the platform may have closed. The
-// signal that this raises would end the process; blocked, it leaves the write
-// to fail with an error. Other threads keep their own disposition.
+// resulting SIGPIPE would terminate the process; if it is blocked, the write
+// fails with an error instead. The signal masks of other threads are not
+// changed.
 void BlockPipeSignal() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -33,7 +35,7 @@
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-// Counts a worker as running while its thread may touch the link.
+// Marks a worker as ended when its thread no longer uses the link.
 class running_worker_guard {
  public:
   running_worker_guard(link_context* context, link_worker* worker)
@@ -71,10 +73,11 @@
  private:
   template <typename Worker, typename... Args>
   std::unique_ptr<Worker> Start(Args&&... args);
-  // Returns the appender of a stream; starts it for the first streams.
+  // Returns the appender of a stream. Starts a new one while there are fewer
+  // than `append_threads`.
   appender& AppenderFor(const core::stream_name& stream);
-  // Stops the reader of a stream, if there is one, and forgets those that have
-  // ended.
+  // Stops the reader of a stream, if there is one, and destroys retired readers
+  // that have ended.
   void RetireReader(const core::stream_name& stream);
   void StopAll();
 
@@ -82,12 +85,13 @@
   link_context context_;
 
   std::mutex mutex_;
-  // All below are guarded by `mutex_` until the link is being stopped, and
-  // don't change afterwards. Workers live as long as the link.
+  // The members below are guarded by `mutex_` until the link is being stopped,
+  // and do not change afterwards. Appenders, runners and the list reader live
+  // as long as the link.
   std::vector<std::unique_ptr<appender>> appenders_;
   std::map<core::stream_name, std::size_t> appender_of_;
   std::map<core::stream_name, std::unique_ptr<stream_reader>> readers_;
-  // Readers that were stopped and may still wait for an answer.
+  // Stopped readers that may still be waiting for a response.
   std::vector<std::unique_ptr<stream_reader>> retired_readers_;
   std::vector<std::unique_ptr<operation_runner>> runners_;
   std::unique_ptr<list_reader> list_reader_;
@@ -208,11 +212,12 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  // No worker is added any more, so the lists can be read without the lock,
-  // which a `post` that calls back into the link may need.
+  // No worker is added any more, so the lists can be read without `mutex_`,
+  // which a `post` callback that calls the link may need.
   std::unique_lock ended(context_.mutex);
-  // A worker that was about to send its request when it was stopped would wait
-  // for the answer; so all are stopped again until they have ended.
+  // A worker that was about to send a request when it was stopped would wait
+  // for the response, so all workers are stopped repeatedly until they have
+  // ended.
   while (context_.running > 0) {
     ended.unlock();
     StopAll();
--- a/src/platform/record_codec.cc
+++ b/src/platform/record_codec.cc
@@ -11,9 +11,9 @@
 namespace plantainhead::platform {
 namespace {
 
-// The names of the record types in the log, in the order of the variant's
-// alternatives. A name that has been written to a log is never given to another
-// type.
+// The type names of records in the log, in the order of the variant's
+// alternatives. A name that has been written to a log must never be reused for
+// another type.
 constexpr std::array kTypeNames = {
     "publish-configuration",
     "join-entry",
@@ -35,7 +35,7 @@
     "release-claim",
     "snapshot-taken",
 };
-// The last alternative, `unknown_record`, carries its own name.
+// The last alternative, `unknown_record`, stores its own type name.
 static_assert(kTypeNames.size() + 1 == std::variant_size_v<core::record_body>);
 
 std::string TypeOf(const core::record_body& body) {
@@ -45,7 +45,7 @@
   return kTypeNames[body.index()];
 }
 
-// Makes the alternative that is called `type`, with its defaults.
+// Returns a default-constructed body of the given type.
 template <std::size_t I = 0>
 core::record_body MakeBody(const std::string& type) {
   if constexpr (I == kTypeNames.size()) {
--- a/src/platform/record_fields.h
+++ b/src/platform/record_fields.h
@@ -9,11 +9,11 @@
 #include "plantainhead/core/log/records.h"
 #include "platform/json_archive.h"
 
-/// The fields of every struct that a record or the fold holds, by the names
-/// that they have in the log. A name is never reused for another meaning.
+/// The fields of every struct in a record or in the fleet state, by their names
+/// in the log. A name must never be reused with another meaning.
 namespace plantainhead::platform {
 
-// `Archive::ref<T>` is `const T&` for a writer and `T&` for a reader.
+// `Archive::ref<T>` is `const T&` for `json_writer` and `T&` for `json_reader`.
 
 // --- configuration -----------------------------------------------------------
 
@@ -252,7 +252,7 @@
   a("request", x.request);
 }
 
-// --- the fold ----------------------------------------------------------------
+// --- fleet state -------------------------------------------------------------
 
 template <typename Archive>
 void Fields(Archive& a, typename Archive::template ref<core::entry_member> x) {
@@ -322,8 +322,8 @@
   return ids;
 }
 
-// The remembered ids are most of a snapshot, and as a rule they are those of
-// the remembered records; only then they are left out.
+// The recent ids make up most of a snapshot and usually equal the ids of the
+// recent records. They are omitted only in that case.
 inline void RecentIdsField(json_writer& a, const core::fleet_state& x) {
   if (x.recent_ids != IdsOf(x.recent_records)) {
     a("recent_ids", x.recent_ids);
--- a/src/platform/stream_reader.cc
+++ b/src/platform/stream_reader.cc
@@ -14,9 +14,9 @@
 
 constexpr char kMalformed[] = "malformed";
 
-// A record that can't be read must not stop the stream: every entry would hang
-// at its offset until it ages out. All entries skip it alike, as they skip a
-// type that they don't know.
+// An undecodable record must not stop the stream: every entry would be stuck at
+// its offset until it expires. All entries skip it, in the same way as a record
+// of an unknown type.
 core::record DecodeOrSkip(const std::string& text) {
   try {
     return DecodeRecord(text);
@@ -49,7 +49,7 @@
   return read;
 }
 
-// Returns true if the entries start at `first` and have no gaps.
+// Returns true if the offsets of the entries start at `first` and have no gaps.
 bool IsInOrder(const std::vector<core::log_entry>& entries,
                core::log_offset first) {
   core::log_offset next = first;
@@ -119,11 +119,11 @@
     Post(std::move(read));
     return;
   }
-  // Records that aged out before they were read are passed over; `begin` shows
-  // it.
+  // Records that expired before they were read are skipped; `begin` indicates
+  // the gap.
   const core::log_offset first = std::max(after_ + 1, read.begin);
   if (!IsInOrder(read.entries, first)) {
-    HandleFailure("the offsets are not in order");
+    HandleFailure("record offsets are not consecutive");
     return;
   }
   backoff_.Reset();
--- a/tests/platform/backoff_test.cc
+++ b/tests/platform/backoff_test.cc
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("Waits between failures double up to a limit and vary") {
+TEST_CASE("Delays between retries double up to a maximum and are random") {
   bool differs = false;
   core::duration of_first_seed{};
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
--- a/tests/platform/fleet_model_test.cc
+++ b/tests/platform/fleet_model_test.cc
@@ -54,13 +54,14 @@
   CHECK(Run("o1", reboot_vm{kVm}, kStart + 9s) == operation_progress::kDone);
   CHECK(fleet_.reboots().at(kVm) == 1);
 
-  SECTION("and its id can't name another operation") {
+  SECTION("and its id cannot be reused for another operation") {
     CHECK(Run("o1", move_vm{kVm, pool_id("a")}, kStart + 9s) ==
           operation_progress::kRefused);
   }
 }
 
-TEST_CASE_METHOD(fleet_fixture, "The list lags") {
+TEST_CASE_METHOD(fleet_fixture,
+                 "Changes appear in the VM list after the list lag") {
   fleet_.set_list_lag(3s);
   CHECK(fleet_.ReadVms(0, kStart + 2s).items.empty());
   const auto first = fleet_.ReadVms(0, kStart + 3s);
@@ -70,7 +71,7 @@
   CHECK(VmAt(kStart + 6s) == vm_listing_state::kLive);
   CHECK(VmAt(kStart + 7s) == vm_listing_state::kLeaving);
 
-  SECTION("and is read as changes") {
+  SECTION("and are read incrementally") {
     fleet_.Remove(kVm, kStart + 8s);
     const auto changed = fleet_.ReadVms(first.version, kStart + 10s);
     CHECK_FALSE(changed.is_whole);
@@ -81,7 +82,7 @@
     CHECK(fleet_.ReadVms(0, kStart + 12s).items.empty());
   }
 
-  SECTION("and is read whole by a reader that fell far behind") {
+  SECTION("and the whole list is read by a reader that is far behind") {
     for (int i = 0; i < 10'000; ++i) {
       fleet_.SetState(kVm, vm_listing_state::kLeaving, kStart + 10s);
     }
@@ -90,10 +91,10 @@
   }
 }
 
-// The holder of a task's lease stops renewing it. The platform ends the task at
-// the moment that the lease lapses, and a renewal that comes after is refused,
-// although nobody looked at the task in between.
-TEST_CASE_METHOD(fleet_fixture, "A lease lapses unless it is renewed") {
+// The holder of a task lease stops renewing it. The platform must end the task
+// when the lease expires and refuse a later renewal, even if the task was not
+// read in between.
+TEST_CASE_METHOD(fleet_fixture, "A lease expires unless it is renewed") {
   CHECK(StartTask("o1", kStart) == operation_progress::kDone);
   CHECK(TaskAt(kStart + 9s).state == task_state::kRunning);
   CHECK(Run("o2", renew_task{kJob, kVm, 10s}, kStart + 9s) ==
@@ -108,7 +109,7 @@
   CHECK(TaskAt(kStart + 20s).started_by == operation_id("o4"));
 }
 
-TEST_CASE_METHOD(fleet_fixture, "A task needs a VM with room") {
+TEST_CASE_METHOD(fleet_fixture, "A task needs a VM with enough capacity") {
   CHECK(StartTask("o1", kStart) == operation_progress::kDone);
   const auto other = [&](std::uint32_t processors, std::uint32_t memory_mb) {
     return Run("o" + std::to_string(processors) + std::to_string(memory_mb),
@@ -122,7 +123,8 @@
         operation_progress::kRefused);
 }
 
-TEST_CASE_METHOD(fleet_fixture, "A checkpointed task goes on where it was") {
+TEST_CASE_METHOD(fleet_fixture,
+                 "A checkpointed task resumes where it stopped") {
   fleet_.tasks().SetBehaviour(kJob, {8s, false, 2, 50});
   StartTask("o1", kStart);
   CHECK(TaskAt(kStart).processors_used == 2);
@@ -138,7 +140,7 @@
 }
 
 TEST_CASE_METHOD(fleet_fixture, "Tasks fail") {
-  SECTION("on a worker that fails them all") {
+  SECTION("on a VM that fails all tasks") {
     fleet_.SetBehaviour(kVm, {true, {}});
     StartTask("o1", kStart);
     CHECK(TaskAt(kStart + 1s).state == task_state::kFailed);
@@ -149,7 +151,7 @@
     CHECK(TaskAt(kStart + 1s).detail == "the VM was rebooted");
     CHECK(StartTask("o3", kStart + 1s) == operation_progress::kRefused);
   }
-  SECTION("and a stopped one is no longer listed") {
+  SECTION("and a stopped task is no longer listed") {
     StartTask("o1", kStart);
     CHECK(Run("o2", stop_task{kJob, kVm}, kStart) == operation_progress::kDone);
     CHECK(fleet_.ReadTasks(0, kStart).items.empty());
@@ -157,7 +159,7 @@
   }
 }
 
-TEST_CASE_METHOD(fleet_fixture, "A drain asks the VM's runner") {
+TEST_CASE_METHOD(fleet_fixture, "A drain calls the runner of the VM") {
   CHECK(Run("o0", drain_vm{kVm}, kStart) == operation_progress::kDone);
   vm_listing vm;
   vm.vm = kVm;
--- a/tests/platform/log_model_test.cc
+++ b/tests/platform/log_model_test.cc
@@ -10,12 +10,12 @@
 constexpr core::time_point kStart{1h};
 const core::stream_name kStream{"control"};
 
-TEST_CASE("A stream hands back what was appended") {
+TEST_CASE("A stream returns the records that were appended") {
   log_model log;
   CHECK(log.Append(kStream, {"a", "b"}, kStart) == 1);
   CHECK(log.Append(kStream, {"c"}, kStart) == 3);
 
-  SECTION("from an offset, up to a number") {
+  SECTION("from an offset, up to a maximum number") {
     const read_result found = log.Read(kStream, 1, 1, kStart);
     CHECK(found.begin == 1);
     CHECK(found.end == 3);
@@ -37,14 +37,14 @@
     CHECK(log.Read(kStream, 4, 10, kStart).records.size() == 1);
   }
 
-  SECTION("but for the oldest beyond its number") {
+  SECTION("except the oldest beyond the retained number") {
     log.set_limits({2, 24h, 0});
     const read_result found = log.Read(kStream, 0, 10, kStart);
     CHECK(found.begin == 2);
     CHECK(found.records.front().offset == 2);
   }
 
-  SECTION("but for those that are too old, without using an offset again") {
+  SECTION("except expired records, without reusing their offsets") {
     log.set_limits({100, 10s, 0});
     log.Append(kStream, {"d"}, kStart + 6s);
     CHECK(log.Read(kStream, 0, 10, kStart + 10s).begin == 4);
@@ -55,14 +55,14 @@
     CHECK(log.Append(kStream, {"e"}, kStart + 17s) == 5);
   }
 
-  SECTION("but for those that a fault lost") {
+  SECTION("except records lost by a truncation") {
     log.Truncate(kStream, 1);
     CHECK(log.Read(kStream, 0, 10, kStart).end == 1);
     CHECK(log.Append(kStream, {"x"}, kStart) == 2);
   }
 }
 
-TEST_CASE("A log takes only so many appends a second") {
+TEST_CASE("A log limits the rate of appends") {
   log_model log;
   log.set_limits({100, 24h, 20});
   const auto appends_at = [&](core::time_point now) {
--- a/tests/platform/platform_link_test.cc
+++ b/tests/platform/platform_link_test.cc
@@ -23,12 +23,12 @@
 
 using namespace core;
 
-// Bounds a wait for an event that never comes.
+// Timeout of a wait for an expected event.
 constexpr auto kEventTimeout = std::chrono::seconds(20);
 
 const stream_name kStream{"control"};
 
-// Collects what the link posts.
+// Collects the events that the link posts.
 class inbox {
  public:
   void Put(event what) {
@@ -37,13 +37,14 @@
     arrived_.notify_all();
   }
 
-  // Waits for the next event of type `T`; events of other types stay.
+  // Waits for the next event of type `T`. Events of other types are kept.
   template <typename T>
   T Take() {
     return TakeIf<T>([](const T&) { return true; });
   }
 
-  // Waits for an event of type `T` that `fits`; drops those that don't.
+  // Waits for an event of type `T` for which `fits` returns true. Drops those
+  // of type `T` for which it does not.
   template <typename T, typename Predicate>
   T TakeIf(Predicate fits) {
     std::optional<T> found;
@@ -62,7 +63,7 @@
       return found.has_value();
     });
     if (!is_there) {
-      throw std::runtime_error("an expected event did not come");
+      throw std::runtime_error("timed out waiting for an expected event");
     }
     return *found;
   }
@@ -88,7 +89,8 @@
   return action;
 }
 
-// A stand-in, a link to it and what the link posted.
+// Provides a fake platform server, a link to it and the events that the link
+// posts.
 class link_fixture {
  public:
   link_fixture()
@@ -122,8 +124,8 @@
     return inbox_.Take<append_finished>();
   }
 
-  // Takes reads until `end` has been reached, and returns the ids of the
-  // records and whether their offsets had no gap.
+  // Takes reads until `end` has been reached. Returns the ids of the records
+  // and whether their offsets had no gaps.
   std::pair<std::vector<std::string>, bool> ReadTo(log_offset end,
                                                    log_offset after) {
     std::vector<std::string> ids;
@@ -149,7 +151,7 @@
 };
 
 TEST_CASE_METHOD(link_fixture, "An entry reads a stream") {
-  SECTION("that is empty, and is told so at once") {
+  SECTION("that is empty, and is notified immediately") {
     link_.Follow({kStream, 0});
     const auto read = inbox_.Take<log_read>();
     CHECK(read.stream == kStream);
@@ -174,7 +176,7 @@
     CHECK(ReadTo(5, 3) ==
           std::pair(std::vector<std::string>{"r4", "r5"}, true));
 
-    SECTION("and again from another place") {
+    SECTION("and again from another offset") {
       link_.Follow({kStream, 1});
       const auto again = inbox_.TakeIf<log_read>(
           [](const log_read& item) { return !item.entries.empty(); });
@@ -182,7 +184,7 @@
     }
   }
 
-  SECTION("with records that nobody can read, and goes on behind them") {
+  SECTION("with undecodable records, and skips them") {
     const std::string broken_escape("\0x", 2);
     Post("/streams/control/records",
          {{"records", {"nonsense", broken_escape}}});
@@ -210,11 +212,11 @@
   }
 }
 
-// The platform takes an append but its answer is lost, once as a server error
-// and once by a connection that closes early. The entry must not take this for
-// a refusal, and the client library must not send the append a second time: the
-// record is in the stream exactly once.
-TEST_CASE_METHOD(link_fixture, "The answer to an append is lost") {
+// The platform accepts an append but its response is lost, either because a
+// server error is returned or because the connection is closed early. The entry
+// must not treat this as a refusal, and the client library must not send the
+// append again: the record must be in the stream exactly once.
+TEST_CASE_METHOD(link_fixture, "The response to an append is lost") {
   const std::string lose_by = GENERATE("status", "close");
   Post("/faults", {{"lose_append_answers", 1}, {"lose_by", lose_by}});
   CHECK(AppendAndWait(Append(1)).result == append_result::kUnknown);
@@ -224,9 +226,9 @@
   CHECK(Counters()["appends"] == 2);
 }
 
-// The platform takes longer to answer an append than the entry waits. The
-// entry can't know that the append takes effect afterwards.
-TEST_CASE_METHOD(link_fixture, "The answer to an append is late") {
+// The response to an append takes longer than the timeout. The result must be
+// unknown, because the append may take effect afterwards.
+TEST_CASE_METHOD(link_fixture, "The response to an append is late") {
   platform_options options = Options();
   options.answer_timeout = std::chrono::milliseconds(50);
   inbox other;
@@ -241,8 +243,8 @@
   short_timeout_link.Stop();
 }
 
-// The platform has more to do than it takes and refuses an append with a
-// status of 4xx. The entry may say that it has no effect, and append again.
+// The overloaded platform refuses an append with a 4xx status. The append has
+// no effect, and the entry may append again.
 TEST_CASE_METHOD(link_fixture, "An append is refused") {
   Post("/faults", {{"refuse_appends", 1}});
   CHECK(AppendAndWait(Append(1)).result == append_result::kRejected);
@@ -251,9 +253,10 @@
   CHECK(ReadTo(1, 0) == std::pair(std::vector<std::string>{"r2"}, true));
 }
 
-// The platform answers nothing but errors for a while. Reads fail and say so;
-// after the outage the entry reads on from where it was, without being told.
-TEST_CASE_METHOD(link_fixture, "The platform is down for a while") {
+// The platform returns only errors during an outage. Reads must fail and be
+// reported, and after the outage the entry must continue to read from its last
+// offset without being followed anew.
+TEST_CASE_METHOD(link_fixture, "The platform has a temporary outage") {
   AppendAndWait(Append(1));
   link_.Follow({kStream, 0});
   ReadTo(1, 0);
@@ -268,10 +271,11 @@
   inbox_.Take<vm_list_read>();
 }
 
-// The platform's process ends, so connections are refused, and a new one
-// without the records takes its port. An append during the outage had surely
-// no effect. The shorter stream is shown again and again and not followed.
-TEST_CASE_METHOD(link_fixture, "The platform comes back without its log") {
+// The platform process ends, so that connections are refused, and a new process
+// without the records takes over its port. An append during the outage
+// certainly had no effect. The shorter stream must be reported repeatedly and
+// its records must not be delivered.
+TEST_CASE_METHOD(link_fixture, "The platform restarts without its log") {
   AppendAndWait(Append(1, 3));
   link_.Follow({kStream, 0});
   ReadTo(3, 0);
@@ -283,7 +287,7 @@
 
   server_ = std::make_unique<fakes::platform_server>(same);
   for (int i = 0; i < 2; ++i) {
-    // The old platform may have answered the read that waited as it ended.
+    // The old process may have answered the waiting read while it shut down.
     const auto shorter = inbox_.TakeIf<log_read>([](const log_read& item) {
       return item.end == 0 || !item.entries.empty();
     });
@@ -293,7 +297,7 @@
 }
 
 // The platform is replaced between two appends, so that the second finds its
-// kept connection dead. It must reach the new platform exactly once.
+// keep-alive connection closed. It must reach the new platform exactly once.
 TEST_CASE_METHOD(link_fixture, "An append finds its connection closed") {
   CHECK(AppendAndWait(Append(1)).result == append_result::kAppended);
   fakes::platform_server_options same;
@@ -304,10 +308,11 @@
   CHECK(Counters()["records"] == 1);
 }
 
-// Records age out while an entry can't read. What is left no longer follows
-// what the entry has: `begin` tells so in the same event, and the entries start
-// there. The entry decides whether it can go on behind the gap.
-TEST_CASE_METHOD(link_fixture, "Records age out before they are read") {
+// Records expire while an entry cannot read. The remaining records do not
+// continue what the entry has read: `begin` must indicate this in the same
+// event, and the entries must start there. The entry decides whether it can
+// continue after the gap.
+TEST_CASE_METHOD(link_fixture, "Records expire before they are read") {
   AppendAndWait(Append(1, 2));
   Post("/faults", {{"retention_records", 3}});
   AppendAndWait(Append(3, 6));
@@ -335,7 +340,8 @@
   }
 }
 
-TEST_CASE_METHOD(link_fixture, "A joiner starts at the oldest record kept") {
+TEST_CASE_METHOD(link_fixture,
+                 "A joining entry starts at the oldest retained record") {
   Post("/faults", {{"retention_records", 3}});
   AppendAndWait(Append(1, 8));
   link_.Follow({kStream, 0});
@@ -345,7 +351,7 @@
   CHECK(read.begin == 6);
 }
 
-TEST_CASE_METHOD(link_fixture, "An entry sees the list of VMs") {
+TEST_CASE_METHOD(link_fixture, "An entry reads the list of VMs") {
   const auto has = [](const std::string& name, vm_listing_state state) {
     return [=](const vm_list_read& read) {
       for (const vm_listing& vm : read.vms) {
@@ -370,7 +376,7 @@
       inbox_.TakeIf<vm_list_read>(has("vm-1", vm_listing_state::kLeaving));
   CHECK(later.vms.size() == 1);
 
-  SECTION("also once the platform has been replaced by one without it") {
+  SECTION("also after the platform was replaced by one with an empty list") {
     fakes::platform_server_options same;
     same.port = server_->port();
     server_.reset();
@@ -384,13 +390,13 @@
   Post("/faults", {{"reboot_ms", 50}});
   Post("/vms", {{"vm", "vm-1"}, {"processors", 4}});
 
-  SECTION("and learns when the VM is back from its reboot") {
+  SECTION("and is notified when the VM has rebooted") {
     link_.Run({operation_id("o/1 x"), reboot_vm{vm_id("vm-1")}});
     const auto finished = inbox_.Take<operation_finished>();
     CHECK(finished.operation == operation_id("o/1 x"));
     CHECK(finished.result == operation_result::kDone);
 
-    SECTION("and the same operation again has no second effect") {
+    SECTION("and repeating the same operation has no effect") {
       link_.Run({operation_id("o/1 x"), reboot_vm{vm_id("vm-1")}});
       CHECK(inbox_.Take<operation_finished>().result ==
             operation_result::kDone);
@@ -398,14 +404,14 @@
     }
   }
 
-  SECTION("and is refused one that can't be") {
+  SECTION("and an impossible operation is refused") {
     link_.Run({operation_id("o2"), reboot_vm{vm_id("nowhere")}});
     const auto finished = inbox_.Take<operation_finished>();
     CHECK(finished.result == operation_result::kRefused);
     CHECK(finished.detail == "no such VM");
   }
 
-  SECTION("and doesn't know of one during an outage") {
+  SECTION("and the result of one during an outage is unknown") {
     Post("/faults", {{"down", true}});
     link_.Run({operation_id("o3"), move_vm{vm_id("vm-1"), pool_id("a")}});
     CHECK(inbox_.Take<operation_finished>().result ==
@@ -413,8 +419,8 @@
   }
 }
 
-// A VM drains while its endpoint still runs two requests. The operation is done
-// only once the endpoint has ended both.
+// A VM drains while its endpoint still runs two requests. The operation must
+// end only after the endpoint has completed both.
 TEST_CASE_METHOD(link_fixture, "A drain ends with the last request in flight") {
   std::atomic<int> in_flight = 2;
   std::atomic<int> asked = 0;
--- a/tests/platform/platform_server_test.cc
+++ b/tests/platform/platform_server_test.cc
@@ -28,7 +28,8 @@
       woken += result && result->body == wanted ? 1 : 0;
     });
   }
-  // All wait in the server, each on a thread of it, before the record comes.
+  // All readers wait in the server, each in a thread of its own, before the
+  // record is appended.
   std::string counters;
   while (counters.find("\"reads\":100") == std::string::npos) {
     const auto result = control.Get("/counters");
@@ -43,7 +44,7 @@
   CHECK(woken == kReaders);
 }
 
-TEST_CASE("A malformed call is refused and has no effect") {
+TEST_CASE("A malformed request is refused and has no effect") {
   const platform_server server({});
   httplib::Client client("127.0.0.1", server.port());
   const auto status = [&](const std::string& path, const std::string& body) {
--- a/tests/platform/record_codec_test.cc
+++ b/tests/platform/record_codec_test.cc
@@ -109,7 +109,7 @@
   };
 }
 
-TEST_CASE("Records of every type survive the log") {
+TEST_CASE("Records of every type survive a round trip") {
   const std::vector<record_body> bodies = AllBodies();
   REQUIRE(bodies.size() == std::variant_size_v<record_body>);
   for (std::size_t i = 0; i < bodies.size(); ++i) {
@@ -120,14 +120,14 @@
       CHECK(back.id == record_id("r-1"));
       CHECK(back.author == "ann");
       CHECK(back.body.index() == i);
-      // The record types have no operator==; equal texts stand for equality,
-      // and no text holds a default of `AllBodies`.
+      // The record types have no operator==, so their texts are compared. No
+      // body in `AllBodies` leaves a field at its default.
       CHECK(EncodeRecord(back) == text);
     }
   }
 }
 
-TEST_CASE("A snapshot gives back the whole state") {
+TEST_CASE("A snapshot restores the whole state") {
   const record_body body = snapshot_taken{
       std::make_shared<const fleet_state>(State()), 0xF00DFACECAFEBEEFULL};
   const record back = DecodeRecord(EncodeRecord({record_id("r"), "e", body}));
@@ -140,15 +140,15 @@
   CHECK(DecodeConfiguration(EncodeConfiguration(Targets())) == Targets());
 }
 
-TEST_CASE("A record of a neighbouring version") {
-  SECTION("with a field more is read without it") {
+TEST_CASE("A record of an adjacent version") {
+  SECTION("with an unknown field is read without it") {
     const record back = DecodeRecord(
         R"({"id":"r","type":"leave-entry","new":1,)"
         R"("body":{"who":"00000000000000ff","why":{"deep":[1]}}})");
     CHECK(std::get<leave_entry>(back.body).who == incarnation{255});
   }
 
-  SECTION("with a field less is read with the default") {
+  SECTION("with a missing field is read with its default") {
     const record back =
         DecodeRecord(R"({"id":"r","type":"publish-configuration",)"
                      R"("body":{"document":{"classes":[{"name":"urgent"}]}}})");
@@ -157,15 +157,15 @@
     CHECK(document.classes[0].served == work_class().served);
   }
 
-  SECTION("of a type that isn't known here is kept by name") {
+  SECTION("of an unknown type keeps its type name") {
     const record back = DecodeRecord(R"({"id":"r","type":"new","body":[]})");
     CHECK(std::get<unknown_record>(back.body).type == "new");
   }
 }
 
-// A caller sends an Idempotency-Key whose bytes are not UTF-8. Its claim must
-// come back from the log as the same key, and as no other caller's key: a key
-// with replaced bytes would never match its request, or match someone else's.
+// A caller sends an Idempotency-Key that is not valid UTF-8. Its claim must be
+// read back with exactly the same key: if invalid bytes were replaced, the key
+// would never match its own request, or would match that of another caller.
 TEST_CASE("A claim whose key is not UTF-8 comes back unchanged") {
   for (const std::string& key :
        {std::string("caf\xE9"), std::string("\0", 1), std::string("\0ff", 3),
@@ -178,7 +178,7 @@
   }
 }
 
-TEST_CASE("A malformed text is refused with the place of its fault") {
+TEST_CASE("Decoding malformed text reports the location of the error") {
   const auto place_of = [](std::string_view text) -> std::string {
     try {
       DecodeRecord(text);
@@ -208,7 +208,7 @@
         "/body/state");
 }
 
-TEST_CASE("A number that is not finite has no form in the log") {
+TEST_CASE("A number that is not finite cannot be encoded") {
   configuration targets = Targets();
   targets.priorities.moves = std::numeric_limits<double>::infinity();
   CHECK_THROWS_AS(EncodeConfiguration(targets), codec_error);
