--- a/include/plantainhead/settings/entry_settings.h
+++ b/include/plantainhead/settings/entry_settings.h
@@ -10,67 +10,72 @@
 
 namespace plantainhead::settings {
 
-/// All that one entry process learns at its start. The comments give the YAML
-/// key of each; docs/CONFIGURATION.md has the whole schema.
+/// Start-up settings of one entry process. The comment of each field gives its
+/// YAML key; docs/CONFIGURATION.md describes the whole schema.
 struct entry_settings {
-  /// `name`: the entry's name in views, logs and reports.
+  /// `name`: name of the entry in membership views, logs and reports.
   core::entry_id name;
-  /// `zone`: its availability zone.
+  /// `zone`: availability zone of the entry.
   core::zone_id zone;
-  /// `region`: the region of the zone.
+  /// `region`: region of the availability zone.
   core::region_id region;
-  /// `host`: the entry's own IP number, at which others reach it.
+  /// `host`: IP address at which other entries reach this entry.
   std::string host;
-  /// `http-port`: for callers and operators; 0 takes a free port.
+  /// `http-port`: HTTP port for callers and operators; 0 selects a free port.
   std::uint16_t http_port = 0;
-  /// `peer-port`: for the other entries; 0 takes a free port.
+  /// `peer-port`: port for the other entries; 0 selects a free port.
   std::uint16_t peer_port = 0;
 
-  /// `platform.host`: IP number of the platform's interface.
+  /// `platform.host`: IP address of the platform interface.
   std::string platform_host;
-  /// `platform.port`
+  /// `platform.port`: port of the platform interface.
   std::uint16_t platform_port = 0;
 
-  /// `limits.body`: bytes of the largest request or answer body.
+  /// `limits.body`: maximum size of a request or response body in bytes.
   std::uint64_t body_limit = 8 << 20;
-  /// `limits.http-threads`: connections of callers and operators served at
-  /// once; an idle keep-alive connection holds a thread too.
+  /// `limits.http-threads`: maximum number of concurrent connections of callers
+  /// and operators. An idle keep-alive connection also occupies a thread.
   std::uint32_t http_threads = 128;
-  /// `limits.endpoint-threads`: calls to endpoints in progress at once.
+  /// `limits.endpoint-threads`: maximum number of concurrent calls to
+  /// endpoints.
   std::uint32_t endpoint_threads = 128;
-  /// `limits.patience`: the longest deadline that a caller may ask for. After
-  /// an entry was lost, drains wait so long for what it may have had in flight.
+  /// `limits.patience`: the longest deadline that a caller may request. After
+  /// an entry was lost, drains wait this long for requests that it may have had
+  /// in flight.
   core::duration max_request_timeout = std::chrono::seconds(60);
 
-  /// `heartbeat.interval`: time between heartbeats to the other entries.
+  /// `heartbeat.interval`: interval between heartbeats to the other entries.
   core::duration heartbeat_interval = std::chrono::milliseconds(200);
-  /// `heartbeat.suspect-after`: silence after which an entry is suspected.
+  /// `heartbeat.suspect-after`: time without a heartbeat after which an entry
+  /// is suspected.
   core::duration suspicion_timeout = std::chrono::seconds(1);
-  /// `planner.lease`: silence after which another entry may take the lease.
+  /// `planner.lease`: time without a renewal after which another entry may take
+  /// over the planner lease.
   core::duration planner_lease = std::chrono::seconds(3);
 
-  /// `counts.interval`: how often the entry records its counts of requests,
-  /// from which the service-level burn is worked out.
+  /// `counts.interval`: interval at which the entry records its request counts,
+  /// from which error budget burn rates are computed.
   core::duration count_interval = std::chrono::minutes(1);
 
-  /// `log.level`: lines below it are left out.
+  /// `log.level`: messages below this level are omitted.
   core::note_level log_level = core::note_level::kInfo;
-  /// `log.file`: path of the log, or "-" for the standard output.
+  /// `log.file`: path of the log file, or "-" for standard output.
   std::string log_file = "-";
-  /// `port-file`: file that the entry writes once it listens, with its HTTP
-  /// port on the first line and its peer port on the second. Empty writes none.
+  /// `port-file`: path of a file that the entry writes once it is listening,
+  /// with its HTTP port on the first line and its peer port on the second. If
+  /// empty, no file is written.
   std::string port_file;
 };
 
-/// Parses settings from YAML text. `file` names the text in findings.
+/// Parses settings from YAML text. `file` is the file name used in findings.
 /// Thread safety: safe from any thread.
-/// Errors: throws `core::findings_error` with all that is wrong: unknown keys,
-/// missing keys, wrong units and ranges, each with its place.
+/// Errors: throws `core::findings_error` with all errors (unknown keys, missing
+/// keys, wrong units and values out of range), each with its location.
 entry_settings ParseEntrySettings(const std::string& text,
                                   const std::string& file);
 
-/// Reads the file at `path` and parses it as `ParseEntrySettings` does; a file
-/// that can't be read is a finding too.
+/// Reads the file at `path` and parses it like `ParseEntrySettings`. A file
+/// that cannot be read is reported as a finding too.
 /// Thread safety: safe from any thread.
 entry_settings LoadEntrySettings(const std::string& path);
 
--- a/include/plantainhead/settings/files.h
+++ b/include/plantainhead/settings/files.h
@@ -5,9 +5,9 @@
 
 namespace plantainhead::settings {
 
-/// Returns the whole content of the file at `path`.
+/// Returns the entire content of the file at `path`.
 /// Thread safety: safe from any thread.
-/// Errors: throws `core::findings_error` when it can't be read.
+/// Errors: throws `core::findings_error` if it cannot be read.
 std::string ReadFile(const std::string& path);
 
 }  // namespace plantainhead::settings
--- a/include/plantainhead/settings/scheduler_settings.h
+++ b/include/plantainhead/settings/scheduler_settings.h
@@ -8,52 +8,54 @@
 
 namespace plantainhead::settings {
 
-/// All that one process of the job scheduler learns at its start. The comments
-/// give the YAML key of each.
+/// Start-up settings of one process of the job scheduler. The comment of each
+/// field gives its YAML key.
 struct scheduler_process_settings {
-  /// `name`: of the process, in logs and towards the fleet.
+  /// `name`: name of the process in logs and in requests to the fleet.
   std::string name;
-  /// `availability-zone`
+  /// `availability-zone`: availability zone of the process.
   std::string availability_zone;
-  /// `listen.callers`: "IP:PORT" for callers.
+  /// `listen.callers`: "IP:PORT" that serves callers.
   std::string caller_address;
-  /// `listen.probes`: "IP:PORT" at which readiness is asked for.
+  /// `listen.probes`: "IP:PORT" that serves readiness probes.
   std::string probe_address;
-  /// `listen.peers`: "IP:PORT" for the other processes; empty for none, and the
-  /// process then answers for its own pools only what callers ask itself.
+  /// `listen.peers`: "IP:PORT" that serves the other scheduler processes. If
+  /// empty, there is none, and for its own pools the process answers only
+  /// requests that callers send to it directly.
   std::string peer_address;
-  /// `listen.metrics`: "IP:PORT" of the metrics; empty for none.
+  /// `listen.metrics`: "IP:PORT" that serves metrics; empty for none.
   std::string metrics_address;
-  /// `store.address`: of the metadata store.
+  /// `store.address`: address of the metadata store.
   std::string store_address;
-  /// `fleet.address`: of the interface to the fleet; empty for none.
+  /// `fleet.address`: address of the fleet interface; empty for none.
   std::string fleet_address;
-  /// `lease.most`: the longest lease that VMs allow.
+  /// `lease.most`: the longest lease that VMs accept.
   core::duration max_vm_lease = std::chrono::seconds(6);
-  /// `lease.holder`: how long an order for a host keeps other holders out.
+  /// `lease.holder`: how long an order for a host excludes other lease holders.
   core::duration holder_lease = std::chrono::seconds(3);
-  /// `configuration.apply`: within this time of its publication a configuration
-  /// must be in force in every process.
+  /// `configuration.apply`: maximum time from the publication of a
+  /// configuration until it is in force in every process.
   core::duration configuration_apply = std::chrono::seconds(2);
-  /// `processor`: of the VM, in cores.
+  /// `processor`: processor capacity of the VM in cores.
   double processor_cores = 1.0;
-  /// `stop.grace`: time between the request to stop and the end by force.
+  /// `stop.grace`: time between the request to stop and forced termination.
   core::duration stop_grace = std::chrono::seconds(6);
 
   friend bool operator==(const scheduler_process_settings&,
                          const scheduler_process_settings&) = default;
 };
 
-/// Reads the text of a settings file; `file` is its name for messages.
+/// Parses the text of a settings file. `file` is the file name used in
+/// findings.
 /// Thread safety: safe from any thread.
-/// Errors: throws `core::findings_error` with all that is wrong with it.
+/// Errors: throws `core::findings_error` with all errors in the text.
 scheduler_process_settings ParseSchedulerSettings(const std::string& text,
                                                   const std::string& file);
 
-/// Reads a settings file (YAML).
+/// Reads and parses a YAML settings file.
 /// Thread safety: safe from any thread.
-/// Errors: throws `core::findings_error` with all that is wrong with it, also
-/// when it can't be read.
+/// Errors: throws `core::findings_error` with all errors in the file, or if it
+/// cannot be read.
 scheduler_process_settings LoadSchedulerSettings(const std::string& path);
 
 }  // namespace plantainhead::settings
--- a/src/settings/entry_settings.cc
+++ b/src/settings/entry_settings.cc
@@ -28,8 +28,9 @@
          inet_pton(AF_INET6, host.c_str(), address.data()) == 1;
 }
 
-// Reads an address at which others reach a process. A wildcard such as 0.0.0.0
-// would be announced to the other entries, which could not connect to it.
+// Reads an address at which other processes reach this one. A wildcard such as
+// 0.0.0.0 is refused, because the other entries could not connect to it if it
+// were announced to them.
 void ReadHost(yaml_mapping* mapping,
               const std::string& key,
               finding_sink* sink,
@@ -39,10 +40,11 @@
     return;
   }
   if (!IsIpNumber(*host)) {
-    sink->Add(mapping->At(key), "'" + *host + "' is not an IP number");
+    sink->Add(mapping->At(key), "'" + *host + "' is not an IP address");
   } else if (*host == "0.0.0.0" || *host == "::") {
     sink->Add(mapping->At(key),
-              "'" + *host + "' names no machine; write the VM's own IP number");
+              "'" + *host +
+                  "' is a wildcard address; write the IP address of the VM");
   }
 }
 
@@ -103,7 +105,8 @@
     heartbeat->ReadDuration("suspect-after", &settings->suspicion_timeout,
                             {milliseconds(100), seconds(600)});
     heartbeat->CheckKeys();
-    // With a shorter timeout one late heartbeat would accuse a healthy entry.
+    // With a shorter timeout, a single late heartbeat would lead to the
+    // accusation of a healthy entry.
     if (settings->suspicion_timeout <
         kHeartbeatsToSuspect * settings->heartbeat_interval) {
       sink->Add(heartbeat->At("suspect-after"),
--- a/src/settings/settings_reloader.cc
+++ b/src/settings/settings_reloader.cc
@@ -69,7 +69,7 @@
     if (now != then) {
       findings.push_back(
           {{file, 0, 0},
-           std::string("'") + key + "' changes only with a restart"});
+           std::string("'") + key + "' cannot be changed without a restart"});
     }
   };
   check("name", current.name, fresh.name);
--- a/src/settings/settings_reloader.h
+++ b/src/settings/settings_reloader.h
@@ -11,44 +11,45 @@
 
 namespace plantainhead::settings {
 
-/// The file says what is in force.
+/// The settings in the file equal those in force.
 struct reload_unchanged {};
-/// All that the file says is in force now.
+/// All settings in the file have been put in force.
 struct reload_applied {
   scheduler_process_settings settings;
 };
-/// Nothing of the file is in force, and why.
+/// The file was refused as a whole, for the reasons in `findings`.
 struct reload_refused {
   std::vector<core::finding> findings;
 };
 using reload_outcome =
     std::variant<reload_unchanged, reload_applied, reload_refused>;
 
-/// Keeps the settings that are in force up with a settings file that may change
-/// with a signal or without one. A changed file is applied as a whole or
-/// refused as a whole: a process that took over what it could, and ran on with
-/// the rest of the old file, would have settings that nobody wrote. Not
-/// thread-safe.
+/// Applies changes of a settings file to the settings in force, either on a
+/// signal or by polling the file. A changed file is applied or refused as a
+/// whole: if only some of its values were applied, the process would run with a
+/// combination of settings that nobody wrote.
+/// Thread safety: none.
 class settings_reloader {
  public:
-  /// Errors: throws `core::findings_error` with all that is wrong with the
-  /// file, also when it can't be read.
+  /// Reads the initial settings from `file`.
+  /// Errors: throws `core::findings_error` with all errors in the file, or if
+  /// it cannot be read.
   explicit settings_reloader(std::string file);
 
   const std::string& file() const { return file_; }
-  /// The settings in force.
+  /// Returns the settings in force.
   const scheduler_process_settings& current() const { return current_; }
 
-  /// Reads the file, which is said to have changed.
+  /// Reads the file immediately, for use when a signal reports a change.
   reload_outcome Reload();
-  /// Looks whether the file has changed. A change counts once two looks in a
-  /// row have found the same: while a file is being written its beginning may
-  /// be a valid file with other settings. Returns nothing where nothing new is
-  /// found.
+  /// Checks whether the file has changed. A change is processed once two
+  /// consecutive polls have read the same content, because the beginning of a
+  /// file that is still being written may be a valid file with other settings.
+  /// Returns nothing if there is no new change to process.
   std::optional<reload_outcome> Poll();
 
  private:
-  /// What a file holds, or why it can't be read.
+  /// Content of the file, or the reason why it cannot be read.
   struct content {
     std::string text;
     std::vector<core::finding> unreadable;
@@ -60,17 +61,18 @@
   reload_outcome Apply(const content& found);
 
   std::string file_;
-  /// What was last applied or refused.
+  /// The content that was last applied or refused.
   content last_processed_;
-  /// What the last look found, if that is something else.
+  /// The content read by the last poll, if it differs from `last_processed_`.
   std::optional<content> pending_change_;
   scheduler_process_settings current_;
 };
 
 /// Returns a finding for each value that differs and that a running process
-/// can't apply: all but `stop.grace`, since the rest is part of its
-/// connections, of its place in the group, or of leases that VMs have been
-/// given. Thread safety: safe from any thread.
+/// cannot apply. These are all but `stop.grace`, because the others determine
+/// the connections of the process, its place in the group, or leases that VMs
+/// have already been granted.
+/// Thread safety: safe from any thread.
 std::vector<core::finding> FindRestartOnlyChanges(
     const scheduler_process_settings& current,
     const scheduler_process_settings& fresh,
--- a/src/settings/units.cc
+++ b/src/settings/units.cc
@@ -13,7 +13,8 @@
 
 using unit_entry = std::pair<std::string_view, std::int64_t>;
 
-// From the largest to the smallest, so that formatting finds the shortest text.
+// Ordered from the largest to the smallest unit, so that formatting finds the
+// shortest text.
 constexpr std::array<unit_entry, 6> kDurationUnits = {{
     {"d", 86'400'000'000},
     {"h", 3'600'000'000},
@@ -30,14 +31,13 @@
 }};
 
 constexpr char kDurationHelp[] =
-    "write a time with its unit: us, ms, s, m, h or d, as in 800ms";
+    "write a duration with its unit: us, ms, s, m, h or d, as in 800ms";
 constexpr char kBytesHelp[] =
     "write a size with its unit: B, KiB, MiB or GiB, as in 8MiB";
-constexpr char kShareHelp[] =
-    "write a share in percent from 0% to 100%, as in 99.5%";
+constexpr char kShareHelp[] = "write a percentage from 0% to 100%, as in 99.5%";
 
 [[noreturn]] void Fail(std::string_view text, const char* help) {
-  throw unit_error("'" + std::string(text) + "' can't be read: " + help);
+  throw unit_error("'" + std::string(text) + "' cannot be parsed: " + help);
 }
 
 struct split_number {
@@ -45,7 +45,8 @@
   std::string_view unit;
 };
 
-// Splits "800ms" into its number and the rest; nothing when there is no number.
+// Splits "800ms" into its number and its unit. Returns nothing if the text does
+// not start with a number.
 std::optional<split_number> Split(std::string_view text) {
   split_number parts;
   const char* const end = text.data() + text.size();
@@ -123,7 +124,7 @@
 double ParseNumber(std::string_view text) {
   const std::optional<split_number> parts = Split(text);
   if (!parts || !parts->unit.empty()) {
-    Fail(text, "write a plain number, as in 2.5");
+    Fail(text, "write a number without a unit, as in 2.5");
   }
   return parts->number;
 }
@@ -133,7 +134,7 @@
   const char* const end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, number);
   if (error != std::errc() || rest != end) {
-    Fail(text, "write a whole number without a sign, as in 8");
+    Fail(text, "write an unsigned integer, as in 8");
   }
   return number;
 }
@@ -148,9 +149,9 @@
 
 std::string FormatShare(double value) {
   constexpr double kPercent = 100;
-  // The product may be off by the last bit, which would print as
-  // 99.49999999999999; the nearest short decimal that reads back as `value` is
-  // looked for instead.
+  // The product may be off by the last bit and would then be printed as
+  // 99.49999999999999. Therefore this searches for the shortest decimal that is
+  // parsed back to exactly `value`.
   for (int precision = 1;
        precision <= std::numeric_limits<double>::max_digits10; ++precision) {
     std::array<char, 64> buffer{};
--- a/src/settings/units.h
+++ b/src/settings/units.h
@@ -8,43 +8,47 @@
 
 #include "plantainhead/core/time.h"
 
-/// Values with their unit, as they stand in settings: "800ms", "8MiB", "99.5%".
-/// All functions are safe from any thread.
+/// Parsing and formatting of setting values with units: "800ms", "8MiB",
+/// "99.5%".
+/// All functions may be called from any thread.
 namespace plantainhead::settings {
 
-/// Says what is wrong with one value and how to write it; has no place.
+/// Thrown when a value cannot be parsed. The message describes the error and
+/// the expected format; it contains no location.
 class unit_error : public std::invalid_argument {
  public:
   using std::invalid_argument::invalid_argument;
 };
 
-/// Parses "250us", "800ms", "1.5s", "5m", "1h" or "30d". The unit is a must.
+/// Parses "250us", "800ms", "1.5s", "5m", "1h" or "30d". The unit is required.
 /// Throws `unit_error`.
 core::duration ParseDuration(std::string_view text);
 
-/// Parses "512B", "64KiB", "8MiB" or "1GiB". The unit is a must. Throws
-/// `unit_error`.
+/// Parses "512B", "64KiB", "8MiB" or "1GiB". The unit is required.
+/// Throws `unit_error`.
 std::uint64_t ParseBytes(std::string_view text);
 
-/// Parses "99.5%" into 0.995; from 0% to 100%. Throws `unit_error`.
+/// Parses a percentage such as "99.5%" into a fraction such as 0.995. The range
+/// is 0% to 100%.
+/// Throws `unit_error`.
 double ParseShare(std::string_view text);
 
-/// Parses a plain decimal number without a unit. Throws `unit_error`.
+/// Parses a decimal number without a unit. Throws `unit_error`.
 double ParseNumber(std::string_view text);
 
-/// Parses a plain whole number without a sign. Throws `unit_error`.
+/// Parses an unsigned integer without a unit. Throws `unit_error`.
 std::uint64_t ParseWholeNumber(std::string_view text);
 
-/// Returns the shortest text that `ParseDuration` reads back as `value`.
+/// Returns the shortest text that `ParseDuration` parses to `value`.
 std::string FormatDuration(core::duration value);
 
-/// Returns the shortest text that `ParseBytes` reads back as `value`.
+/// Returns the shortest text that `ParseBytes` parses to `value`.
 std::string FormatBytes(std::uint64_t value);
 
-/// Returns the shortest text that `ParseShare` reads back as `value`.
+/// Returns the shortest text that `ParseShare` parses to `value`.
 std::string FormatShare(double value);
 
-/// Returns the shortest text that `ParseNumber` reads back as `value`.
+/// Returns the shortest text that `ParseNumber` parses to `value`.
 std::string FormatNumber(double value);
 
 }  // namespace plantainhead::settings
--- a/src/settings/yaml_mapping.cc
+++ b/src/settings/yaml_mapping.cc
@@ -18,7 +18,7 @@
   return {file, mark.line + 1, mark.column + 1};
 }
 
-// Levenshtein's distance.
+// Returns the Levenshtein distance of two texts.
 std::size_t EditDistance(const std::string& left, const std::string& right) {
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -35,7 +35,8 @@
   return row.back();
 }
 
-// Returns the known key that `key` most likely means, or an empty text.
+// Returns the known key most similar to `key`, or an empty text if none is
+// similar enough.
 std::string NearestKey(const std::string& key,
                        const std::vector<std::string>& known) {
   constexpr std::size_t kMaxEdits = 3;
@@ -78,7 +79,7 @@
   }
   if (documents.size() != 1 || !documents.front().IsMap()) {
     throw core::findings_error(
-        {{{file, 1, 1}, "the file must be one YAML mapping"}});
+        {{{file, 1, 1}, "the file must contain exactly one YAML mapping"}});
   }
   return documents.front();
 }
@@ -126,7 +127,7 @@
     return std::nullopt;
   }
   if (!node->IsScalar()) {
-    sink_->Add(*node, QuotedPath(key) + " must be a single value");
+    sink_->Add(*node, QuotedPath(key) + " must be a scalar value");
     return std::nullopt;
   }
   return node->Scalar();
@@ -160,9 +161,9 @@
     return;
   }
   if (*read < range.min || *read > range.max) {
-    sink_->Add(At(key), QuotedPath(key) + " must be from " + format(range.min) +
-                            " to " + format(range.max) + ", not " +
-                            format(*read));
+    sink_->Add(At(key), QuotedPath(key) + " must be between " +
+                            format(range.min) + " and " + format(range.max) +
+                            ", not " + format(*read));
     return;
   }
   *value = *read;
@@ -185,7 +186,7 @@
 void yaml_mapping::ReadFlag(const std::string& key, bool* value) {
   const auto parse = [](const std::string& text) {
     if (text != "true" && text != "false") {
-      throw unit_error("'" + text + "' can't be read: write true or false");
+      throw unit_error("'" + text + "' cannot be parsed: write true or false");
     }
     return text == "true";
   };
@@ -276,7 +277,7 @@
     if (item.IsScalar()) {
       texts.push_back(item.Scalar());
     } else {
-      sink_->Add(item, QuotedPath(key) + " must hold single values");
+      sink_->Add(item, QuotedPath(key) + " must contain only scalar values");
     }
   }
   return texts;
@@ -286,12 +287,12 @@
   std::set<std::string> seen;
   for (const auto& item : node_) {
     if (!item.first.IsScalar()) {
-      sink_->Add(item.first, "a key must be a single word");
+      sink_->Add(item.first, "a key must be a scalar value");
       continue;
     }
     const std::string& key = item.first.Scalar();
     if (!seen.insert(key).second) {
-      sink_->Add(item.first, QuotedPath(key) + " stands twice");
+      sink_->Add(item.first, QuotedPath(key) + " is defined more than once");
       continue;
     }
     if (std::find(known_keys_.begin(), known_keys_.end(), key) !=
@@ -301,7 +302,7 @@
     const std::string nearest = NearestKey(key, known_keys_);
     sink_->Add(
         item.first,
-        QuotedPath(key) + " is not known" +
+        QuotedPath(key) + " is not a known key" +
             (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
 }
--- a/src/settings/yaml_mapping.h
+++ b/src/settings/yaml_mapping.h
@@ -13,39 +13,42 @@
 
 namespace plantainhead::settings {
 
-/// Where a reader puts what it finds wrong in one file.
+/// Collects the findings of one file while it is parsed.
 /// Thread safety: none.
 struct finding_sink {
   std::string file;
   std::vector<core::finding> findings;
 
-  /// Adds a finding at the place of `node`.
+  /// Adds a finding at the location of `node`.
   void Add(const YAML::Node& node, std::string message);
 
-  /// Throws `core::findings_error` in the order of the places, if there is
-  /// anything to throw.
+  /// Throws `core::findings_error` with all findings ordered by location, if
+  /// there are any.
   void ThrowIfAny();
 };
 
-/// Parses `text` as one YAML document that is a mapping. Throws
-/// `core::findings_error` when it isn't one.
+/// Parses `text` as a single YAML document that is a mapping. Throws
+/// `core::findings_error` if it is not one.
 YAML::Node ParseDocument(const std::string& text, const std::string& file);
 
+/// Whether a key must be present in a mapping.
 enum class presence { kRequired, kOptional };
 
-/// Least and greatest value that is allowed.
+/// Smallest and largest value that a setting may have.
 template <typename T>
 struct value_range {
   T min;
   T max;
 };
 
-/// Reads one YAML mapping key by key. What is wrong goes to the sink and leaves
-/// the target value as it was, so that one pass finds all mistakes.
+/// Reads the values of one YAML mapping key by key. An invalid value is
+/// reported to the sink and leaves the output unchanged, so that one pass finds
+/// all errors.
 /// Thread safety: none.
 class yaml_mapping {
  public:
-  /// `name` is the path of the mapping for messages, empty at the top.
+  /// `name` is the path of the mapping used in messages; it is empty for the
+  /// top-level mapping.
   /// Precondition: `sink` outlives the mapping.
   yaml_mapping(const YAML::Node& node, std::string name, finding_sink* sink);
 
@@ -71,40 +74,40 @@
                  double* value,
                  presence requirement = presence::kOptional);
 
-  /// Returns the mapping under `key`; nothing when it is missing or of another
-  /// kind.
+  /// Returns the mapping under `key`, or nothing if it is missing or not a
+  /// mapping.
   std::optional<yaml_mapping> Section(
       const std::string& key,
       presence requirement = presence::kOptional);
 
-  /// Returns the mappings in the list under `key`, without those of another
-  /// kind.
+  /// Returns the mappings in the list under `key`, without the items that are
+  /// not mappings.
   std::vector<yaml_mapping> List(const std::string& key);
 
-  /// Returns the texts in the list under `key`.
+  /// Returns the scalar values in the list under `key`.
   std::vector<std::string> TextList(const std::string& key,
                                     presence requirement = presence::kOptional);
 
-  /// Reports keys that nobody read, with the known key that is nearest, and
-  /// keys that stand twice. Call it last.
+  /// Reports keys that were not read, with the most similar known key, and
+  /// duplicate keys. Call it after all keys have been read.
   void CheckKeys();
 
-  /// Returns the node under `key`, else the mapping's own, for the place of a
-  /// finding.
+  /// Returns the node under `key`, or the mapping's own node if it is missing,
+  /// for the location of a finding.
   YAML::Node At(const std::string& key) const;
 
-  /// Returns where the mapping starts.
+  /// Returns the location of the start of the mapping.
   core::source_place place() const;
 
  private:
-  // Returns the node under `key`, or a null node after reporting that it is
-  // missing. The key counts as known from then on.
+  // Returns the node under `key`, or nothing if it is missing, which is
+  // reported if the key is required. The key counts as known from then on.
   std::optional<YAML::Node> Find(const std::string& key, presence requirement);
   std::optional<std::string> Scalar(const std::string& key,
                                     presence requirement);
   std::string QuotedPath(const std::string& key) const;
 
-  // Parses the scalar under `key` by `parse`, which throws `unit_error`.
+  // Parses the scalar under `key` with `parse`, which throws `unit_error`.
   template <typename T, typename Parse>
   std::optional<T> ReadWith(const std::string& key,
                             presence requirement,
--- a/tests/settings/entry_settings_test.cc
+++ b/tests/settings/entry_settings_test.cc
@@ -29,8 +29,8 @@
     "host: 127.0.0.1\n"
     "platform: {host: 127.0.0.1, port: 7070}\n";
 
-TEST_CASE("An entry learns from its settings") {
-  SECTION("all that the example gives") {
+TEST_CASE("Entry settings are parsed") {
+  SECTION("with all values of the example") {
     const entry_settings settings =
         LoadEntrySettings(PLANTAINHEAD_EXAMPLES_DIR "/entry.yaml");
 
@@ -43,7 +43,7 @@
     CHECK(settings.suspicion_timeout == std::chrono::seconds(1));
   }
 
-  SECTION("the least, with defaults for the rest") {
+  SECTION("with the required keys only and defaults for the rest") {
     const entry_settings settings =
         ParseEntrySettings(kMinimalSettings, "entry.yaml");
 
@@ -54,8 +54,8 @@
   }
 }
 
-TEST_CASE("An operator mistypes settings and is told all mistakes at once") {
-  SECTION("with their exact places, in the order of the file") {
+TEST_CASE("All errors in the settings are reported together") {
+  SECTION("with their exact locations, in the order of the file") {
     const std::string text =
         "name: entry-1\n"
         "zone: suwon\n"
@@ -70,20 +70,21 @@
 
     const std::vector<std::string> expected = {
         "entry.yaml:1:1: 'region' is missing",
-        "entry.yaml:3:1: 'regoin' is not known; did you mean 'region'?",
-        "entry.yaml:4:7: 'entry.example' is not an IP number",
-        "entry.yaml:5:12: 'http-port' must be from 0 to 65535, not 70000",
-        "entry.yaml:8:9: 'limits.body': '8MB' can't be read: write a size "
+        "entry.yaml:3:1: 'regoin' is not a known key; did you mean 'region'?",
+        "entry.yaml:4:7: 'entry.example' is not an IP address",
+        "entry.yaml:5:12: 'http-port' must be between 0 and 65535, not 70000",
+        "entry.yaml:8:9: 'limits.body': '8MB' cannot be parsed: write a size "
         "with its unit: B, KiB, MiB or GiB, as in 8MiB",
-        "entry.yaml:10:13: 'heartbeat.interval': '200' can't be read: write a "
-        "time with its unit: us, ms, s, m, h or d, as in 800ms",
+        "entry.yaml:10:13: 'heartbeat.interval': '200' cannot be parsed: write "
+        "a duration with its unit: us, ms, s, m, h or d, as in 800ms",
     };
     CHECK(FindingsIn(text) == expected);
   }
 
-  SECTION("when a key stands twice") {
+  SECTION("when a key is defined more than once") {
     CHECK(FindingsIn(std::string(kMinimalSettings) + "zone: goyang\n") ==
-          std::vector<std::string>{"entry.yaml:6:1: 'zone' stands twice"});
+          std::vector<std::string>{
+              "entry.yaml:6:1: 'zone' is defined more than once"});
   }
 
   SECTION("when one late heartbeat would accuse a healthy entry") {
@@ -93,20 +94,20 @@
     CHECK(FindingsIn(text).size() == 1);
   }
 
-  SECTION("when its address would not reach it") {
+  SECTION("when the host is a wildcard address") {
     const std::string text = std::string(kMinimalSettings) + "http-port: 1\n";
     std::string wildcard = text;
     wildcard.replace(wildcard.find("127.0.0.1"), 9, "0.0.0.0");
     CHECK(FindingsIn(wildcard).size() == 1);
   }
 
-  SECTION("when the text is no YAML mapping at all") {
+  SECTION("when the text is not a YAML mapping") {
     CHECK(FindingsIn("").size() == 1);
     CHECK(FindingsIn("- a\n").size() == 1);
     CHECK(FindingsIn("a: [").size() == 1);
   }
 
-  SECTION("when the file isn't there") {
+  SECTION("when the file does not exist") {
     CHECK_THROWS_AS(LoadEntrySettings("/nowhere/entry.yaml"),
                     core::findings_error);
   }
--- a/tests/settings/settings_reloader_test.cc
+++ b/tests/settings/settings_reloader_test.cc
@@ -16,7 +16,7 @@
     "listen: {callers: 127.0.0.1:1, probes: 127.0.0.1:2}\n"
     "store: {address: 127.0.0.1:3}\n";
 
-/// A settings file that goes with the test.
+/// A settings file that is removed at the end of the test.
 class settings_file {
  public:
   settings_file()
@@ -46,9 +46,10 @@
   return messages;
 }
 
-// The platform rewrites the file of a running process, with a signal or without
-// one. The operator finds either all of it in force or none, and in the log
-// why; never the addresses of one file with the grace of another.
+// The platform rewrites the settings file of a running process, with or without
+// a signal. Either all settings of the file must be in force, or none and the
+// reason is reported; settings of two versions of the file must never be mixed,
+// such as the addresses of one with the grace period of another.
 TEST_CASE("A settings file that changes is applied or refused as a whole") {
   const settings_file file;
   file.Write(kMinimalSettings);
@@ -57,7 +58,7 @@
   const std::string longer_grace =
       std::string(kMinimalSettings) + "stop: {grace: 9s}\n";
 
-  SECTION("while it stays the same, looks find nothing") {
+  SECTION("polls find no change while the file stays the same") {
     CHECK_FALSE(reloader.Poll());
     CHECK_FALSE(reloader.Poll());
     CHECK(std::holds_alternative<reload_unchanged>(reloader.Reload()));
@@ -70,7 +71,8 @@
     CHECK_FALSE(reloader.Poll());
   }
 
-  SECTION("without a signal it is applied when two looks have found the same") {
+  SECTION(
+      "without a signal it is applied after two polls with the same content") {
     file.Write(longer_grace);
     CHECK_FALSE(reloader.Poll());
     CHECK(reloader.current() == at_start);
@@ -81,7 +83,7 @@
     CHECK_FALSE(reloader.Poll());
   }
 
-  SECTION("a file that is being written isn't taken for a whole one") {
+  SECTION("a file that is still being written is not applied") {
     file.Write(std::string(kMinimalSettings) + "stop: {grace: 5s}\n");
     CHECK_FALSE(reloader.Poll());
     file.Write(longer_grace);
@@ -91,26 +93,26 @@
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
   }
 
-  SECTION("one that needs a restart is refused with all that needs it") {
+  SECTION("a change that needs a restart is refused with all such keys") {
     file.Write(
         "name: scheduler-1\n"
         "listen: {callers: 127.0.0.1:9, probes: 127.0.0.1:2}\n"
         "store: {address: 127.0.0.1:3}\n"
         "lease: {most: 5s}\n"
         "stop: {grace: 9s}\n");
-    CHECK(
-        MessagesOf(reloader.Reload()) ==
-        std::vector<std::string>{"'listen.callers' changes only with a restart",
-                                 "'lease.most' changes only with a restart"});
+    CHECK(MessagesOf(reloader.Reload()) ==
+          std::vector<std::string>{
+              "'listen.callers' cannot be changed without a restart",
+              "'lease.most' cannot be changed without a restart"});
     CHECK(reloader.current() == at_start);
 
-    SECTION("and is told once") {
+    SECTION("and is reported once") {
       CHECK_FALSE(reloader.Poll());
       CHECK_FALSE(reloader.Poll());
     }
   }
 
-  SECTION("one with faults is refused, and applied once they are mended") {
+  SECTION("an invalid file is refused, and applied once it is corrected") {
     file.Write(longer_grace + "grcae: 1s\n");
     CHECK_FALSE(reloader.Poll());
     const auto outcome = reloader.Poll();
@@ -123,13 +125,13 @@
     CHECK(reloader.current().stop_grace == std::chrono::seconds(9));
   }
 
-  SECTION("one that is gone is refused, and nothing is lost when it returns") {
+  SECTION("a removed file is refused, and is unchanged when it is restored") {
     file.Remove();
     CHECK_FALSE(reloader.Poll());
     const auto outcome = reloader.Poll();
     REQUIRE(outcome);
     CHECK(MessagesOf(*outcome) ==
-          std::vector<std::string>{"the file can't be read"});
+          std::vector<std::string>{"the file cannot be read"});
     file.Write(kMinimalSettings);
     CHECK_FALSE(reloader.Poll());
     const auto again = reloader.Poll();
--- a/tests/settings/targets_test.cc
+++ b/tests/settings/targets_test.cc
@@ -14,8 +14,8 @@
   return ParseTargets(ReadFile(path), path);
 }
 
-TEST_CASE("An operator writes targets") {
-  SECTION("as in the examples, which parse and survive a round trip") {
+TEST_CASE("Targets are parsed") {
+  SECTION("from the examples, which survive a round trip") {
     for (const char* name : {"sinmungo.yaml", "gulfmargin.yaml"}) {
       const core::configuration targets = Example(name);
       CHECK(targets.services.size() == 5);
@@ -23,7 +23,7 @@
     }
   }
 
-  SECTION("and finds each value in its place") {
+  SECTION("with each value in its field") {
     const core::configuration targets = Example("sinmungo.yaml");
     const core::work_class* const intake =
         targets.FindClass(core::class_name("constituent-intake"));
@@ -36,7 +36,7 @@
     CHECK(targets.priorities.buffer_cost == 3);
   }
 
-  SECTION("with mistakes of syntax and of meaning, reported together") {
+  SECTION("with syntactic and semantic errors reported together") {
     const std::string text =
         "version: 1\n"
         "services:\n"
@@ -50,20 +50,21 @@
         "    can-wiat: true\n";
     try {
       ParseTargets(text, "t.yaml");
-      FAIL("targets with mistakes were read");
+      FAIL("targets with errors were parsed");
     } catch (const core::findings_error& error) {
       REQUIRE(error.findings().size() == 3);
       CHECK(ToString(error.findings()[0]) ==
             "t.yaml:3:5: service 'intake' names pool 'nowhere', which isn't "
             "defined");
       CHECK(error.findings()[1].place == core::source_place{"t.yaml", 7, 13});
-      CHECK(ToString(error.findings()[2]) ==
-            "t.yaml:10:5: 'classes[0].can-wiat' is not known; did you mean "
-            "'can-wait'?");
+      CHECK(
+          ToString(error.findings()[2]) ==
+          "t.yaml:10:5: 'classes[0].can-wiat' is not a known key; did you mean "
+          "'can-wait'?");
     }
   }
 
-  SECTION("for a schema that this version doesn't know") {
+  SECTION("only for the supported schema version") {
     CHECK_THROWS_AS(ParseTargets("version: 2\n", "t.yaml"),
                     core::findings_error);
     CHECK_THROWS_AS(ParseTargets("services: []\n", "t.yaml"),
--- a/tests/settings/units_test.cc
+++ b/tests/settings/units_test.cc
@@ -6,8 +6,8 @@
 namespace plantainhead::settings {
 namespace {
 
-TEST_CASE("Values carry their unit") {
-  SECTION("and are read with it") {
+TEST_CASE("Values with units") {
+  SECTION("are parsed") {
     CHECK(ParseDuration("800ms") == std::chrono::milliseconds(800));
     CHECK(ParseDuration("1.5s") == std::chrono::milliseconds(1500));
     CHECK(ParseDuration("30d") == std::chrono::hours(720));
@@ -16,7 +16,7 @@
     CHECK(ParseWholeNumber("8080") == 8080);
   }
 
-  SECTION("and are refused without it, or with one that nobody knows") {
+  SECTION("are refused without a unit or with an unknown unit") {
     for (const char* text : {"800", "", "ms", "-1s", "5 parsecs", "nans"}) {
       CHECK_THROWS_AS(ParseDuration(text), unit_error);
     }
@@ -30,7 +30,7 @@
     CHECK_THROWS_AS(ParseWholeNumber("1.5"), unit_error);
   }
 
-  SECTION("and are written so that they read back the same") {
+  SECTION("are formatted so that they are parsed to the same value") {
     CHECK(FormatDuration(std::chrono::milliseconds(1500)) == "1500ms");
     CHECK(FormatBytes(8 << 20) == "8MiB");
     CHECK(FormatShare(0.995) == "99.5%");
