--- a/src/platform/list_reader.cc
+++ b/src/platform/list_reader.cc
@@ -38,8 +38,8 @@
     return false;
   }
   try {
-    vms_.ApplyAnswer(vms.body);
-    tasks_.ApplyAnswer(tasks.body);
+    vms_.ApplyResponse(vms.body);
+    tasks_.ApplyResponse(tasks.body);
     return true;
   } catch (const codec_error&) {
     return false;
--- a/src/platform/list_reader.h
+++ b/src/platform/list_reader.h
@@ -28,7 +28,7 @@
 
   /// Applies a response to the copy. Throws `codec_error` and leaves the copy
   /// unchanged if the response is malformed.
-  void ApplyAnswer(const std::string& text) {
+  void ApplyResponse(const std::string& text) {
     const json body = ParseObject(text);
     json_reader in(body, "");
     bool is_whole = true;
