--- a/include/plantainhead/settings/entry_settings.h
+++ b/include/plantainhead/settings/entry_settings.h
@@ -58,7 +58,7 @@
   core::duration count_interval = std::chrono::minutes(1);
 
   /// `log.level`: messages below this level are omitted.
-  core::note_level log_level = core::note_level::kInfo;
+  core::log_severity log_level = core::log_severity::kInfo;
   /// `log.file`: path of the log file, or "-" for standard output.
   std::string log_file = "-";
   /// `port-file`: path of a file that the entry writes once it is listening,
--- a/src/jobs/job_meters.cc
+++ b/src/jobs/job_meters.cc
@@ -31,15 +31,15 @@
 }
 
 std::string job_meters::ToText() {
-  const work_times times = work_.Totals();
+  const cpu_times times = work_.Totals();
   for (const auto& [kind, name] : kLoopWorkNames) {
     const auto used = std::chrono::duration_cast<std::chrono::microseconds>(
         times[static_cast<std::size_t>(kind)]);
-    observe::counter& shown = registry_.Counter(
+    observe::counter& exported = registry_.Counter(
         "plantain_loop_busy_microseconds_total",
         "Processor time of the thread of all work, by kind of work.",
         {{"work", std::string(name)}});
-    shown.Add(static_cast<std::uint64_t>(used.count()) - shown.value());
+    exported.Add(static_cast<std::uint64_t>(used.count()) - exported.value());
   }
   return registry_.ToText();
 }
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "jobs/caller_request.h"
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 #include "plantainhead/core/jobs/job_types.h"
 
 namespace plantainhead::jobs {
@@ -24,7 +24,7 @@
  public:
   struct dependencies {
     /// Outlives the object.
-    peers::owner_links* owners = nullptr;
+    peers::owner_client* owners = nullptr;
     /// The epoch under which this process schedules the pools of a partition; 0
     /// when it doesn't.
     std::function<std::uint64_t(std::uint32_t pool_partition)> epoch_of;
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -9,11 +9,11 @@
 #include "jobs/event_log.h"
 #include "jobs/job_partitions.h"
 #include "jobs/owner_relay.h"
+#include "jobs/pending_job_counter.h"
 #include "jobs/record_codec.h"
 #include "jobs/refusal.h"
-#include "jobs/waiting_counts.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
@@ -38,7 +38,7 @@
                   dependencies.world,
                   dependencies.meters,
                   settings.recorder),
-        waiting_counts_(dependencies.world, settings.retry_after) {}
+        pending_job_counter_(dependencies.world, settings.retry_after) {}
 
   void Handle(const net::server_request& request,
               const net::responder& respond) {
@@ -52,9 +52,9 @@
     if (match.route == nullptr) {
       ++counts_.unknown_route;
       // The process that passed the request on knows the queue.
-      respond(peers::HopsOf(request) > 0
-                  ? adapter::EncodeFault(net::kMisdirected, "no such queue")
-                  : adapter::EncodeFault(net::kNotFound, "no such queue"));
+      respond(peers::HopCountOf(request) > 0
+                  ? adapter::EncodeError(net::kMisdirected, "no such queue")
+                  : adapter::EncodeError(net::kNotFound, "no such queue"));
       return;
     }
     const caller_request asked{
@@ -84,7 +84,7 @@
   void HandleJob(const caller_request& asked) {
     if (!adapter::IsJobId(asked.id)) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
+      asked.respond(adapter::EncodeError(net::kBadRequest,
                                          "the path doesn't end in a job's id"));
       return;
     }
@@ -100,7 +100,7 @@
         Cancel(asked);
         return;
       case net::method::kOther:
-        asked.respond(adapter::EncodeFault(net::kMethodNotAllowed,
+        asked.respond(adapter::EncodeError(net::kMethodNotAllowed,
                                            "use POST, GET or DELETE"));
         return;
     }
@@ -113,14 +113,14 @@
   // A process that passed a request on asks elsewhere; a caller comes back.
   net::server_response NotHere(const net::server_request& request,
                                const std::string& why) const {
-    return peers::HopsOf(request) > 0
-               ? adapter::EncodeFault(net::kMisdirected, why)
+    return peers::HopCountOf(request) > 0
+               ? adapter::EncodeError(net::kMisdirected, why)
                : Refusal(why);
   }
 
   core::time_point GiveUpAt(const net::server_request& request) const {
     const milliseconds patience =
-        adapter::DecodePatience(request).value_or(settings_.default_patience);
+        adapter::DecodeTimeout(request).value_or(settings_.default_patience);
     const milliseconds usable =
         std::max(patience - settings_.answer_reserve, patience / 2);
     return BootTime() + usable;
@@ -135,7 +135,7 @@
   // Leaves a request that stores a record to the pool's owner. Where none
   // settles it this process goes on with `without_owner`.
   void TryOwner(const caller_request& asked, step without_owner) {
-    if (peers::HopsOf(asked.request) > 0) {
+    if (peers::HopCountOf(asked.request) > 0) {
       asked.respond(NotHere(asked.request, "another process owns the pool"));
       return;
     }
@@ -163,7 +163,7 @@
   }
 
   net::server_response UnknownJob(bool is_read) const {
-    return is_read ? adapter::EncodeFault(net::kGone, "no such job")
+    return is_read ? adapter::EncodeError(net::kGone, "no such job")
                    : Refusal("the store can't be read");
   }
 
@@ -186,7 +186,7 @@
     adapter::decoded_job decoded = adapter::DecodeJob(asked.request.body);
     if (!decoded.spec) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
+      asked.respond(adapter::EncodeError(net::kBadRequest,
                                          "malformed: " + decoded.fault));
       return;
     }
@@ -287,7 +287,7 @@
 
   void Count(const caller_request& asked) {
     if (relay_.Owns(asked.route.pool)) {
-      waiting_counts_.Answer(asked.route, asked.respond);
+      pending_job_counter_.Answer(asked.route, asked.respond);
       return;
     }
     relay_.Ask(asked, asked.route.pool,
@@ -305,7 +305,7 @@
   submission_counts counts_;
   owner_relay relay_;
   job_recorder recorder_;
-  waiting_counts waiting_counts_;
+  pending_job_counter pending_job_counter_;
 };
 
 submissions::submissions(const dependencies& dependencies,
--- a/src/platform/appender.cc
+++ b/src/platform/appender.cc
@@ -63,7 +63,7 @@
   // its author was told that publishing it had failed.
   const bool is_refusal =
       reply.status >= kClientErrorBegin && reply.status < kClientErrorEnd;
-  if (reply.outcome == delivery::kNotSent || is_refusal) {
+  if (reply.outcome == call_outcome::kNotSent || is_refusal) {
     finished.result = core::append_result::kRejected;
   } else if (reply.IsSuccess()) {
     try {
--- a/src/platform/operation_runner.cc
+++ b/src/platform/operation_runner.cc
@@ -114,7 +114,7 @@
       "/operations/" + EscapePathSegment(item.what.operation.value()),
       Dump(WriteOperation(item.what.what)));
   const bool is_running =
-      reply.outcome == delivery::kAnswered && reply.status == kAccepted;
+      reply.outcome == call_outcome::kAnswered && reply.status == kAccepted;
   if (is_running && steady::now() < item.deadline) {
     return std::nullopt;
   }
--- a/src/platform/platform_http_client.cc
+++ b/src/platform/platform_http_client.cc
@@ -13,7 +13,7 @@
 http_reply ToReply(httplib::Result result) {
   http_reply reply;
   if (result) {
-    reply.outcome = delivery::kAnswered;
+    reply.outcome = call_outcome::kAnswered;
     reply.status = result->status;
     reply.body = std::move(result->body);
     return reply;
@@ -22,19 +22,20 @@
   const bool is_connected = error != httplib::Error::Connection &&
                             error != httplib::Error::ConnectionTimeout &&
                             error != httplib::Error::BindIPAddress;
-  reply.outcome = is_connected ? delivery::kUnanswered : delivery::kNotSent;
+  reply.outcome =
+      is_connected ? call_outcome::kUnanswered : call_outcome::kNotSent;
   return reply;
 }
 
 }  // namespace
 
 bool http_reply::IsSuccess() const {
-  return outcome == delivery::kAnswered && status >= kSuccessBegin &&
+  return outcome == call_outcome::kAnswered && status >= kSuccessBegin &&
          status < kSuccessEnd;
 }
 
 std::string http_reply::ErrorText() const {
-  if (outcome == delivery::kAnswered) {
+  if (outcome == call_outcome::kAnswered) {
     return "status " + std::to_string(status);
   }
   return std::string(core::NameOf(outcome));
--- a/src/platform/platform_http_client.h
+++ b/src/platform/platform_http_client.h
@@ -7,16 +7,16 @@
 
 #include <httplib.h>
 
-#include "net/delivery.h"
+#include "net/call_outcome.h"
 #include "plantainhead/core/time.h"
 
 namespace plantainhead::platform {
 
-using net::delivery;
+using net::call_outcome;
 
 /// The outcome of an HTTP request to the platform.
 struct http_reply {
-  delivery outcome = delivery::kNotSent;
+  call_outcome outcome = call_outcome::kNotSent;
   /// HTTP status of the response, or 0 if there is none.
   int status = 0;
   std::string body;
--- a/src/settings/yaml_mapping.h
+++ b/src/settings/yaml_mapping.h
@@ -97,7 +97,7 @@
   YAML::Node At(const std::string& key) const;
 
   /// Returns the location of the start of the mapping.
-  core::source_place place() const;
+  core::source_location place() const;
 
  private:
   // Returns the node under `key`, or nothing if it is missing, which is
