--- a/src/jobs/work_meter.cc
+++ b/src/jobs/cpu_time_meter.cc
@@ -1,4 +1,4 @@
-#include "jobs/work_meter.h"
+#include "jobs/cpu_time_meter.h"
 
 #include <utility>
 
--- a/src/jobs/work_meter.h
+++ b/src/jobs/cpu_time_meter.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_WORK_METER_H_
-#define PLANTAINHEAD_SRC_JOBS_WORK_METER_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_CPU_TIME_METER_H_
+#define PLANTAINHEAD_SRC_JOBS_CPU_TIME_METER_H_
 
 #include <array>
 #include <cstddef>
@@ -96,4 +96,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_WORK_METER_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_CPU_TIME_METER_H_
--- a/src/jobs/line_gatherer.h
+++ b/src/jobs/event_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_LINE_GATHERER_H_
-#define PLANTAINHEAD_SRC_JOBS_LINE_GATHERER_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_EVENT_AGGREGATOR_H_
+#define PLANTAINHEAD_SRC_JOBS_EVENT_AGGREGATOR_H_
 
 #include <chrono>
 #include <cstddef>
@@ -103,4 +103,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_LINE_GATHERER_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_EVENT_AGGREGATOR_H_
--- a/src/jobs/event_log.cc
+++ b/src/jobs/event_log.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "jobs/clocks.h"
-#include "jobs/line_budget.h"
+#include "jobs/log_rate_limiter.h"
 
 namespace plantainhead::jobs {
 namespace {
--- a/src/jobs/fleet_owner_impl.h
+++ b/src/jobs/fleet_owner_impl.h
@@ -12,12 +12,12 @@
 #include <utility>
 #include <vector>
 
+#include "jobs/cpu_time_meter.h"
 #include "jobs/fleet_owner.h"
 #include "jobs/fleet_records.h"
 #include "jobs/progress_writer.h"
 #include "jobs/record_codec.h"
 #include "jobs/record_outbox.h"
-#include "jobs/work_meter.h"
 #include "platform/fleet_client.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/job_meters.h
+++ b/src/jobs/job_meters.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "jobs/clocks.h"
-#include "jobs/work_meter.h"
+#include "jobs/cpu_time_meter.h"
 #include "plantainhead/core/jobs/job_result.h"
 #include "plantainhead/core/time.h"
 #include "plantainhead/observe/metrics.h"
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -13,14 +13,14 @@
 #include "jobs/job_meters.h"
 #include "jobs/job_metrics.h"
 #include "jobs/job_world.h"
-#include "jobs/loop_watch.h"
+#include "jobs/loop_lag_monitor.h"
 #include "jobs/ownership.h"
-#include "jobs/state_line.h"
-#include "jobs/store_contact.h"
+#include "jobs/process_state.h"
+#include "jobs/store_outage_tracker.h"
 #include "jobs/submissions.h"
 #include "net/http_server.h"
 #include "net/http_status.h"
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/line_budget.cc
+++ b/src/jobs/log_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "jobs/line_budget.h"
+#include "jobs/log_rate_limiter.h"
 
 #include <utility>
 
--- a/src/jobs/line_budget.h
+++ b/src/jobs/log_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_LINE_BUDGET_H_
-#define PLANTAINHEAD_SRC_JOBS_LINE_BUDGET_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_LOG_RATE_LIMITER_H_
+#define PLANTAINHEAD_SRC_JOBS_LOG_RATE_LIMITER_H_
 
 #include "plantainhead/core/time.h"
 
@@ -29,4 +29,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_LINE_BUDGET_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_LOG_RATE_LIMITER_H_
--- a/src/jobs/loop_watch.h
+++ b/src/jobs/loop_lag_monitor.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_LOOP_WATCH_H_
-#define PLANTAINHEAD_SRC_JOBS_LOOP_WATCH_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_LOOP_LAG_MONITOR_H_
+#define PLANTAINHEAD_SRC_JOBS_LOOP_LAG_MONITOR_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -40,4 +40,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_LOOP_WATCH_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_LOOP_LAG_MONITOR_H_
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -6,7 +6,7 @@
 #include "jobs/clocks.h"
 #include "jobs/job_partitions.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 
 namespace plantainhead::jobs {
 namespace {
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "jobs/caller_request.h"
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 #include "plantainhead/core/jobs/job_types.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -17,7 +17,7 @@
 #include "jobs/job_meters.h"
 #include "jobs/job_world.h"
 #include "jobs/pool_owner.h"
-#include "jobs/state_line.h"
+#include "jobs/process_state.h"
 #include "peers/owner_announcement.h"
 #include "platform/store_client.h"
 
--- a/src/jobs/waiting_counts.cc
+++ b/src/jobs/pending_job_counter.cc
@@ -1,4 +1,4 @@
-#include "jobs/waiting_counts.h"
+#include "jobs/pending_job_counter.h"
 
 #include <string>
 
--- a/src/jobs/waiting_counts.h
+++ b/src/jobs/pending_job_counter.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_WAITING_COUNTS_H_
-#define PLANTAINHEAD_SRC_JOBS_WAITING_COUNTS_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_PENDING_JOB_COUNTER_H_
+#define PLANTAINHEAD_SRC_JOBS_PENDING_JOB_COUNTER_H_
 
 #include <chrono>
 #include <memory>
@@ -39,4 +39,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_WAITING_COUNTS_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_PENDING_JOB_COUNTER_H_
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -14,15 +14,15 @@
 #include <utility>
 #include <vector>
 
+#include "jobs/cpu_time_meter.h"
+#include "jobs/event_aggregator.h"
 #include "jobs/fleet_records.h"
 #include "jobs/group_member.h"
-#include "jobs/line_gatherer.h"
 #include "jobs/pool_owner.h"
 #include "jobs/progress_writer.h"
 #include "jobs/record_codec.h"
 #include "jobs/record_outbox.h"
-#include "jobs/vm_link.h"
-#include "jobs/work_meter.h"
+#include "jobs/vm_connection.h"
 
 namespace plantainhead::jobs {
 
--- a/src/jobs/state_line.h
+++ b/src/jobs/process_state.h
@@ -1,12 +1,12 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_STATE_LINE_H_
-#define PLANTAINHEAD_SRC_JOBS_STATE_LINE_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_PROCESS_STATE_H_
+#define PLANTAINHEAD_SRC_JOBS_PROCESS_STATE_H_
 
 #include <chrono>
 #include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "jobs/work_meter.h"
+#include "jobs/cpu_time_meter.h"
 #include "plantainhead/core/time.h"
 #include "plantainhead/observe/logging.h"
 
@@ -68,4 +68,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_STATE_LINE_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_PROCESS_STATE_H_
--- a/src/jobs/store_contact.h
+++ b/src/jobs/store_outage_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_STORE_CONTACT_H_
-#define PLANTAINHEAD_SRC_JOBS_STORE_CONTACT_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_STORE_OUTAGE_TRACKER_H_
+#define PLANTAINHEAD_SRC_JOBS_STORE_OUTAGE_TRACKER_H_
 
 #include <chrono>
 #include <optional>
@@ -52,4 +52,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_STORE_CONTACT_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_STORE_OUTAGE_TRACKER_H_
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -9,11 +9,11 @@
 #include "jobs/event_log.h"
 #include "jobs/job_partitions.h"
 #include "jobs/owner_relay.h"
+#include "jobs/pending_job_counter.h"
 #include "jobs/record_codec.h"
 #include "jobs/refusal.h"
-#include "jobs/waiting_counts.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/paced_action.cc
+++ b/src/jobs/throttled_action.cc
@@ -1,4 +1,4 @@
-#include "jobs/paced_action.h"
+#include "jobs/throttled_action.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/jobs/paced_action.h
+++ b/src/jobs/throttled_action.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_PACED_ACTION_H_
-#define PLANTAINHEAD_SRC_JOBS_PACED_ACTION_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_THROTTLED_ACTION_H_
+#define PLANTAINHEAD_SRC_JOBS_THROTTLED_ACTION_H_
 
 #include <functional>
 #include <memory>
@@ -34,4 +34,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_PACED_ACTION_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_THROTTLED_ACTION_H_
--- a/src/jobs/vm_link.h
+++ b/src/jobs/vm_connection.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_JOBS_VM_LINK_H_
-#define PLANTAINHEAD_SRC_JOBS_VM_LINK_H_
+#ifndef PLANTAINHEAD_SRC_JOBS_VM_CONNECTION_H_
+#define PLANTAINHEAD_SRC_JOBS_VM_CONNECTION_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <optional>
@@ -36,4 +36,4 @@
 
 }  // namespace plantainhead::jobs
 
-#endif  // PLANTAINHEAD_SRC_JOBS_VM_LINK_H_
+#endif  // PLANTAINHEAD_SRC_JOBS_VM_CONNECTION_H_
--- a/src/peers/passed_request.cc
+++ b/src/peers/forwarded_request.cc
@@ -1,4 +1,4 @@
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 
 #include <charconv>
 #include <string>
--- a/src/peers/passed_request.h
+++ b/src/peers/forwarded_request.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_PEERS_PASSED_REQUEST_H_
-#define PLANTAINHEAD_SRC_PEERS_PASSED_REQUEST_H_
+#ifndef PLANTAINHEAD_SRC_PEERS_FORWARDED_REQUEST_H_
+#define PLANTAINHEAD_SRC_PEERS_FORWARDED_REQUEST_H_
 
 #include <chrono>
 
@@ -24,4 +24,4 @@
 
 }  // namespace plantainhead::peers
 
-#endif  // PLANTAINHEAD_SRC_PEERS_PASSED_REQUEST_H_
+#endif  // PLANTAINHEAD_SRC_PEERS_FORWARDED_REQUEST_H_
--- a/src/peers/owner_links.cc
+++ b/src/peers/owner_client.cc
@@ -1,4 +1,4 @@
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 #include "jobs/clocks.h"
 #include "net/http_client.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 
 namespace plantainhead::peers {
 
--- a/src/peers/owner_links.h
+++ b/src/peers/owner_client.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_PEERS_OWNER_LINKS_H_
-#define PLANTAINHEAD_SRC_PEERS_OWNER_LINKS_H_
+#ifndef PLANTAINHEAD_SRC_PEERS_OWNER_CLIENT_H_
+#define PLANTAINHEAD_SRC_PEERS_OWNER_CLIENT_H_
 
 #include <chrono>
 #include <cstddef>
@@ -76,4 +76,4 @@
 
 }  // namespace plantainhead::peers
 
-#endif  // PLANTAINHEAD_SRC_PEERS_OWNER_LINKS_H_
+#endif  // PLANTAINHEAD_SRC_PEERS_OWNER_CLIENT_H_
--- a/tests/jobs/line_gatherer_test.cc
+++ b/tests/jobs/event_aggregator_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/line_gatherer.h"
+#include "jobs/event_aggregator.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/jobs/loop_watch_test.cc
+++ b/tests/jobs/loop_lag_monitor_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/loop_watch.h"
+#include "jobs/loop_lag_monitor.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
--- a/tests/jobs/state_line_test.cc
+++ b/tests/jobs/process_state_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/state_line.h"
+#include "jobs/process_state.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/jobs/store_contact_test.cc
+++ b/tests/jobs/store_outage_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "jobs/store_contact.h"
+#include "jobs/store_outage_tracker.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/peers/owner_links_test.cc
+++ b/tests/peers/owner_client_test.cc
@@ -1,4 +1,4 @@
-#include "peers/owner_links.h"
+#include "peers/owner_client.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -12,7 +12,7 @@
 #include "net/address.h"
 #include "net/http_server.h"
 #include "net/http_status.h"
-#include "peers/passed_request.h"
+#include "peers/forwarded_request.h"
 #include "platform/ingress_codec.h"
 #include "run_until.h"
 
