--- a/src/jobs/clocks.cc
+++ b/src/jobs/clocks.cc
@@ -23,7 +23,7 @@
   return Read(CLOCK_REALTIME);
 }
 
-core::duration ThreadTime() {
+core::duration ThreadCpuTime() {
   return Read(CLOCK_THREAD_CPUTIME_ID).time_since_epoch();
 }
 
--- a/src/jobs/clocks.h
+++ b/src/jobs/clocks.h
@@ -21,7 +21,7 @@
 
 /// Returns the processor time that the calling thread has used.
 /// Thread safety: safe from any thread.
-core::duration ThreadTime();
+core::duration ThreadCpuTime();
 
 /// Returns the time in whole milliseconds, as lines of the log have it.
 /// Thread safety: safe from any thread.
--- a/src/jobs/cpu_time_meter.cc
+++ b/src/jobs/cpu_time_meter.cc
@@ -6,7 +6,7 @@
 
 namespace plantainhead::jobs {
 
-std::string ToText(const work_times& times) {
+std::string ToText(const cpu_times& times) {
   std::string text;
   for (const auto& [kind, name] : kLoopWorkNames) {
     const std::string millis = MillisOf(times[static_cast<std::size_t>(kind)]);
@@ -18,28 +18,28 @@
   return text;
 }
 
-work_meter::work_meter(clock clock)
-    : clock_(std::move(clock)), counted_through_(clock_()) {}
+cpu_time_meter::cpu_time_meter(clock clock)
+    : clock_(std::move(clock)), counted_until_(clock_()) {}
 
-work_meter::scope::scope(work_meter* meter, loop_work kind)
-    : meter_(meter), outer_(meter->present_) {
+cpu_time_meter::scope::scope(cpu_time_meter* meter, loop_work kind)
+    : meter_(meter), outer_kind_(meter->current_kind_) {
   meter_->ChangeTo(kind);
 }
 
-work_meter::scope::~scope() {
-  meter_->ChangeTo(outer_);
+cpu_time_meter::scope::~scope() {
+  meter_->ChangeTo(outer_kind_);
 }
 
-work_times work_meter::Totals() {
-  ChangeTo(present_);
+cpu_times cpu_time_meter::Totals() {
+  ChangeTo(current_kind_);
   return totals_;
 }
 
-void work_meter::ChangeTo(loop_work kind) {
+void cpu_time_meter::ChangeTo(loop_work kind) {
   const core::duration now = clock_();
-  totals_[static_cast<std::size_t>(present_)] += now - counted_through_;
-  counted_through_ = now;
-  present_ = kind;
+  totals_[static_cast<std::size_t>(current_kind_)] += now - counted_until_;
+  counted_until_ = now;
+  current_kind_ = kind;
 }
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/cpu_time_meter.h
+++ b/src/jobs/cpu_time_meter.h
@@ -47,23 +47,23 @@
 }
 
 /// Processor time by kind of work.
-using work_times = std::array<core::duration, kLoopWorkNames.size()>;
+using cpu_times = std::array<core::duration, kLoopWorkNames.size()>;
 
 /// Returns for instance "plan 12, holds 31": milliseconds, without the kinds
 /// that took none. Thread safety: safe from any thread.
-std::string ToText(const work_times& times);
+std::string ToText(const cpu_times& times);
 
 /// Meters the processor time of the thread of all work by kind. The lag of the
 /// loop is the time of one turn, however much waits behind it; a loop without
 /// any time left shows only here. Not thread-safe.
-class work_meter {
+class cpu_time_meter {
  public:
   /// Returns the processor time that the thread has used.
   using clock = std::function<core::duration()>;
 
-  explicit work_meter(clock clock);
-  work_meter(const work_meter&) = delete;
-  work_meter& operator=(const work_meter&) = delete;
+  explicit cpu_time_meter(clock clock);
+  cpu_time_meter(const cpu_time_meter&) = delete;
+  cpu_time_meter& operator=(const cpu_time_meter&) = delete;
 
   /// Counts the time until its end for one kind of work. Scopes nest: the time
   /// of an inner one counts for its own kind only.
@@ -71,27 +71,27 @@
    public:
     /// Preconditions: `meter` outlives it, and it ends before any scope that
     /// was begun earlier.
-    scope(work_meter* meter, loop_work kind);
+    scope(cpu_time_meter* meter, loop_work kind);
     scope(const scope&) = delete;
     scope& operator=(const scope&) = delete;
     ~scope();
 
    private:
-    work_meter* meter_;
-    loop_work outer_;
+    cpu_time_meter* meter_;
+    loop_work outer_kind_;
   };
 
   /// Returns what each kind of work has taken since the meter was made.
-  work_times Totals();
+  cpu_times Totals();
 
  private:
   /// Counts the time since the last change for the present kind.
   void ChangeTo(loop_work kind);
 
   clock clock_;
-  core::duration counted_through_;
-  loop_work present_ = loop_work::kOther;
-  work_times totals_{};
+  core::duration counted_until_;
+  loop_work current_kind_ = loop_work::kOther;
+  cpu_times totals_{};
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/event_aggregator.cc
+++ b/src/jobs/event_aggregator.cc
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-void line_gatherer::AddTask(job_event event,
-                            const core::jobs::run_ref& target,
-                            const observe::log_fields& outcome,
-                            core::time_point now) {
+void event_aggregator::AddTask(job_event event,
+                               const core::jobs::run_ref& target,
+                               const observe::log_fields& outcome,
+                               core::time_point now) {
   observe::log_fields common = {{"job", target.task.job},
                                 {"step", std::to_string(target.task.step)},
                                 {"run", std::to_string(target.run)}};
@@ -45,89 +45,91 @@
     common.emplace_back("occurrence", std::to_string(target.task.occurrence));
   }
   common.insert(common.end(), outcome.begin(), outcome.end());
-  group* events = FindOrBegin(event, subject::kTask, common, now);
+  event_group* events = FindOrCreate(event, subject::kTask, common, now);
   events->job = target.task.job;
   events->items[target.vm].push_back(target.task.index);
   ++events->count;
 }
 
-void line_gatherer::AddVm(job_event event,
-                          const core::jobs::vm_id& vm,
-                          const observe::log_fields& common,
-                          core::time_point now) {
+void event_aggregator::AddVm(job_event event,
+                             const core::jobs::vm_id& vm,
+                             const observe::log_fields& common,
+                             core::time_point now) {
   AddItem(event, subject::kVm, vm, common, now);
 }
 
-void line_gatherer::AddJob(job_event event,
-                           const core::jobs::job_id& job,
-                           const observe::log_fields& common,
-                           core::time_point now) {
+void event_aggregator::AddJob(job_event event,
+                              const core::jobs::job_id& job,
+                              const observe::log_fields& common,
+                              core::time_point now) {
   AddItem(event, subject::kJob, job, common, now);
 }
 
-std::vector<gathered_line> line_gatherer::TakeDue(core::time_point now) {
-  return TakeIf([now](const group& events) {
-    return events.count >= kMostEventsInLine ||
-           now - events.first_at >= kGatherTime;
+std::vector<aggregated_event> event_aggregator::TakeDue(core::time_point now) {
+  return TakeIf([now](const event_group& events) {
+    return events.count >= kMaxEventsPerLine ||
+           now - events.first_at >= kAggregationDelay;
   });
 }
 
-std::vector<gathered_line> line_gatherer::TakeOf(
+std::vector<aggregated_event> event_aggregator::TakeForJob(
     const core::jobs::job_id& job) {
-  return TakeIf([&job](const group& events) {
+  return TakeIf([&job](const event_group& events) {
     return events.job == job ||
            (events.kind == subject::kJob && events.items.count(job) != 0);
   });
 }
 
-std::vector<gathered_line> line_gatherer::TakeAll() {
-  return TakeIf([](const group& /*events*/) { return true; });
+std::vector<aggregated_event> event_aggregator::TakeAll() {
+  return TakeIf([](const event_group& /*events*/) { return true; });
 }
 
-std::vector<gathered_line> line_gatherer::TakeIf(
-    const std::function<bool(const group&)>& is_taken) {
-  std::vector<gathered_line> lines;
-  std::vector<group> rest;
-  for (group& events : groups_) {
+std::vector<aggregated_event> event_aggregator::TakeIf(
+    const std::function<bool(const event_group&)>& is_taken) {
+  std::vector<aggregated_event> lines;
+  std::vector<event_group> rest;
+  for (event_group& events : event_groups_) {
     if (is_taken(events)) {
       lines.push_back(ToLine(events));
     } else {
       rest.push_back(std::move(events));
     }
   }
-  groups_ = std::move(rest);
+  event_groups_ = std::move(rest);
   return lines;
 }
 
-void line_gatherer::AddItem(job_event event,
-                            subject kind,
-                            const std::string& item,
-                            const observe::log_fields& common,
-                            core::time_point now) {
-  group* events = FindOrBegin(event, kind, common, now);
+void event_aggregator::AddItem(job_event event,
+                               subject kind,
+                               const std::string& item,
+                               const observe::log_fields& common,
+                               core::time_point now) {
+  event_group* events = FindOrCreate(event, kind, common, now);
   events->items.try_emplace(item);
   events->count = events->items.size();
 }
 
-line_gatherer::group* line_gatherer::FindOrBegin(
+event_aggregator::event_group* event_aggregator::FindOrCreate(
     job_event event,
     subject kind,
     const observe::log_fields& common,
     core::time_point now) {
-  const auto found =
-      std::find_if(groups_.begin(), groups_.end(), [&](const group& events) {
-        return events.event == event && events.kind == kind &&
-               events.count < kMostEventsInLine && events.common == common;
-      });
-  if (found != groups_.end()) {
+  const auto found = std::find_if(event_groups_.begin(), event_groups_.end(),
+                                  [&](const event_group& events) {
+                                    return events.event == event &&
+                                           events.kind == kind &&
+                                           events.count < kMaxEventsPerLine &&
+                                           events.common == common;
+                                  });
+  if (found != event_groups_.end()) {
     return &*found;
   }
-  groups_.push_back({event, kind, common, now, {}, {}, 0});
-  return &groups_.back();
+  event_groups_.push_back({event, kind, common, now, {}, {}, 0});
+  return &event_groups_.back();
 }
 
-gathered_line line_gatherer::ToLine(const group& events) {
-  gathered_line line{events.event, events.common};
+aggregated_event event_aggregator::ToLine(const event_group& events) {
+  aggregated_event line{events.event, events.common};
   const auto& [first, indices] = *events.items.begin();
   if (events.count == 1) {
     if (events.kind == subject::kTask) {
@@ -138,9 +140,9 @@
     return line;
   }
   std::string list;
-  for (const auto& [name, its_indices] : events.items) {
+  for (const auto& [name, task_indices] : events.items) {
     Append(&list, ' ',
-           events.kind == subject::kTask ? name + ":" + ToRanges(its_indices)
+           events.kind == subject::kTask ? name + ":" + ToRanges(task_indices)
                                          : name);
   }
   line.fields.emplace_back("count", std::to_string(events.count));
--- a/src/jobs/event_aggregator.h
+++ b/src/jobs/event_aggregator.h
@@ -17,11 +17,12 @@
 namespace plantainhead::jobs {
 
 /// A line of the log that is ready to be written.
-struct gathered_line {
+struct aggregated_event {
   job_event event;
   observe::log_fields fields;
 
-  friend bool operator==(const gathered_line&, const gathered_line&) = default;
+  friend bool operator==(const aggregated_event&,
+                         const aggregated_event&) = default;
 };
 
 /// Gathers events that differ only in the task, the VM or the job they concern,
@@ -34,7 +35,7 @@
 /// space: `tasks`, of "VM:indices" such as "vm-1:0-3,7"; `vms`; `jobs`.
 ///
 /// Pure: it neither writes nor looks at a clock. Not thread-safe.
-class line_gatherer {
+class event_aggregator {
  public:
   /// Adds a task's event. `outcome` are further fields, such as how it ended.
   void AddTask(job_event event,
@@ -52,18 +53,18 @@
               core::time_point now);
 
   /// Returns and forgets the lines that are full, and those whose first event
-  /// came `kGatherTime` ago, in the order of their first events.
-  std::vector<gathered_line> TakeDue(core::time_point now);
+  /// came `kAggregationDelay` ago, in the order of their first events.
+  std::vector<aggregated_event> TakeDue(core::time_point now);
   /// Returns and forgets the lines on `job`, in the same order: they come
   /// before the line on its end.
-  std::vector<gathered_line> TakeOf(const core::jobs::job_id& job);
+  std::vector<aggregated_event> TakeForJob(const core::jobs::job_id& job);
   /// Returns and forgets all lines, in the same order.
-  std::vector<gathered_line> TakeAll();
+  std::vector<aggregated_event> TakeAll();
 
  private:
   enum class subject { kTask, kVm, kJob };
 
-  struct group {
+  struct event_group {
     job_event event;
     subject kind;
     observe::log_fields common;
@@ -80,26 +81,26 @@
                const std::string& item,
                const observe::log_fields& common,
                core::time_point now);
-  group* FindOrBegin(job_event event,
-                     subject kind,
-                     const observe::log_fields& common,
-                     core::time_point now);
-  std::vector<gathered_line> TakeIf(
-      const std::function<bool(const group&)>& is_taken);
-  static gathered_line ToLine(const group& events);
+  event_group* FindOrCreate(job_event event,
+                            subject kind,
+                            const observe::log_fields& common,
+                            core::time_point now);
+  std::vector<aggregated_event> TakeIf(
+      const std::function<bool(const event_group&)>& is_taken);
+  static aggregated_event ToLine(const event_group& events);
 
   /// Few at a time, so that they are searched one by one.
-  std::vector<group> groups_;
+  std::vector<event_group> event_groups_;
 };
 
 /// How long a line waits for further events. The answers to the orders of one
 /// plan arrive within 0.05 s; waiting ten times longer saves 7 in 100 bytes
 /// more (counted in the logs of nine processes), and a line's time would tell
 /// less.
-inline constexpr std::chrono::milliseconds kGatherTime{100};
+inline constexpr std::chrono::milliseconds kAggregationDelay{100};
 
 /// Events in one line at most, so that a line stays under 1 KB.
-inline constexpr std::size_t kMostEventsInLine = 40;
+inline constexpr std::size_t kMaxEventsPerLine = 40;
 
 }  // namespace plantainhead::jobs
 
--- a/src/jobs/event_log.cc
+++ b/src/jobs/event_log.cc
@@ -40,20 +40,20 @@
   return lines_written;
 }
 
-event_budget BudgetOf(job_event event) {
+log_rate_limit RateLimitOf(job_event event) {
   switch (event) {
     case job_event::kReadRepeated:
     case job_event::kReadUnanswered:
     case job_event::kMembersUnknown:
-      return kReadBudget;
+      return kReadRateLimit;
     case job_event::kTaskStarted:
     case job_event::kTaskNotStarted:
     case job_event::kTaskStopped:
     case job_event::kTaskEnded:
     case job_event::kTaskLost:
-      return kTaskBudget;
+      return kTaskRateLimit;
     default:
-      return kLineBudget;
+      return kDefaultRateLimit;
   }
 }
 
@@ -66,18 +66,18 @@
 }
 
 void LogEvent(job_event event, const observe::log_fields& fields) {
-  static std::array<line_budget, kJobEventNames.size()> budgets;
-  const event_budget budget = BudgetOf(event);
-  const line_budget::verdict verdict =
-      budgets.at(static_cast<std::size_t>(event))
-          .Take(BootTime(), budget.lines, budget.window);
-  if (verdict.left_out > 0) {
+  static std::array<log_rate_limiter, kJobEventNames.size()> limiters;
+  const log_rate_limit limit = RateLimitOf(event);
+  const log_rate_limiter::decision decision =
+      limiters.at(static_cast<std::size_t>(event))
+          .Acquire(BootTime(), limit.lines, limit.window);
+  if (decision.suppressed_lines > 0) {
     observe::WriteLog(LevelOf(job_event::kLinesLeftOut),
                       core::NameOf(job_event::kLinesLeftOut),
                       {{"event", std::string(core::NameOf(event))},
-                       {"count", std::to_string(verdict.left_out)}});
+                       {"count", std::to_string(decision.suppressed_lines)}});
   }
-  if (verdict.is_written) {
+  if (decision.is_allowed) {
     ++lines_written;
     observe::WriteLog(LevelOf(event), core::NameOf(event), fields);
   }
--- a/src/jobs/event_log.h
+++ b/src/jobs/event_log.h
@@ -128,27 +128,28 @@
 
 /// How many lines of one kind of event are written at most in a window of time.
 /// The rest is counted, and the count is written in the next window.
-struct event_budget {
+struct log_rate_limit {
   unsigned lines;
   std::chrono::seconds window;
 
-  friend bool operator==(const event_budget&, const event_budget&) = default;
+  friend bool operator==(const log_rate_limit&,
+                         const log_rate_limit&) = default;
 };
 /// 60 lines of 200 bytes of each kind stay near the 10 KB/s that a node may
 /// write when quiet, and bound a storm to a few hundred lines a second.
-inline constexpr event_budget kLineBudget{60, std::chrono::seconds(1)};
+inline constexpr log_rate_limit kDefaultRateLimit{60, std::chrono::seconds(1)};
 /// For events of tasks, of which one line stands for up to 40. A collector that
 /// keeps the last 55 KB of a log lost, at 60 such lines a second, those on
 /// ownership and readiness within 5 s. Half as many take 9 s, so that there is
 /// a line on the state of the process among them. A burst of 120 lines is
 /// written whole.
-inline constexpr event_budget kTaskBudget{120, std::chrono::seconds(4)};
+inline constexpr log_rate_limit kTaskRateLimit{120, std::chrono::seconds(4)};
 /// For reads without an answer: a process reads some 20 partitions, and while
 /// the store is away lines on them differ only in the partition.
-inline constexpr event_budget kReadBudget{20, std::chrono::seconds(4)};
+inline constexpr log_rate_limit kReadRateLimit{20, std::chrono::seconds(4)};
 
 /// Thread safety: safe from any thread.
-event_budget BudgetOf(job_event event);
+log_rate_limit RateLimitOf(job_event event);
 
 /// Writes one line. Never waits for the reader of the log.
 /// Thread safety: one thread at a time.
--- a/src/jobs/fault_log.cc
+++ b/src/jobs/fault_log.cc
@@ -8,11 +8,11 @@
 namespace {
 
 // Of a key or a place in a line of the log.
-constexpr std::size_t kMostLoggedBytes = 80;
+constexpr std::size_t kMaxLoggedBytes = 80;
 
 // Another writer's keys may have any bytes and any length.
 std::string Printable(const std::string& text) {
-  std::string printable = text.substr(0, kMostLoggedBytes);
+  std::string printable = text.substr(0, kMaxLoggedBytes);
   std::replace_if(
       printable.begin(), printable.end(),
       [](char byte) { return byte < ' ' || byte > '~'; }, '?');
@@ -24,7 +24,7 @@
 void fault_log::Note(const std::string& topic,
                      const std::string& key,
                      const core::jobs::record_fault& fault) {
-  if (ledger_.Note(topic, key, fault)) {
+  if (counter_.Note(topic, key, fault)) {
     LogEvent(job_event::kRecordInvalid,
              {{"topic", topic},
               {"key", Printable(key)},
--- a/src/jobs/fault_log.h
+++ b/src/jobs/fault_log.h
@@ -16,12 +16,12 @@
             const std::string& key,
             const core::jobs::record_fault& fault);
   void NoteValid(const std::string& topic, const std::string& key) {
-    ledger_.NoteValid(topic, key);
+    counter_.NoteValid(topic, key);
   }
-  const core::jobs::record_fault_counter& ledger() const { return ledger_; }
+  const core::jobs::record_fault_counter& counter() const { return counter_; }
 
  private:
-  core::jobs::record_fault_counter ledger_;
+  core::jobs::record_fault_counter counter_;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/fleet_owner_impl.h
+++ b/src/jobs/fleet_owner_impl.h
@@ -46,7 +46,7 @@
   void Lose();
 
   // Work.
-  work_meter::scope Meter() {
+  cpu_time_meter::scope Meter() {
     return {&deps_.meters->work(), loop_work::kFleet};
   }
   void Tick();
--- a/src/jobs/job_meters.cc
+++ b/src/jobs/job_meters.cc
@@ -31,7 +31,7 @@
 }
 
 std::string job_meters::ToText() {
-  const work_times times = work_.Totals();
+  const cpu_times times = work_.Totals();
   for (const auto& [kind, name] : kLoopWorkNames) {
     const auto used = std::chrono::duration_cast<std::chrono::microseconds>(
         times[static_cast<std::size_t>(kind)]);
--- a/src/jobs/job_meters.h
+++ b/src/jobs/job_meters.h
@@ -36,14 +36,14 @@
                                      core::time_point ended_at);
 
   /// Meters what the thread of all work is busy with.
-  work_meter& work() { return work_; }
+  cpu_time_meter& work() { return work_; }
 
   /// Returns all as Prometheus text.
   std::string ToText();
 
  private:
   observe::metrics registry_;
-  work_meter work_{ThreadTime};
+  cpu_time_meter work_{ThreadCpuTime};
   observe::latency_histogram& accept_;
   observe::latency_histogram& plan_;
   observe::latency_histogram& start_;
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -8,7 +8,7 @@
 constexpr const char* kRequestsName = "plantain_job_requests_total";
 constexpr const char* kRequestsHelp = "Callers' requests by outcome.";
 
-void CountFaults(
+void AddFaultCounters(
     const core::jobs::record_fault_counter::counts_by_fault& faults,
     observe::metrics* registry) {
   for (const auto& [fault, times] : faults) {
@@ -21,8 +21,8 @@
   }
 }
 
-void CountRequests(const submission_counts& counts,
-                   observe::metrics* registry) {
+void AddRequestCounters(const submission_counts& counts,
+                        observe::metrics* registry) {
   const auto count = [&](const char* outcome, std::uint64_t value) {
     registry->Counter(kRequestsName, kRequestsHelp, {{"outcome", outcome}})
         .Add(value);
@@ -42,36 +42,36 @@
 
 }  // namespace
 
-std::string FormatMetrics(const job_figures& figures) {
+std::string FormatMetrics(const job_metrics_snapshot& snapshot) {
   observe::metrics registry;
-  CountRequests(figures.submissions, &registry);
-  const auto level = [&](const char* name, const char* help, double value,
-                         const observe::label_list& labels = {}) {
+  AddRequestCounters(snapshot.submissions, &registry);
+  const auto set_gauge = [&](const char* name, const char* help, double value,
+                             const observe::label_list& labels = {}) {
     registry.Gauge(name, help, labels).Set(value);
   };
-  level("plantain_ready", "1 when the process takes requests.",
-        figures.is_ready ? 1 : 0);
-  level("plantain_jobs_known", "Jobs that have been read from the store.",
-        static_cast<double>(figures.known_jobs));
-  if (figures.job_copy_age) {
-    level("plantain_job_copy_age_seconds",
-          "Since the jobs of owned pools had been read to their ends.",
-          std::chrono::duration<double>(*figures.job_copy_age).count());
+  set_gauge("plantain_ready", "1 when the process takes requests.",
+            snapshot.is_ready ? 1 : 0);
+  set_gauge("plantain_jobs_known", "Jobs that have been read from the store.",
+            static_cast<double>(snapshot.known_jobs));
+  if (snapshot.job_copy_age) {
+    set_gauge("plantain_job_copy_age_seconds",
+              "Since the jobs of owned pools had been read to their ends.",
+              std::chrono::duration<double>(*snapshot.job_copy_age).count());
   }
-  level("plantain_configuration_version", "The version in force.",
-        static_cast<double>(figures.configuration_version));
-  level("plantain_faulty_keys", "Keys whose newest record can't be used.",
-        static_cast<double>(figures.faulty_keys));
-  CountFaults(figures.faults, &registry);
-  for (const auto& [partition, counts] : figures.pools) {
+  set_gauge("plantain_configuration_version", "The version in force.",
+            static_cast<double>(snapshot.configuration_version));
+  set_gauge("plantain_faulty_keys", "Keys whose newest record can't be used.",
+            static_cast<double>(snapshot.faulty_keys));
+  AddFaultCounters(snapshot.faults, &registry);
+  for (const auto& [partition, counts] : snapshot.pools) {
     const observe::label_list labels = {
         {"partition", std::to_string(partition)}};
-    level("plantain_open_jobs", "Jobs that haven't ended, in owned pools.",
-          static_cast<double>(counts.open_jobs), labels);
-    level("plantain_waiting_tasks", "Tasks that may not start yet.",
-          static_cast<double>(counts.waiting_tasks), labels);
-    level("plantain_placed_tasks", "Tasks with a run on a VM.",
-          static_cast<double>(counts.placed_tasks), labels);
+    set_gauge("plantain_open_jobs", "Jobs that haven't ended, in owned pools.",
+              static_cast<double>(counts.open_jobs), labels);
+    set_gauge("plantain_waiting_tasks", "Tasks that may not start yet.",
+              static_cast<double>(counts.waiting_tasks), labels);
+    set_gauge("plantain_placed_tasks", "Tasks with a run on a VM.",
+              static_cast<double>(counts.placed_tasks), labels);
     registry
         .Counter("plantain_task_starts_total", "Orders to start a task.",
                  labels)
--- a/src/jobs/job_metrics.h
+++ b/src/jobs/job_metrics.h
@@ -15,7 +15,7 @@
 namespace plantainhead::jobs {
 
 /// What a process of the job scheduler reports of itself.
-struct job_figures {
+struct job_metrics_snapshot {
   submission_counts submissions;
   bool is_ready = false;
   /// By partition, of those that it owns.
@@ -31,7 +31,7 @@
 
 /// Returns the figures as Prometheus text (version 0.0.4).
 /// Thread safety: safe from any thread.
-std::string FormatMetrics(const job_figures& figures);
+std::string FormatMetrics(const job_metrics_snapshot& snapshot);
 
 }  // namespace plantainhead::jobs
 
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -84,7 +84,8 @@
         ownership_(MakeOwnershipDependencies(),
                    MakeOwnerSettings(),
                    MakeFleetSettings()),
-        loop_watch_(context, [this](core::duration lag) { NoteLag(lag); }),
+        loop_lag_monitor_(context,
+                          [this](core::duration lag) { NoteLag(lag); }),
         state_timer_(*context),
         stop_timer_(*context) {}
 
@@ -120,7 +121,7 @@
     }
     world_.Start();
     member_.Start();
-    loop_watch_.Start();
+    loop_lag_monitor_.Start();
     AwaitState();
   }
 
@@ -203,7 +204,7 @@
     job_world::listeners listeners;
     listeners.on_job =
         [this](const std::shared_ptr<const core::jobs::job_spec>& job) {
-          const work_meter::scope work(&meters_.work(), loop_work::kJobs);
+          const cpu_time_meter::scope work(&meters_.work(), loop_work::kJobs);
           ownership_.OnJob(job);
         };
     listeners.on_cancel = [this](const core::jobs::job_id& job) {
@@ -211,7 +212,7 @@
     };
     listeners.on_configuration = [this] { ownership_.OnConfiguration(); };
     listeners.on_registry = [this] {
-      const work_meter::scope work(&meters_.work(), loop_work::kRegistry);
+      const cpu_time_meter::scope work(&meters_.work(), loop_work::kRegistry);
       ownership_.OnRegistry(world_.TakeChangedVms());
     };
     listeners.on_report = [this](const core::jobs::vm_id& vm,
@@ -219,13 +220,14 @@
       ownership_.OnReport(vm, trusted_until);
     };
     listeners.on_fleet_records = [this] {
-      const work_meter::scope work(&meters_.work(), loop_work::kFleetRecords);
+      const cpu_time_meter::scope work(&meters_.work(),
+                                       loop_work::kFleetRecords);
       ownership_.OnFleetRecords(world_.TakeChangedFleetKeys());
     };
     listeners.on_announcement =
         [this](const peers::owner_announcement& announcement) {
-          owners_.book().NoteAnnouncement(announcement.partition,
-                                          announcement.owner);
+          owners_.directory().NoteAnnouncement(announcement.partition,
+                                               announcement.owner);
           ownership_.OnAnnouncement(announcement);
         };
     listeners.on_store_contact = [this](bool is_answered) {
@@ -237,18 +239,18 @@
   void NoteStoreContact(bool is_answered) {
     const core::time_point now = BootTime();
     if (!is_answered) {
-      if (store_contact_.NoteFailure(now)) {
+      if (store_outage_tracker_.NoteFailure(now)) {
         observe::log_fields fields;
         AppendAge("renewed_ms_ago", member_.RenewedAt(), &fields);
         LogEvent(job_event::kStoreLost, fields);
       }
       return;
     }
-    if (const auto regained = store_contact_.NoteAnswer(now)) {
+    if (const auto regained = store_outage_tracker_.NoteAnswer(now)) {
       observe::log_fields fields = {
-          {"losses", std::to_string(regained->losses)},
+          {"losses", std::to_string(regained->interruptions)},
           {"lost_ms", MillisOf(regained->lost_for)},
-          {"held_ms", MillisOf(regained->held_for)}};
+          {"held_ms", MillisOf(regained->answered_for)}};
       AppendAge("renewed_ms_ago", member_.RenewedAt(), &fields);
       LogEvent(job_event::kStoreRegained, fields);
     }
@@ -286,7 +288,7 @@
   }
 
   net::server_response Metrics() {
-    job_figures figures;
+    job_metrics_snapshot figures;
     figures.submissions = submissions_.counts();
     figures.is_ready = IsReady();
     figures.pools = ownership_.Counts();
@@ -295,8 +297,8 @@
       figures.job_copy_age = world_.WatchedJobCopyAge();
     }
     figures.configuration_version = world_.routes().configuration().version;
-    figures.faults = world_.faults().ledger().counts();
-    figures.faulty_keys = world_.faults().ledger().FaultyKeys();
+    figures.faults = world_.faults().counter().counts();
+    figures.faulty_keys = world_.faults().counter().FaultyKeys();
     net::server_response response;
     response.body = FormatMetrics(figures) + meters_.ToText();
     response.content_type = "text/plain; version=0.0.4";
@@ -304,17 +306,17 @@
   }
 
   void AwaitState() {
-    state_timer_.expires_after(kStateLook);
-    state_timer_.async_wait(
-        [self = weak_from_this()](const boost::system::error_code& error) {
-          const auto service = self.lock();
-          if (service && !error) {
-            if (service->state_pace_.IsDue(BootTime(), LinesWritten())) {
-              service->LogState();
-            }
-            service->AwaitState();
-          }
-        });
+    state_timer_.expires_after(kStateCheckInterval);
+    state_timer_.async_wait([self = weak_from_this()](
+                                const boost::system::error_code& error) {
+      const auto service = self.lock();
+      if (service && !error) {
+        if (service->state_log_schedule_.IsDue(BootTime(), LinesWritten())) {
+          service->LogState();
+        }
+        service->AwaitState();
+      }
+    });
   }
 
   void NoteLag(core::duration lag) {
@@ -326,7 +328,7 @@
 
   void LogState() {
     process_state state;
-    state.loop_lag = loop_watch_.TakeMost();
+    state.loop_lag = loop_lag_monitor_.TakeMaxLag();
     state.pools = ownership_.Held();
     state.owns_fleet = ownership_.OwnsFleet();
     state.is_ready = IsReady();
@@ -337,20 +339,21 @@
     if (!state.pools.empty()) {
       state.job_copy_age = world_.WatchedJobCopyAge();
     }
-    state.busy = TakeBusy();
-    state.busy_within = BootTime() - std::exchange(busy_taken_at_, BootTime());
-    LogEvent(job_event::kProcessState, FormatState(state));
+    state.cpu_time = TakeBusy();
+    state.cpu_time_interval =
+        BootTime() - std::exchange(busy_taken_at_, BootTime());
+    LogEvent(job_event::kProcessState, FormatProcessState(state));
   }
 
   // Returns what was used since the last call.
-  work_times TakeBusy() {
-    const work_times totals = meters_.work().Totals();
-    work_times busy{};
-    for (std::size_t kind = 0; kind < busy.size(); ++kind) {
-      busy[kind] = totals[kind] - busy_taken_[kind];
+  cpu_times TakeBusy() {
+    const cpu_times totals = meters_.work().Totals();
+    cpu_times cpu_time{};
+    for (std::size_t kind = 0; kind < cpu_time.size(); ++kind) {
+      cpu_time[kind] = totals[kind] - busy_taken_[kind];
     }
     busy_taken_ = totals;
-    return busy;
+    return cpu_time;
   }
 
   // Stop.
@@ -379,13 +382,13 @@
   std::string member_name_;
   member_settings member_settings_;
   job_meters meters_;
-  store_contact store_contact_;
-  state_pace state_pace_;
-  work_times busy_taken_{};
+  store_outage_tracker store_outage_tracker_;
+  state_log_schedule state_log_schedule_;
+  cpu_times busy_taken_{};
   core::time_point busy_taken_at_ = BootTime();
   adapter::store_client store_;
   job_world world_;
-  peers::owner_links owners_;
+  peers::owner_client owners_;
   submissions submissions_;
   job_archiver archiver_;
   group_member member_;
@@ -394,7 +397,7 @@
   std::unique_ptr<net::http_server> peers_;
   std::unique_ptr<net::http_server> probes_;
   std::unique_ptr<net::http_server> metrics_;
-  loop_watch loop_watch_;
+  loop_lag_monitor loop_lag_monitor_;
   boost::asio::steady_timer state_timer_;
   boost::asio::steady_timer stop_timer_;
   std::function<void()> on_stopped_;
--- a/src/jobs/job_world.h
+++ b/src/jobs/job_world.h
@@ -223,8 +223,8 @@
   follower_settings settings_;
   listeners listeners_;
   /// Many records come at once, and what listens to them looks through all.
-  paced_action registry_news_;
-  paced_action fleet_records_news_;
+  throttled_action registry_news_;
+  throttled_action fleet_records_news_;
   core::jobs::routing_table routes_;
   core::jobs::job_directory directory_;
   core::jobs::vm_registry registry_;
--- a/src/jobs/log_rate_limiter.cc
+++ b/src/jobs/log_rate_limiter.cc
@@ -4,18 +4,18 @@
 
 namespace plantainhead::jobs {
 
-line_budget::verdict line_budget::Take(core::time_point now,
-                                       unsigned most,
-                                       core::duration window) {
-  verdict found;
-  if (now - began_ >= window) {
-    began_ = now;
-    written_ = 0;
-    found.left_out = std::exchange(left_out_, 0);
+log_rate_limiter::decision log_rate_limiter::Acquire(core::time_point now,
+                                                     unsigned max_lines,
+                                                     core::duration window) {
+  decision result;
+  if (now - window_start_ >= window) {
+    window_start_ = now;
+    written_lines_ = 0;
+    result.suppressed_lines = std::exchange(suppressed_lines_, 0);
   }
-  found.is_written = written_ < most;
-  ++(found.is_written ? written_ : left_out_);
-  return found;
+  result.is_allowed = written_lines_ < max_lines;
+  ++(result.is_allowed ? written_lines_ : suppressed_lines_);
+  return result;
 }
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/log_rate_limiter.h
+++ b/src/jobs/log_rate_limiter.h
@@ -8,23 +8,25 @@
 /// Bounds how many lines of one kind are written: so many in each window of
 /// time. A window begins with the first line after the last one's end.
 /// Pure: it doesn't look at a clock. Not thread-safe.
-class line_budget {
+class log_rate_limiter {
  public:
   /// What to do about one line.
-  struct verdict {
-    bool is_written = false;
+  struct decision {
+    bool is_allowed = false;
     /// Lines that the window before left out and that are to be told of now.
-    unsigned left_out = 0;
+    unsigned suppressed_lines = 0;
 
-    friend bool operator==(const verdict&, const verdict&) = default;
+    friend bool operator==(const decision&, const decision&) = default;
   };
 
-  verdict Take(core::time_point now, unsigned most, core::duration window);
+  decision Acquire(core::time_point now,
+                   unsigned max_lines,
+                   core::duration window);
 
  private:
-  core::time_point began_;
-  unsigned written_ = 0;
-  unsigned left_out_ = 0;
+  core::time_point window_start_;
+  unsigned written_lines_ = 0;
+  unsigned suppressed_lines_ = 0;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/loop_lag_monitor.cc
+++ b/src/jobs/loop_lag_monitor.cc
@@ -5,25 +5,25 @@
 
 namespace plantainhead::jobs {
 
-void loop_watch::Start() {
-  timer_.expires_after(kLoopLook);
+void loop_lag_monitor::Start() {
+  timer_.expires_after(kLagSampleInterval);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      TakeLag();
+      RecordLag();
       Start();
     }
   });
 }
 
-void loop_watch::TakeLag() {
+void loop_lag_monitor::RecordLag() {
   const core::duration lag = std::chrono::duration_cast<core::duration>(
       std::chrono::steady_clock::now() - timer_.expiry());
-  most_ = std::max(most_, lag);
+  max_lag_ = std::max(max_lag_, lag);
   on_lag_(lag);
 }
 
-core::duration loop_watch::TakeMost() {
-  return std::exchange(most_, core::duration::zero());
+core::duration loop_lag_monitor::TakeMaxLag() {
+  return std::exchange(max_lag_, core::duration::zero());
 }
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/loop_lag_monitor.h
+++ b/src/jobs/loop_lag_monitor.h
@@ -11,32 +11,32 @@
 
 /// Measures how far the thread of an `io_context` is behind: how late a timer
 /// fires, which waits its turn behind whatever else is due. Not thread-safe.
-class loop_watch {
+class loop_lag_monitor {
  public:
   using lag_handler = std::function<void(core::duration lag)>;
 
   /// `on_lag` is called after each measurement. Preconditions: `context` and
   /// what `on_lag` uses outlive it.
-  loop_watch(boost::asio::io_context* context, lag_handler on_lag)
+  loop_lag_monitor(boost::asio::io_context* context, lag_handler on_lag)
       : on_lag_(std::move(on_lag)), timer_(*context) {}
-  loop_watch(const loop_watch&) = delete;
-  loop_watch& operator=(const loop_watch&) = delete;
+  loop_lag_monitor(const loop_lag_monitor&) = delete;
+  loop_lag_monitor& operator=(const loop_lag_monitor&) = delete;
 
   /// Begins to measure. Call it once.
   void Start();
   /// Returns the longest lag since the last call of it.
-  core::duration TakeMost();
+  core::duration TakeMaxLag();
 
  private:
-  void TakeLag();
+  void RecordLag();
 
   lag_handler on_lag_;
   boost::asio::steady_timer timer_;
-  core::duration most_{};
+  core::duration max_lag_{};
 };
 
 /// Time between two measurements.
-inline constexpr std::chrono::milliseconds kLoopLook{100};
+inline constexpr std::chrono::milliseconds kLagSampleInterval{100};
 
 }  // namespace plantainhead::jobs
 
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -12,24 +12,24 @@
 namespace {
 
 using core::jobs::pool_id;
-using peers::pass_outcome;
-using peers::pass_reply;
+using peers::forward_outcome;
+using peers::forward_reply;
 using std::chrono::milliseconds;
 
 // An owner that refused may be the one that the store refuses, so that this
 // process tries itself before it tells the caller so.
-bool IsSettled(const pass_reply& reply) {
-  return reply.outcome == pass_outcome::kAnswered &&
+bool IsSettled(const forward_reply& reply) {
+  return reply.outcome == forward_outcome::kAnswered &&
          reply.status != net::kUnavailable &&
          reply.status != net::kGatewayTimeout;
 }
 
-bool MayLand(const pass_reply& reply) {
-  return reply.outcome == pass_outcome::kUnknown ||
+bool MayLand(const forward_reply& reply) {
+  return reply.outcome == forward_outcome::kUnknown ||
          reply.status == net::kGatewayTimeout;
 }
 
-void Relay(const caller_request& asked, const pass_reply& reply) {
+void Relay(const caller_request& asked, const forward_reply& reply) {
   net::server_response response;
   response.status = reply.status;
   response.body = reply.body;
@@ -62,33 +62,33 @@
     ++counts_.passed_on;
     const auto left = std::chrono::duration_cast<milliseconds>(
         (asked.give_up_at - BootTime()) * owner_share_);
-    deps_.owners->Pass(
-        partition, asked.request, left,
-        [self = weak_from_this(), asked, otherwise](const pass_reply& reply) {
-          if (const auto relay = self.lock()) {
-            relay->TakeReply(asked, reply, otherwise);
-          }
-        });
+    deps_.owners->Forward(partition, asked.request, left,
+                          [self = weak_from_this(), asked,
+                           otherwise](const forward_reply& reply) {
+                            if (const auto relay = self.lock()) {
+                              relay->TakeReply(asked, reply, otherwise);
+                            }
+                          });
   }
 
   const relay_counts& counts() const { return counts_; }
 
  private:
   static bool MayPassOn(const caller_request& asked) {
-    return peers::HopsOf(asked.request) < peers::kMostHops;
+    return peers::HopCountOf(asked.request) < peers::kMaxHops;
   }
 
   // An owner that isn't sure any more would only ask itself, until it knows of
   // the one that follows.
   bool HasOwnerElsewhere(std::uint32_t partition) const {
-    return deps_.owners->book().Latest(partition).epoch >
+    return deps_.owners->directory().Latest(partition).epoch >
            deps_.epoch_of(partition);
   }
 
   void TakeReply(const caller_request& asked,
-                 const pass_reply& reply,
+                 const forward_reply& reply,
                  const unsettled_handler& otherwise) {
-    if (reply.outcome != pass_outcome::kAnswered) {
+    if (reply.outcome != forward_outcome::kAnswered) {
       ++counts_.owner_failures;
     }
     if (IsSettled(reply)) {
--- a/src/jobs/owner_relay.h
+++ b/src/jobs/owner_relay.h
@@ -24,7 +24,7 @@
  public:
   struct dependencies {
     /// Outlives the object.
-    peers::owner_links* owners = nullptr;
+    peers::owner_client* owners = nullptr;
     /// The epoch under which this process schedules the pools of a partition; 0
     /// when it doesn't.
     std::function<std::uint64_t(std::uint32_t pool_partition)> epoch_of;
--- a/src/jobs/ownership.cc
+++ b/src/jobs/ownership.cc
@@ -96,8 +96,8 @@
     return counts;
   }
 
-  std::vector<held_partition> Held() const {
-    std::vector<held_partition> held;
+  std::vector<owned_partition> Held() const {
+    std::vector<owned_partition> held;
     for (const auto& [partition, owner] : owners_) {
       held.push_back({partition, owner->epoch(), owner->IsActive()});
     }
@@ -330,7 +330,7 @@
   return impl_->Counts();
 }
 
-std::vector<held_partition> ownership::Held() const {
+std::vector<owned_partition> ownership::Held() const {
   return impl_->Held();
 }
 
--- a/src/jobs/ownership.h
+++ b/src/jobs/ownership.h
@@ -79,7 +79,7 @@
   /// Returns the counts of each pool partition that is owned.
   std::map<std::uint32_t, core::jobs::scheduler_counts> Counts() const;
   /// Returns the pool partitions that are owned or being taken over.
-  std::vector<held_partition> Held() const;
+  std::vector<owned_partition> Held() const;
   bool OwnsFleet() const;
 
  private:
--- a/src/jobs/pending_job_counter.cc
+++ b/src/jobs/pending_job_counter.cc
@@ -9,7 +9,7 @@
 
 namespace plantainhead::jobs {
 
-class waiting_counts::impl : public std::enable_shared_from_this<impl> {
+class pending_job_counter::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(job_world* world, std::chrono::seconds retry_after)
       : world_(*world), retry_after_(retry_after) {}
@@ -23,14 +23,14 @@
     }
     world_.RefreshQueue(route, [self = weak_from_this(), queue = route.queue,
                                 respond](bool is_read) {
-      const auto counts = self.lock();
-      if (!counts) {
+      const auto counter = self.lock();
+      if (!counter) {
         return;
       }
       if (is_read) {
-        counts->TellCount(queue, respond);
+        counter->RespondWithCount(queue, respond);
       } else {
-        counts->RefuseCount(queue, "the store can't be read", respond);
+        counter->RefuseCount(queue, "the store can't be read", respond);
       }
     });
   }
@@ -43,8 +43,8 @@
     respond(Refuse(reason, retry_after_));
   }
 
-  void TellCount(const core::jobs::queue_id& queue,
-                 const net::responder& respond) const {
+  void RespondWithCount(const core::jobs::queue_id& queue,
+                        const net::responder& respond) const {
     const std::size_t waiting = world_.directory().Pending(queue);
     LogEvent(job_event::kCountTold,
              {{"queue", queue},
@@ -57,14 +57,14 @@
   std::chrono::seconds retry_after_;
 };
 
-waiting_counts::waiting_counts(job_world* world,
-                               std::chrono::seconds retry_after)
+pending_job_counter::pending_job_counter(job_world* world,
+                                         std::chrono::seconds retry_after)
     : impl_(std::make_shared<impl>(world, retry_after)) {}
 
-waiting_counts::~waiting_counts() = default;
+pending_job_counter::~pending_job_counter() = default;
 
-void waiting_counts::Answer(const core::jobs::queue_route& route,
-                            const net::responder& respond) {
+void pending_job_counter::Answer(const core::jobs::queue_route& route,
+                                 const net::responder& respond) {
   impl_->Answer(route, respond);
 }
 
--- a/src/jobs/pending_job_counter.h
+++ b/src/jobs/pending_job_counter.h
@@ -19,13 +19,13 @@
 /// known, and none is told. The wait for it is bounded by two of a call's
 /// timeouts, as a read that is under way is waited for.
 /// Not thread-safe.
-class waiting_counts {
+class pending_job_counter {
  public:
   /// `world` outlives the object. `retry_after` goes with refusals.
-  waiting_counts(job_world* world, std::chrono::seconds retry_after);
-  waiting_counts(const waiting_counts&) = delete;
-  waiting_counts& operator=(const waiting_counts&) = delete;
-  ~waiting_counts();
+  pending_job_counter(job_world* world, std::chrono::seconds retry_after);
+  pending_job_counter(const pending_job_counter&) = delete;
+  pending_job_counter& operator=(const pending_job_counter&) = delete;
+  ~pending_job_counter();
 
   /// Answers with the number, or refuses; at once or later, unless the object
   /// is destroyed before.
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -318,13 +318,13 @@
                           MillisOf(job.waits.waited(cause)));
     }
   }
-  LogLines(lines_.TakeOf(job.id));
+  LogLines(lines_.TakeForJob(job.id));
   LogEvent(job_event::kJobEnded, fields);
   deps_.archiver->Add(job.queue, job.id, job.phase);
 }
 
-void pool_owner::impl::LogLines(const std::vector<gathered_line>& lines) {
-  for (const gathered_line& line : lines) {
+void pool_owner::impl::LogLines(const std::vector<aggregated_event>& lines) {
+  for (const aggregated_event& line : lines) {
     LogEvent(line.event, line.fields);
   }
 }
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -85,7 +85,7 @@
   void Begin();
 
   // Work.
-  work_meter::scope Meter(loop_work kind) {
+  cpu_time_meter::scope Meter(loop_work kind) {
     return {&deps_.meters->work(), kind};
   }
   void Tick();
@@ -99,7 +99,7 @@
   void TakeStored(const std::optional<core::jobs::progress_batch>& batch,
                   progress_writer::result result);
   void NoteJobEnd(const core::jobs::job_result& job);
-  static void LogLines(const std::vector<gathered_line>& lines);
+  static void LogLines(const std::vector<aggregated_event>& lines);
 
   // VMs.
   /// Takes over all VMs of the registry.
@@ -109,24 +109,24 @@
   void SyncLink(const core::jobs::vm_description& vm);
   /// Sees to it that the VM is closed if it has to be.
   void SyncClosed(const core::jobs::vm_id& vm);
-  std::shared_ptr<vm_link> FindLink(const core::jobs::vm_id& vm);
+  std::shared_ptr<vm_connection> FindLink(const core::jobs::vm_id& vm);
   void HoldLater(const core::jobs::vm_id& vm, std::chrono::milliseconds pause);
   void Hold(const core::jobs::vm_id& vm);
   void ReadUnknownJobs();
   void TakeHold(const core::jobs::vm_id& vm,
-                const std::shared_ptr<vm_link>& link,
+                const std::shared_ptr<vm_connection>& link,
                 core::time_point sent_at,
                 const adapter::hold_reply& reply);
   /// Logs a VM that is heard again, or for the first time in its life.
   void NoteHeard(const core::jobs::vm_id& vm,
-                 vm_link* link,
+                 vm_connection* link,
                  const core::jobs::vm_incarnation& incarnation);
   /// How long to wait before the next hold of a VM that listed this.
   std::chrono::milliseconds GapAfter(
       const core::jobs::run_listing& listing) const;
   void LogLosses();
   void LogNewEnds(const core::jobs::vm_id& vm,
-                  const std::shared_ptr<vm_link>& link,
+                  const std::shared_ptr<vm_connection>& link,
                   const core::jobs::run_listing& listing);
   void Send(const core::jobs::start_order& order);
   /// Returns what tells whether a start of a task of the job may still be sent.
@@ -163,7 +163,7 @@
   boost::asio::steady_timer plan_timer_;
   boost::asio::steady_timer claim_timer_;
   record_outbox fleet_outbox_;
-  line_gatherer lines_;
+  event_aggregator lines_;
   std::uint64_t generation_ = 0;
   std::uint64_t epoch_ = 0;
   /// Who owned before, and how it left.
@@ -188,7 +188,7 @@
   std::unique_ptr<core::jobs::pool_scheduler> scheduler_;
   std::map<core::jobs::vm_id, core::time_point> lease_ends_;
   core::time_point release_until_;
-  std::unordered_map<core::jobs::vm_id, std::shared_ptr<vm_link>> links_;
+  std::unordered_map<core::jobs::vm_id, std::shared_ptr<vm_connection>> links_;
   /// Pools that have fewer VMs than they want.
   std::set<core::jobs::pool_id> short_pools_;
   std::map<core::jobs::pool_id, pool_size> sizes_;
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -43,7 +43,7 @@
   }
   try {
     const auto link =
-        std::make_shared<vm_link>(deps_.context, vm.id, vm.address);
+        std::make_shared<vm_connection>(deps_.context, vm.id, vm.address);
     link->known_at = BootTime();
     links_[vm.id] = link;
   } catch (const std::invalid_argument& error) {
@@ -56,21 +56,21 @@
   Hold(vm.id);
 }
 
-std::shared_ptr<vm_link> pool_owner::impl::FindLink(const vm_id& vm) {
+std::shared_ptr<vm_connection> pool_owner::impl::FindLink(const vm_id& vm) {
   const auto found = links_.find(vm);
   return found == links_.end() ? nullptr : found->second;
 }
 
 void pool_owner::impl::HoldLater(const vm_id& vm, milliseconds pause) {
   const auto link = FindLink(vm);
-  if (!link || link->is_waiting || link->is_holding) {
+  if (!link || link->is_hold_scheduled || link->is_hold_pending) {
     return;
   }
-  link->is_waiting = true;
+  link->is_hold_scheduled = true;
   link->timer.expires_after(pause);
   link->timer.async_wait([self = weak_from_this(), link,
                           vm](const boost::system::error_code& error) {
-    link->is_waiting = false;
+    link->is_hold_scheduled = false;
     const auto owner = self.lock();
     if (owner && !error && !owner->is_closed_) {
       owner->Hold(vm);
@@ -80,16 +80,16 @@
 
 void pool_owner::impl::Hold(const vm_id& vm) {
   const auto link = FindLink(vm);
-  if (!link || link->is_holding || !scheduler_) {
+  if (!link || link->is_hold_pending || !scheduler_) {
     return;
   }
   if (!deps_.is_sure()) {
     HoldLater(vm, settings_.hold_retry);
     return;
   }
-  link->is_holding = true;
+  link->is_hold_pending = true;
   const core::time_point sent_at = BootTime();
-  link->held_at = sent_at;
+  link->hold_sent_at = sent_at;
   const auto take = [self = weak_from_this(), link, vm,
                      sent_at](const adapter::hold_reply& reply) {
     const auto owner = self.lock();
@@ -102,14 +102,14 @@
   late.patience = settings_.hold_patience;
   late.on_late = [link, take, is_late] {
     *is_late = true;
-    link->is_holding = false;
+    link->is_hold_pending = false;
     take(adapter::hold_reply());
   };
   link->client.Hold(
       scheduler_->NextHold(vm, sent_at), epoch_, settings_.hold_timeout, late,
       [link, take, is_late](const adapter::hold_reply& reply) {
         // Another hold may be under way by now.
-        link->is_holding = link->is_holding && *is_late;
+        link->is_hold_pending = link->is_hold_pending && *is_late;
         if (!*is_late || reply.outcome != hold_outcome::kUnanswered) {
           take(reply);
         }
@@ -143,7 +143,7 @@
 }
 
 void pool_owner::impl::TakeHold(const vm_id& vm,
-                                const std::shared_ptr<vm_link>& link,
+                                const std::shared_ptr<vm_connection>& link,
                                 core::time_point sent_at,
                                 const adapter::hold_reply& reply) {
   const auto holds = Meter(loop_work::kHolds);
@@ -188,7 +188,7 @@
 
 void pool_owner::impl::NoteHeard(
     const vm_id& vm,
-    vm_link* link,
+    vm_connection* link,
     const core::jobs::vm_incarnation& incarnation) {
   if (!link->heard_at) {
     link->heard_at = BootTime();
@@ -209,11 +209,11 @@
     if (begins_again) {
       fields.emplace_back("born_before", std::to_string(*link->incarnation));
       fields.emplace_back("ends_logged_before",
-                          std::to_string(link->logged_end));
+                          std::to_string(link->last_logged_end));
     }
     LogEvent(job_event::kVmHeard, fields);
   }
-  link->logged_end = begins_again ? 0 : link->logged_end;
+  link->last_logged_end = begins_again ? 0 : link->last_logged_end;
   link->is_lost = false;
   link->incarnation = incarnation ? incarnation : link->incarnation;
 }
@@ -239,10 +239,10 @@
 }
 
 void pool_owner::impl::LogNewEnds(const vm_id& vm,
-                                  const std::shared_ptr<vm_link>& link,
+                                  const std::shared_ptr<vm_connection>& link,
                                   const core::jobs::run_listing& listing) {
   for (const core::jobs::ended_task& end : listing.ended) {
-    if (end.number <= link->logged_end ||
+    if (end.number <= link->last_logged_end ||
         end.how == core::jobs::end_kind::kDone) {
       continue;
     }
@@ -250,7 +250,8 @@
                    {{"how", std::string(core::NameOf(end.how))}}, BootTime());
   }
   if (!listing.ended.empty()) {
-    link->logged_end = std::max(link->logged_end, listing.ended.back().number);
+    link->last_logged_end =
+        std::max(link->last_logged_end, listing.ended.back().number);
   }
 }
 
--- a/src/jobs/process_state.cc
+++ b/src/jobs/process_state.cc
@@ -7,9 +7,9 @@
 namespace plantainhead::jobs {
 namespace {
 
-std::string ToText(const std::vector<held_partition>& pools) {
+std::string ToText(const std::vector<owned_partition>& pools) {
   std::string text;
-  for (const held_partition& pool : pools) {
+  for (const owned_partition& pool : pools) {
     text += text.empty() ? "" : " ";
     text += std::to_string(pool.partition) + "@" + std::to_string(pool.epoch);
     text += pool.is_active ? "" : "?";
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-observe::log_fields FormatState(const process_state& state) {
+observe::log_fields FormatProcessState(const process_state& state) {
   observe::log_fields fields = {
       {"owns", ToText(state.pools)},
       {"fleet", state.owns_fleet ? "yes" : "no"},
@@ -32,15 +32,16 @@
   if (state.job_copy_age) {
     fields.emplace_back("job_copy_ms", MillisOf(*state.job_copy_age));
   }
-  if (state.busy) {
-    fields.emplace_back("busy_ms", ToText(*state.busy));
-    fields.emplace_back("busy_within_ms", MillisOf(state.busy_within));
+  if (state.cpu_time) {
+    fields.emplace_back("busy_ms", ToText(*state.cpu_time));
+    fields.emplace_back("busy_within_ms", MillisOf(state.cpu_time_interval));
   }
   return fields;
 }
 
-bool state_pace::IsDue(core::time_point now, std::uint64_t lines) {
-  if (now - last_at_ < kStateInterval && lines - last_lines_ < kStateLines) {
+bool state_log_schedule::IsDue(core::time_point now, std::uint64_t lines) {
+  if (now - last_at_ < kStateTimeInterval &&
+      lines - last_lines_ < kStateLineInterval) {
     return false;
   }
   last_at_ = now;
--- a/src/jobs/store_outage_tracker.cc
+++ b/src/jobs/store_outage_tracker.cc
@@ -2,19 +2,19 @@
 
 namespace plantainhead::jobs {
 
-bool store_contact::NoteFailure(core::time_point now) {
+bool store_outage_tracker::NoteFailure(core::time_point now) {
   if (!outage_) {
     outage_ = outage{now, 1, std::nullopt};
     return true;
   }
   if (outage_->answered_since) {
-    ++outage_->losses;
+    ++outage_->interruptions;
     outage_->answered_since.reset();
   }
   return false;
 }
 
-std::optional<contact_regained> store_contact::NoteAnswer(
+std::optional<store_recovery> store_outage_tracker::NoteAnswer(
     core::time_point now) {
   if (!outage_) {
     return std::nullopt;
@@ -22,12 +22,13 @@
   if (!outage_->answered_since) {
     outage_->answered_since = now;
   }
-  const core::duration held_for = now - *outage_->answered_since;
-  if (held_for < kContactHeld) {
+  const core::duration answered_for = now - *outage_->answered_since;
+  if (answered_for < kRecoveryTime) {
     return std::nullopt;
   }
-  const contact_regained regained{
-      outage_->losses, *outage_->answered_since - outage_->began, held_for};
+  const store_recovery regained{outage_->interruptions,
+                                *outage_->answered_since - outage_->began,
+                                answered_for};
   outage_.reset();
   return regained;
 }
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -38,7 +38,7 @@
                   dependencies.world,
                   dependencies.meters,
                   settings.recorder),
-        waiting_counts_(dependencies.world, settings.retry_after) {}
+        pending_job_counter_(dependencies.world, settings.retry_after) {}
 
   void Handle(const net::server_request& request,
               const net::responder& respond) {
@@ -52,7 +52,7 @@
     if (match.route == nullptr) {
       ++counts_.unknown_route;
       // The process that passed the request on knows the queue.
-      respond(peers::HopsOf(request) > 0
+      respond(peers::HopCountOf(request) > 0
                   ? adapter::EncodeFault(net::kMisdirected, "no such queue")
                   : adapter::EncodeFault(net::kNotFound, "no such queue"));
       return;
@@ -113,7 +113,7 @@
   // A process that passed a request on asks elsewhere; a caller comes back.
   net::server_response NotHere(const net::server_request& request,
                                const std::string& why) const {
-    return peers::HopsOf(request) > 0
+    return peers::HopCountOf(request) > 0
                ? adapter::EncodeFault(net::kMisdirected, why)
                : Refusal(why);
   }
@@ -135,7 +135,7 @@
   // Leaves a request that stores a record to the pool's owner. Where none
   // settles it this process goes on with `without_owner`.
   void TryOwner(const caller_request& asked, step without_owner) {
-    if (peers::HopsOf(asked.request) > 0) {
+    if (peers::HopCountOf(asked.request) > 0) {
       asked.respond(NotHere(asked.request, "another process owns the pool"));
       return;
     }
@@ -287,7 +287,7 @@
 
   void Count(const caller_request& asked) {
     if (relay_.Owns(asked.route.pool)) {
-      waiting_counts_.Answer(asked.route, asked.respond);
+      pending_job_counter_.Answer(asked.route, asked.respond);
       return;
     }
     relay_.Ask(asked, asked.route.pool,
@@ -305,7 +305,7 @@
   submission_counts counts_;
   owner_relay relay_;
   job_recorder recorder_;
-  waiting_counts waiting_counts_;
+  pending_job_counter pending_job_counter_;
 };
 
 submissions::submissions(const dependencies& dependencies,
--- a/src/jobs/throttled_action.cc
+++ b/src/jobs/throttled_action.cc
@@ -11,11 +11,11 @@
 namespace {
 
 // Leaves at least three quarters of the time to all else.
-constexpr int kPauseFactor = 3;
+constexpr int kIdleFactor = 3;
 
 }  // namespace
 
-class paced_action::impl : public std::enable_shared_from_this<impl> {
+class throttled_action::impl : public std::enable_shared_from_this<impl> {
  public:
   impl(boost::asio::io_context* context, std::function<void()> action)
       : action_(std::move(action)), timer_(*context) {}
@@ -25,12 +25,12 @@
       return;
     }
     is_requested_ = true;
-    timer_.expires_after(kPauseFactor * took_);
+    timer_.expires_after(kIdleFactor * last_run_time_);
     timer_.async_wait(
         [self = weak_from_this()](const boost::system::error_code& error) {
-          const auto paced = self.lock();
-          if (paced && !error) {
-            paced->Run();
+          const auto locked_self = self.lock();
+          if (locked_self && !error) {
+            locked_self->Run();
           }
         });
   }
@@ -42,24 +42,24 @@
     is_requested_ = false;
     const core::time_point began = BootTime();
     action_();
-    took_ = BootTime() - began;
+    last_run_time_ = BootTime() - began;
   }
 
   std::function<void()> action_;
   boost::asio::steady_timer timer_;
-  core::duration took_{};
+  core::duration last_run_time_{};
   bool is_requested_ = false;
 };
 
-paced_action::paced_action(boost::asio::io_context* context,
-                           std::function<void()> action)
+throttled_action::throttled_action(boost::asio::io_context* context,
+                                   std::function<void()> action)
     : impl_(std::make_shared<impl>(context, std::move(action))) {}
 
-paced_action::~paced_action() {
+throttled_action::~throttled_action() {
   impl_->Close();
 }
 
-void paced_action::Request() {
+void throttled_action::Request() {
   impl_->Request();
 }
 
--- a/src/jobs/throttled_action.h
+++ b/src/jobs/throttled_action.h
@@ -14,14 +14,15 @@
 /// records, run for each record of a large answer, takes seconds, in which
 /// nothing else is done. Not thread-safe: used from the thread of its
 /// `io_context` only.
-class paced_action {
+class throttled_action {
  public:
   /// Preconditions: `context` outlives it; `action` is set.
-  paced_action(boost::asio::io_context* context, std::function<void()> action);
-  paced_action(const paced_action&) = delete;
-  paced_action& operator=(const paced_action&) = delete;
+  throttled_action(boost::asio::io_context* context,
+                   std::function<void()> action);
+  throttled_action(const throttled_action&) = delete;
+  throttled_action& operator=(const throttled_action&) = delete;
   /// Ends without running what is requested.
-  ~paced_action();
+  ~throttled_action();
 
   /// Runs the action later: after the handlers that are under way, and not
   /// before a multiple of the time has passed that the last run took.
--- a/src/jobs/vm_connection.h
+++ b/src/jobs/vm_connection.h
@@ -11,19 +11,19 @@
 namespace plantainhead::jobs {
 
 /// An owner's connections to a VM, and the hold that is under way.
-struct vm_link {
-  vm_link(boost::asio::io_context* context,
-          const core::jobs::vm_id& id,
-          const std::string& vm_address)
+struct vm_connection {
+  vm_connection(boost::asio::io_context* context,
+                const core::jobs::vm_id& id,
+                const std::string& vm_address)
       : address(vm_address), client(context, id, vm_address), timer(*context) {}
 
   std::string address;
   adapter::vm_client client;
   /// Until the next hold.
   boost::asio::steady_timer timer;
-  bool is_holding = false;
-  bool is_waiting = false;
-  core::time_point held_at;
+  bool is_hold_pending = false;
+  bool is_hold_scheduled = false;
+  core::time_point hold_sent_at;
   /// When the VM was first known, and first heard.
   core::time_point known_at;
   std::optional<core::time_point> heard_at;
@@ -31,7 +31,7 @@
   /// Of the life that was heard last.
   core::jobs::vm_incarnation incarnation;
   /// The greatest number of an end that was logged.
-  std::uint64_t logged_end = 0;
+  std::uint64_t last_logged_end = 0;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/peers/forwarded_request.cc
+++ b/src/peers/forwarded_request.cc
@@ -12,19 +12,20 @@
 
 }  // namespace
 
-net::client_request PassOn(const net::server_request& request,
-                           std::chrono::milliseconds patience) {
-  net::client_request passed;
-  passed.verb = request.verb;
-  passed.target = request.target;
-  passed.body = request.body;
-  passed.headers.emplace_back("Host", request.host);
-  passed.headers.push_back(adapter::EncodePatience(patience));
-  passed.headers.emplace_back(kHopsHeader, std::to_string(HopsOf(request) + 1));
-  return passed;
+net::client_request MakeForwardedRequest(const net::server_request& request,
+                                         std::chrono::milliseconds timeout) {
+  net::client_request forwarded;
+  forwarded.verb = request.verb;
+  forwarded.target = request.target;
+  forwarded.body = request.body;
+  forwarded.headers.emplace_back("Host", request.host);
+  forwarded.headers.push_back(adapter::EncodePatience(timeout));
+  forwarded.headers.emplace_back(kHopsHeader,
+                                 std::to_string(HopCountOf(request) + 1));
+  return forwarded;
 }
 
-unsigned HopsOf(const net::server_request& request) {
+unsigned HopCountOf(const net::server_request& request) {
   const std::string& text = net::FindHeader(request.headers, kHopsHeader);
   unsigned hops = 0;
   std::from_chars(text.data(), text.data() + text.size(), hops);
--- a/src/peers/forwarded_request.h
+++ b/src/peers/forwarded_request.h
@@ -11,16 +11,16 @@
 
 /// Passed on once from where the caller sent it to its queue's owner, and once
 /// more when the job belongs to a pool that its queue has left.
-inline constexpr unsigned kMostHops = 2;
+inline constexpr unsigned kMaxHops = 2;
 
 /// Returns the request to send to another process, which is to answer within
-/// `patience`. Thread safety: safe from any thread.
-net::client_request PassOn(const net::server_request& request,
-                           std::chrono::milliseconds patience);
+/// `timeout`. Thread safety: safe from any thread.
+net::client_request MakeForwardedRequest(const net::server_request& request,
+                                         std::chrono::milliseconds timeout);
 
 /// Returns how often the request was passed on: 0 when a caller sent it.
 /// Thread safety: safe from any thread.
-unsigned HopsOf(const net::server_request& request);
+unsigned HopCountOf(const net::server_request& request);
 
 }  // namespace plantainhead::peers
 
--- a/src/peers/owner_client.cc
+++ b/src/peers/owner_client.cc
@@ -18,57 +18,60 @@
 using jobs::BootTime;
 using std::chrono::milliseconds;
 
-class owner_links::impl : public std::enable_shared_from_this<impl> {
+class owner_client::impl : public std::enable_shared_from_this<impl> {
  public:
-  impl(boost::asio::io_context* context, const owner_link_settings& settings)
-      : context_(*context), settings_(settings), book_(settings.book) {}
+  impl(boost::asio::io_context* context, const owner_client_settings& settings)
+      : context_(*context),
+        settings_(settings),
+        directory_(settings.directory) {}
 
-  core::jobs::owner_directory& book() { return book_; }
+  core::jobs::owner_directory& directory() { return directory_; }
   core::time_point answered_at() const { return answered_at_; }
 
-  void Pass(std::uint32_t partition,
-            const net::server_request& request,
-            milliseconds patience,
-            const reply_handler& on_reply) {
-    const auto owner = book_.Choose(partition, BootTime());
+  void Forward(std::uint32_t partition,
+               const net::server_request& request,
+               milliseconds timeout,
+               const reply_handler& on_reply) {
+    const auto owner = directory_.Choose(partition, BootTime());
     if (!owner) {
       on_reply({});
       return;
     }
-    const auto call = std::make_shared<passed_call>(context_);
+    const auto call = std::make_shared<forwarded_call>(context_);
     call->partition = partition;
     call->owner = *owner;
     call->sent_at = BootTime();
     call->on_reply = on_reply;
-    LinkTo(*owner).client->Send(
-        PassOn(request, patience), patience,
+    ConnectionTo(*owner).client->Send(
+        MakeForwardedRequest(request, timeout), timeout,
         [self = weak_from_this(), call](const net::client_reply& reply) {
-          if (const auto links = self.lock()) {
-            links->TakeReply(call, reply);
+          if (const auto client_impl = self.lock()) {
+            client_impl->OnReply(call, reply);
           }
         });
-    AwaitSilence(call);
+    StartSilenceTimer(call);
   }
 
  private:
-  struct passed_call {
-    explicit passed_call(boost::asio::io_context& context) : timer(context) {}
+  struct forwarded_call {
+    explicit forwarded_call(boost::asio::io_context& context)
+        : timer(context) {}
     std::uint32_t partition = 0;
     owner_address owner;
     core::time_point sent_at;
     reply_handler on_reply;
     boost::asio::steady_timer timer;
-    bool is_over = false;
+    bool is_finished = false;
   };
-  using call_ptr = std::shared_ptr<passed_call>;
+  using call_ptr = std::shared_ptr<forwarded_call>;
 
-  struct link {
+  struct owner_connection {
     std::unique_ptr<net::http_client> client;
     core::time_point answered_at;
   };
 
-  link& LinkTo(const owner_address& owner) {
-    link& found = links_[owner.address];
+  owner_connection& ConnectionTo(const owner_address& owner) {
+    owner_connection& found = connections_[owner.address];
     if (!found.client) {
       net::http_client_options options;
       options.most_connections = settings_.most_connections;
@@ -78,37 +81,38 @@
     return found;
   }
 
-  void AwaitSilence(const call_ptr& call) {
-    call->timer.expires_after(settings_.silence_limit);
+  void StartSilenceTimer(const call_ptr& call) {
+    call->timer.expires_after(settings_.silence_timeout);
     call->timer.async_wait([self = weak_from_this(),
                             call](const boost::system::error_code& error) {
-      const auto links = self.lock();
-      if (links && !error && !call->is_over) {
-        links->CheckSilence(call);
+      const auto client_impl = self.lock();
+      if (client_impl && !error && !call->is_finished) {
+        client_impl->CheckSilence(call);
       }
     });
   }
 
   void CheckSilence(const call_ptr& call) {
     const core::time_point now = BootTime();
-    const link& used = LinkTo(call->owner);
-    const core::time_point heard = std::max(used.answered_at, call->sent_at);
-    const bool is_silent = now - heard >= settings_.silence_limit;
+    const owner_connection& connection = ConnectionTo(call->owner);
+    const core::time_point last_answer_at =
+        std::max(connection.answered_at, call->sent_at);
+    const bool is_silent = now - last_answer_at >= settings_.silence_timeout;
     if (is_silent) {
-      book_.NoteFailed(call->partition, call->owner.epoch, now);
-      End(call, {pass_outcome::kUnknown, 0, {}});
+      directory_.NoteFailed(call->partition, call->owner.epoch, now);
+      Finish(call, {forward_outcome::kUnknown, 0, {}});
     } else {
-      AwaitSilence(call);
+      StartSilenceTimer(call);
     }
   }
 
-  void TakeReply(const call_ptr& call, const net::client_reply& reply) {
+  void OnReply(const call_ptr& call, const net::client_reply& reply) {
     const core::time_point now = BootTime();
     if (reply.reached == net::delivery::kAnswered) {
-      LinkTo(call->owner).answered_at = now;
+      ConnectionTo(call->owner).answered_at = now;
       answered_at_ = now;
     }
-    if (call->is_over) {
+    if (call->is_finished) {
       return;
     }
     const bool is_refused = reply.reached == net::delivery::kAnswered &&
@@ -116,19 +120,20 @@
     const bool is_answered =
         reply.reached == net::delivery::kAnswered && !is_refused;
     if (is_answered) {
-      book_.NoteAnswered(call->partition, call->owner.epoch);
-      End(call, {pass_outcome::kAnswered, reply.status, reply.body});
+      directory_.NoteAnswered(call->partition, call->owner.epoch);
+      Finish(call, {forward_outcome::kAnswered, reply.status, reply.body});
       return;
     }
-    book_.NoteFailed(call->partition, call->owner.epoch, now);
-    const bool may_be_taken = reply.reached == net::delivery::kUnanswered;
-    End(call, {may_be_taken ? pass_outcome::kUnknown : pass_outcome::kNotTaken,
-               reply.status,
-               {}});
+    directory_.NoteFailed(call->partition, call->owner.epoch, now);
+    const bool may_be_accepted = reply.reached == net::delivery::kUnanswered;
+    Finish(call, {may_be_accepted ? forward_outcome::kUnknown
+                                  : forward_outcome::kNotAccepted,
+                  reply.status,
+                  {}});
   }
 
-  static void End(const call_ptr& call, const pass_reply& reply) {
-    call->is_over = true;
+  static void Finish(const call_ptr& call, const forward_reply& reply) {
+    call->is_finished = true;
     call->timer.cancel();
     const reply_handler on_reply = std::move(call->on_reply);
     call->on_reply = nullptr;
@@ -136,30 +141,30 @@
   }
 
   boost::asio::io_context& context_;
-  owner_link_settings settings_;
-  core::jobs::owner_directory book_;
-  std::map<std::string, link> links_;
+  owner_client_settings settings_;
+  core::jobs::owner_directory directory_;
+  std::map<std::string, owner_connection> connections_;
   core::time_point answered_at_;
 };
 
-owner_links::owner_links(boost::asio::io_context* context,
-                         const owner_link_settings& settings)
+owner_client::owner_client(boost::asio::io_context* context,
+                           const owner_client_settings& settings)
     : impl_(std::make_shared<impl>(context, settings)) {}
 
-owner_links::~owner_links() = default;
+owner_client::~owner_client() = default;
 
-core::jobs::owner_directory& owner_links::book() {
-  return impl_->book();
+core::jobs::owner_directory& owner_client::directory() {
+  return impl_->directory();
 }
 
-void owner_links::Pass(std::uint32_t partition,
-                       const net::server_request& request,
-                       milliseconds patience,
-                       const reply_handler& on_reply) {
-  impl_->Pass(partition, request, patience, on_reply);
+void owner_client::Forward(std::uint32_t partition,
+                           const net::server_request& request,
+                           milliseconds timeout,
+                           const reply_handler& on_reply) {
+  impl_->Forward(partition, request, timeout, on_reply);
 }
 
-core::time_point owner_links::AnsweredAt() const {
+core::time_point owner_client::AnsweredAt() const {
   return impl_->answered_at();
 }
 
--- a/src/peers/owner_client.h
+++ b/src/peers/owner_client.h
@@ -18,53 +18,53 @@
 
 namespace plantainhead::peers {
 
-struct owner_link_settings {
-  core::jobs::owner_directory_settings book;
+struct owner_client_settings {
+  core::jobs::owner_directory_settings directory;
   /// An owner that answers nobody for this time is taken for lost. One that
   /// waits for a slow store answers questions meanwhile, so that requests that
   /// have reached it aren't repeated elsewhere.
-  std::chrono::milliseconds silence_limit = std::chrono::milliseconds(700);
+  std::chrono::milliseconds silence_timeout = std::chrono::milliseconds(700);
   /// Connections to one owner.
   std::size_t most_connections = 8;
 };
 
-enum class pass_outcome {
+enum class forward_outcome {
   /// The owner has answered.
   kAnswered,
   /// No owner was asked, or it has done nothing with the request.
-  kNotTaken,
+  kNotAccepted,
   /// The owner may have taken the request, or may yet.
   kUnknown,
 };
 
-struct pass_reply {
-  pass_outcome outcome = pass_outcome::kNotTaken;
+struct forward_reply {
+  forward_outcome outcome = forward_outcome::kNotAccepted;
   unsigned status = 0;
   std::string body;
 };
 
 /// Passes requests on to the owners of pools.
 /// Not thread-safe: used from the thread of its `io_context` only.
-class owner_links {
+class owner_client {
  public:
-  using reply_handler = std::function<void(const pass_reply&)>;
+  using reply_handler = std::function<void(const forward_reply&)>;
 
-  owner_links(boost::asio::io_context* context,
-              const owner_link_settings& settings);
-  owner_links(const owner_links&) = delete;
-  owner_links& operator=(const owner_links&) = delete;
+  owner_client(boost::asio::io_context* context,
+               const owner_client_settings& settings);
+  owner_client(const owner_client&) = delete;
+  owner_client& operator=(const owner_client&) = delete;
   /// Requests that are under way end without their handlers being called.
-  ~owner_links();
+  ~owner_client();
 
   /// Whom to ask; announcements are noted there.
-  core::jobs::owner_directory& book();
+  core::jobs::owner_directory& directory();
 
   /// Passes the request on to the owner of the partition. Calls `on_reply` once
-  /// within `patience`: at once when there is nobody to ask.
-  void Pass(std::uint32_t partition,
-            const net::server_request& request,
-            std::chrono::milliseconds patience,
-            const reply_handler& on_reply);
+  /// within `timeout`: at once when there is nobody to ask.
+  void Forward(std::uint32_t partition,
+               const net::server_request& request,
+               std::chrono::milliseconds timeout,
+               const reply_handler& on_reply);
 
   /// Returns when an owner last answered, by `BootTime`.
   core::time_point AnsweredAt() const;
--- a/tests/jobs/event_aggregator_test.cc
+++ b/tests/jobs/event_aggregator_test.cc
@@ -26,18 +26,18 @@
 // tasks of one step that start together are told in one line, which still
 // names each with its VM.
 TEST_CASE("One line stands for the tasks that start together") {
-  line_gatherer lines;
+  event_aggregator lines;
 
   SECTION("a task alone is told with its index and VM, when its time is up") {
     lines.AddTask(job_event::kTaskStarted, Run("a", 7, "vm-1"), {}, kStart);
-    CHECK(lines.TakeDue(kStart + kGatherTime - milliseconds(1)).empty());
-    CHECK(lines.TakeDue(kStart + kGatherTime) ==
-          std::vector<gathered_line>{{job_event::kTaskStarted,
-                                      {{"job", "a"},
-                                       {"step", "3"},
-                                       {"run", "2"},
-                                       {"index", "7"},
-                                       {"vm", "vm-1"}}}});
+    CHECK(lines.TakeDue(kStart + kAggregationDelay - milliseconds(1)).empty());
+    CHECK(lines.TakeDue(kStart + kAggregationDelay) ==
+          std::vector<aggregated_event>{{job_event::kTaskStarted,
+                                         {{"job", "a"},
+                                          {"step", "3"},
+                                          {"run", "2"},
+                                          {"index", "7"},
+                                          {"vm", "vm-1"}}}});
     CHECK(lines.TakeAll().empty());
   }
 
@@ -49,12 +49,12 @@
     lines.AddTask(job_event::kTaskStarted, Run("a", 4, "vm-2"), {},
                   kStart + milliseconds(50));
     CHECK(lines.TakeAll() ==
-          std::vector<gathered_line>{{job_event::kTaskStarted,
-                                      {{"job", "a"},
-                                       {"step", "3"},
-                                       {"run", "2"},
-                                       {"count", "5"},
-                                       {"tasks", "vm-1:0-2,7 vm-2:4"}}}});
+          std::vector<aggregated_event>{{job_event::kTaskStarted,
+                                         {{"job", "a"},
+                                          {"step", "3"},
+                                          {"run", "2"},
+                                          {"count", "5"},
+                                          {"tasks", "vm-1:0-2,7 vm-2:4"}}}});
   }
 
   SECTION("jobs, occurrences, runs, outcomes and events are kept apart") {
@@ -82,7 +82,7 @@
                   kStart + milliseconds(60));
     lines.AddTask(job_event::kTaskStarted, Run("b", 1, "vm-1"), {},
                   kStart + milliseconds(90));
-    const auto due = lines.TakeDue(kStart + kGatherTime);
+    const auto due = lines.TakeDue(kStart + kAggregationDelay);
     REQUIRE(due.size() == 1);
     CHECK(due[0].fields[0].second == "b");
     CHECK(lines.TakeAll().size() == 1);
@@ -92,7 +92,7 @@
     lines.AddJob(job_event::kJobRead, "a", {}, kStart);
     lines.AddTask(job_event::kTaskStarted, Run("b", 0, "vm-1"), {}, kStart);
     lines.AddTask(job_event::kTaskEnded, Run("a", 0, "vm-1"), {}, kStart);
-    const auto taken = lines.TakeOf("a");
+    const auto taken = lines.TakeForJob("a");
     REQUIRE(taken.size() == 2);
     CHECK(taken[0].event == job_event::kJobRead);
     CHECK(taken[1].event == job_event::kTaskEnded);
@@ -100,14 +100,14 @@
   }
 
   SECTION("a full line is written at once, and the rest begins a new one") {
-    for (std::uint32_t i = 0; i < kMostEventsInLine + 3; ++i) {
+    for (std::uint32_t i = 0; i < kMaxEventsPerLine + 3; ++i) {
       lines.AddTask(job_event::kTaskStarted, Run("a", 2 * i, "vm-1"), {},
                     kStart);
     }
     const auto full = lines.TakeDue(kStart);
     REQUIRE(full.size() == 1);
     CHECK(full[0].fields[3] == std::pair<std::string, std::string>(
-                                   "count", std::to_string(kMostEventsInLine)));
+                                   "count", std::to_string(kMaxEventsPerLine)));
     const auto rest = lines.TakeAll();
     REQUIRE(rest.size() == 1);
     CHECK(rest[0].fields[3].second == "3");
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("One line stands for VMs or jobs that meet with the same") {
-  line_gatherer lines;
+  event_aggregator lines;
   lines.AddVm(job_event::kVmVacated, "vm-2", {{"reason", "service"}}, kStart);
   lines.AddVm(job_event::kVmVacated, "vm-1", {{"reason", "service"}}, kStart);
   lines.AddVm(job_event::kVmVacated, "vm-3", {{"reason", "not needed"}},
@@ -124,7 +124,7 @@
   lines.AddJob(job_event::kJobRead, "b", {{"partition", "4"}}, kStart);
   lines.AddJob(job_event::kJobRead, "c", {{"partition", "5"}}, kStart);
   CHECK(lines.TakeAll() ==
-        std::vector<gathered_line>{
+        std::vector<aggregated_event>{
             {job_event::kVmVacated,
              {{"reason", "service"}, {"count", "2"}, {"vms", "vm-1 vm-2"}}},
             {job_event::kVmVacated, {{"reason", "not needed"}, {"vm", "vm-3"}}},
--- a/tests/jobs/log_rate_limiter_test.cc
+++ b/tests/jobs/log_rate_limiter_test.cc
@@ -8,29 +8,29 @@
 namespace {
 
 using std::chrono::milliseconds;
-using verdict = line_budget::verdict;
+using decision = log_rate_limiter::decision;
 
 constexpr core::time_point kStart{std::chrono::hours(1)};
 constexpr milliseconds kWindow{1000};
 
 TEST_CASE("Lines of a kind are written up to so many in a window") {
-  line_budget budget;
+  log_rate_limiter budget;
   const auto take = [&](int millis) {
-    return budget.Take(kStart + milliseconds(millis), 2, kWindow);
+    return budget.Acquire(kStart + milliseconds(millis), 2, kWindow);
   };
-  CHECK(take(0) == verdict{true, 0});
-  CHECK(take(10) == verdict{true, 0});
+  CHECK(take(0) == decision{true, 0});
+  CHECK(take(10) == decision{true, 0});
 
   SECTION("and the rest is counted and told in the next window") {
-    CHECK(take(20) == verdict{false, 0});
-    CHECK(take(999) == verdict{false, 0});
-    CHECK(take(1000) == verdict{true, 2});
-    CHECK(take(1010) == verdict{true, 0});
-    CHECK(take(1020) == verdict{false, 0});
+    CHECK(take(20) == decision{false, 0});
+    CHECK(take(999) == decision{false, 0});
+    CHECK(take(1000) == decision{true, 2});
+    CHECK(take(1010) == decision{true, 0});
+    CHECK(take(1020) == decision{false, 0});
   }
 
   SECTION("and a window without any more tells nothing") {
-    CHECK(take(5000) == verdict{true, 0});
+    CHECK(take(5000) == decision{true, 0});
   }
 }
 
@@ -42,22 +42,22 @@
   for (const job_event event :
        {job_event::kTaskStarted, job_event::kTaskNotStarted,
         job_event::kTaskStopped, job_event::kTaskEnded}) {
-    CHECK(BudgetOf(event) == kTaskBudget);
+    CHECK(RateLimitOf(event) == kTaskRateLimit);
   }
-  CHECK(BudgetOf(job_event::kReadUnanswered) == kReadBudget);
-  CHECK(BudgetOf(job_event::kReadRepeated) == kReadBudget);
+  CHECK(RateLimitOf(job_event::kReadUnanswered) == kReadRateLimit);
+  CHECK(RateLimitOf(job_event::kReadRepeated) == kReadRateLimit);
   for (const job_event event :
        {job_event::kOwnershipGained, job_event::kOwnershipLost,
         job_event::kTakeoverFailed, job_event::kReadinessChanged,
         job_event::kConfigurationApplied, job_event::kStoreLost,
         job_event::kProcessState, job_event::kJobEnded}) {
-    CHECK(BudgetOf(event) == kLineBudget);
+    CHECK(RateLimitOf(event) == kDefaultRateLimit);
   }
-  const auto lines_a_second = [](const event_budget& budget) {
+  const auto lines_a_second = [](const log_rate_limit& budget) {
     return budget.lines / budget.window.count();
   };
-  CHECK(lines_a_second(kTaskBudget) < lines_a_second(kLineBudget));
-  CHECK(lines_a_second(kReadBudget) < lines_a_second(kTaskBudget));
+  CHECK(lines_a_second(kTaskRateLimit) < lines_a_second(kDefaultRateLimit));
+  CHECK(lines_a_second(kReadRateLimit) < lines_a_second(kTaskRateLimit));
 }
 
 }  // namespace
--- a/tests/jobs/loop_lag_monitor_test.cc
+++ b/tests/jobs/loop_lag_monitor_test.cc
@@ -14,17 +14,18 @@
 // and their lines look as if the peer was slow.
 TEST_CASE("A loop that is held up tells for how long") {
   boost::asio::io_context context;
-  core::duration told{};
-  loop_watch watch(&context,
-                   [&told](core::duration lag) { told = std::max(told, lag); });
-  watch.Start();
-  const milliseconds held_up = 3 * kLoopLook;
+  core::duration max_reported_lag{};
+  loop_lag_monitor monitor(&context, [&max_reported_lag](core::duration lag) {
+    max_reported_lag = std::max(max_reported_lag, lag);
+  });
+  monitor.Start();
+  const milliseconds block_time = 3 * kLagSampleInterval;
   boost::asio::post(context,
-                    [held_up] { std::this_thread::sleep_for(held_up); });
-  context.run_for(2 * held_up);
-  CHECK(told >= held_up - kLoopLook);
-  CHECK(watch.TakeMost() == told);
-  CHECK(watch.TakeMost() == core::duration::zero());
+                    [block_time] { std::this_thread::sleep_for(block_time); });
+  context.run_for(2 * block_time);
+  CHECK(max_reported_lag >= block_time - kLagSampleInterval);
+  CHECK(monitor.TakeMaxLag() == max_reported_lag);
+  CHECK(monitor.TakeMaxLag() == core::duration::zero());
 }
 
 }  // namespace
--- a/tests/jobs/process_state_test.cc
+++ b/tests/jobs/process_state_test.cc
@@ -14,11 +14,12 @@
   state.configuration_version = 13;
 
   SECTION("when it owns nothing and hasn't read the jobs yet") {
-    CHECK(FormatState(state) == observe::log_fields{{"owns", ""},
-                                                    {"fleet", "no"},
-                                                    {"ready", "no"},
-                                                    {"configuration", "13"},
-                                                    {"loop_lag_ms", "0"}});
+    CHECK(FormatProcessState(state) ==
+          observe::log_fields{{"owns", ""},
+                              {"fleet", "no"},
+                              {"ready", "no"},
+                              {"configuration", "13"},
+                              {"loop_lag_ms", "0"}});
   }
 
   SECTION("when it owns pools, and is taking one over") {
@@ -28,33 +29,40 @@
     state.loop_lag = milliseconds(310);
     state.renewed_ago = milliseconds(120);
     state.job_copy_age = milliseconds(3500);
-    CHECK(FormatState(state) == observe::log_fields{{"owns", "3@12 7@0?"},
-                                                    {"fleet", "yes"},
-                                                    {"ready", "yes"},
-                                                    {"configuration", "13"},
-                                                    {"loop_lag_ms", "310"},
-                                                    {"renewed_ms_ago", "120"},
-                                                    {"job_copy_ms", "3500"}});
+    CHECK(FormatProcessState(state) ==
+          observe::log_fields{{"owns", "3@12 7@0?"},
+                              {"fleet", "yes"},
+                              {"ready", "yes"},
+                              {"configuration", "13"},
+                              {"loop_lag_ms", "310"},
+                              {"renewed_ms_ago", "120"},
+                              {"job_copy_ms", "3500"}});
   }
 }
 
 TEST_CASE("A process that writes much says so more often") {
   const core::time_point start(std::chrono::hours(1));
-  state_pace pace;
-  CHECK(pace.IsDue(start, 5));
-  CHECK_FALSE(pace.IsDue(start + kStateLook, 6));
+  state_log_schedule schedule;
+  CHECK(schedule.IsDue(start, 5));
+  CHECK_FALSE(schedule.IsDue(start + kStateCheckInterval, 6));
 
   SECTION("a quiet one at an interval") {
-    CHECK_FALSE(pace.IsDue(start + kStateInterval - milliseconds(1), 6));
-    CHECK(pace.IsDue(start + kStateInterval, 6));
-    CHECK_FALSE(pace.IsDue(start + kStateInterval + kStateLook, 6));
+    CHECK_FALSE(
+        schedule.IsDue(start + kStateTimeInterval - milliseconds(1), 6));
+    CHECK(schedule.IsDue(start + kStateTimeInterval, 6));
+    CHECK_FALSE(
+        schedule.IsDue(start + kStateTimeInterval + kStateCheckInterval, 6));
   }
 
   SECTION("a busy one after so many lines") {
-    CHECK_FALSE(pace.IsDue(start + kStateLook, 4 + kStateLines));
-    CHECK(pace.IsDue(start + 2 * kStateLook, 5 + kStateLines));
-    CHECK_FALSE(pace.IsDue(start + 3 * kStateLook, 4 + 2 * kStateLines));
-    CHECK(pace.IsDue(start + 4 * kStateLook, 5 + 2 * kStateLines));
+    CHECK_FALSE(
+        schedule.IsDue(start + kStateCheckInterval, 4 + kStateLineInterval));
+    CHECK(schedule.IsDue(start + 2 * kStateCheckInterval,
+                         5 + kStateLineInterval));
+    CHECK_FALSE(schedule.IsDue(start + 3 * kStateCheckInterval,
+                               4 + 2 * kStateLineInterval));
+    CHECK(schedule.IsDue(start + 4 * kStateCheckInterval,
+                         5 + 2 * kStateLineInterval));
   }
 }
 
--- a/tests/jobs/store_outage_tracker_test.cc
+++ b/tests/jobs/store_outage_tracker_test.cc
@@ -19,45 +19,45 @@
 // back for good, and not a pair of lines for each of dozens of changes in a
 // second.
 TEST_CASE("A store that comes and goes is told lost once and regained once") {
-  store_contact contact;
+  store_outage_tracker tracker;
 
   SECTION("answers alone tell nothing") {
-    CHECK_FALSE(contact.NoteAnswer(At(0)));
-    CHECK_FALSE(contact.NoteAnswer(At(10000)));
+    CHECK_FALSE(tracker.NoteAnswer(At(0)));
+    CHECK_FALSE(tracker.NoteAnswer(At(10000)));
   }
 
   SECTION("the first failure is told at once, and later ones aren't") {
-    CHECK(contact.NoteFailure(At(0)));
-    CHECK_FALSE(contact.NoteFailure(At(10)));
+    CHECK(tracker.NoteFailure(At(0)));
+    CHECK_FALSE(tracker.NoteFailure(At(10)));
 
     SECTION("nor is an answer between them, or a failure after it") {
-      int told = 0;
+      int reported = 0;
       for (int millis = 20; millis < 1020; millis += 20) {
-        told += contact.NoteAnswer(At(millis)) ? 1 : 0;
-        told += contact.NoteFailure(At(millis + 10)) ? 1 : 0;
+        reported += tracker.NoteAnswer(At(millis)) ? 1 : 0;
+        reported += tracker.NoteFailure(At(millis + 10)) ? 1 : 0;
       }
-      CHECK(told == 0);
+      CHECK(reported == 0);
 
       SECTION("until answers have come for a while without a failure") {
-        CHECK_FALSE(contact.NoteAnswer(At(4000)));
-        CHECK_FALSE(contact.NoteAnswer(At(4000) + kContactHeld / 2));
-        const auto regained = contact.NoteAnswer(At(4000) + kContactHeld);
+        CHECK_FALSE(tracker.NoteAnswer(At(4000)));
+        CHECK_FALSE(tracker.NoteAnswer(At(4000) + kRecoveryTime / 2));
+        const auto regained = tracker.NoteAnswer(At(4000) + kRecoveryTime);
         REQUIRE(regained);
-        CHECK(*regained == contact_regained{51, milliseconds(4000),
-                                            milliseconds(kContactHeld)});
-        CHECK_FALSE(contact.NoteAnswer(At(4100) + kContactHeld));
+        CHECK(*regained == store_recovery{51, milliseconds(4000),
+                                          milliseconds(kRecoveryTime)});
+        CHECK_FALSE(tracker.NoteAnswer(At(4100) + kRecoveryTime));
 
         SECTION("and the next failure is told again") {
-          CHECK(contact.NoteFailure(At(9000)));
+          CHECK(tracker.NoteFailure(At(9000)));
         }
       }
     }
   }
 
   SECTION("one answer long after a failure isn't taken for its return") {
-    CHECK(contact.NoteFailure(At(0)));
-    CHECK_FALSE(contact.NoteAnswer(At(30000)));
-    CHECK_FALSE(contact.NoteFailure(At(30010)));
+    CHECK(tracker.NoteFailure(At(0)));
+    CHECK_FALSE(tracker.NoteAnswer(At(30000)));
+    CHECK_FALSE(tracker.NoteFailure(At(30010)));
   }
 }
 
--- a/tests/jobs/throttled_action_test.cc
+++ b/tests/jobs/throttled_action_test.cc
@@ -10,7 +10,7 @@
 TEST_CASE("An action runs once for many requests") {
   boost::asio::io_context context;
   int runs = 0;
-  paced_action action(&context, [&] { ++runs; });
+  throttled_action action(&context, [&] { ++runs; });
   action.Request();
   action.Request();
   CHECK(runs == 0);
@@ -28,8 +28,8 @@
 TEST_CASE("An action that is requested while it runs, runs again") {
   boost::asio::io_context context;
   int runs = 0;
-  std::unique_ptr<paced_action> action;
-  action = std::make_unique<paced_action>(&context, [&] {
+  std::unique_ptr<throttled_action> action;
+  action = std::make_unique<throttled_action>(&context, [&] {
     if (++runs < 3) {
       action->Request();
     }
@@ -42,7 +42,7 @@
 TEST_CASE("An action doesn't run once its object is gone") {
   boost::asio::io_context context;
   int runs = 0;
-  auto action = std::make_unique<paced_action>(&context, [&] { ++runs; });
+  auto action = std::make_unique<throttled_action>(&context, [&] { ++runs; });
   action->Request();
   action.reset();
   context.run();
--- a/tests/peers/owner_announcement_test.cc
+++ b/tests/peers/owner_announcement_test.cc
@@ -16,19 +16,24 @@
 // Another writer may put anything there. A process that took it would connect
 // to what isn't an address, or to the owner of a partition that doesn't exist.
 TEST_CASE("What is no announcement is refused with its place") {
-  const auto place_of = [](const std::string& key, const std::string& value) {
+  const auto fault_field_of = [](const std::string& key,
+                                 const std::string& value) {
     adapter::keyed_record record;
     record.key = key;
     record.value = value;
     const auto read = DecodeAnnouncement(record);
     return read ? std::string("none") : read.fault().field;
   };
-  CHECK(place_of("x", R"({"epoch":1,"address":"10.1.0.9:7060"})") == "key");
-  CHECK(place_of("31", R"({"epoch":1,"address":"10.1.0.9:7060"})") == "key");
-  CHECK(place_of("3", R"({"epoch":0,"address":"10.1.0.9:7060"})") == "epoch");
-  CHECK(place_of("3", R"({"epoch":1,"address":"nowhere"})") == "address");
-  CHECK(place_of("3", R"({"epoch":1})") == "address");
-  CHECK(place_of("3", R"({"epoch":1,"address":"10.1.0.9:7060"})") == "none");
+  CHECK(fault_field_of("x", R"({"epoch":1,"address":"10.1.0.9:7060"})") ==
+        "key");
+  CHECK(fault_field_of("31", R"({"epoch":1,"address":"10.1.0.9:7060"})") ==
+        "key");
+  CHECK(fault_field_of("3", R"({"epoch":0,"address":"10.1.0.9:7060"})") ==
+        "epoch");
+  CHECK(fault_field_of("3", R"({"epoch":1,"address":"nowhere"})") == "address");
+  CHECK(fault_field_of("3", R"({"epoch":1})") == "address");
+  CHECK(fault_field_of("3", R"({"epoch":1,"address":"10.1.0.9:7060"})") ==
+        "none");
 }
 
 }  // namespace
--- a/tests/peers/owner_client_test.cc
+++ b/tests/peers/owner_client_test.cc
@@ -27,47 +27,48 @@
 constexpr std::uint32_t kPartition = 3;
 
 /// A process with a link to an owner that a test plays.
-struct linked_owner {
-  linked_owner() : links(&context, Settings()), address(FreeAddress()) {
+struct owner_client_fixture {
+  owner_client_fixture()
+      : client(&context, Settings()), address(FreeAddress()) {
     server = std::make_unique<net::http_server>(
         &context, address, net::http_server_options(),
         [this](const net::server_request& request,
                const net::responder& respond) {
           requests.push_back(request);
           if (status == 0) {
-            held.push_back(respond);
+            pending_responders.push_back(respond);
           } else {
             respond({status, {}, "answer"});
           }
         });
-    links.book().NoteAnnouncement(kPartition, {1, address});
+    client.directory().NoteAnnouncement(kPartition, {1, address});
   }
 
-  static owner_link_settings Settings() {
-    owner_link_settings settings;
-    settings.silence_limit = milliseconds(200);
+  static owner_client_settings Settings() {
+    owner_client_settings settings;
+    settings.silence_timeout = milliseconds(200);
     return settings;
   }
 
-  pass_reply Pass(const net::server_request& request) {
-    std::optional<pass_reply> reply;
-    links.Pass(kPartition, request, seconds(5),
-               [&](const pass_reply& got) { reply = got; });
+  forward_reply Forward(const net::server_request& request) {
+    std::optional<forward_reply> reply;
+    client.Forward(kPartition, request, seconds(5),
+                   [&](const forward_reply& received) { reply = received; });
     RunUntil(&context, [&] { return reply.has_value(); });
-    return reply.value_or(pass_reply());
+    return reply.value_or(forward_reply());
   }
 
   boost::asio::io_context context;
-  owner_links links;
+  owner_client client;
   std::string address;
   std::unique_ptr<net::http_server> server;
   std::vector<net::server_request> requests;
-  std::vector<net::responder> held;
+  std::vector<net::responder> pending_responders;
   /// What the owner answers; 0: nothing.
   unsigned status = net::kOk;
 };
 
-net::server_request CallersRequest() {
+net::server_request CallerRequest() {
   net::server_request request;
   request.verb = net::method::kPost;
   request.host = "a.example";
@@ -77,63 +78,68 @@
 }
 
 TEST_CASE("A request is passed on as the caller sent it") {
-  linked_owner owner;
-  const pass_reply reply = owner.Pass(CallersRequest());
-  CHECK(reply.outcome == pass_outcome::kAnswered);
+  owner_client_fixture owner;
+  const forward_reply reply = owner.Forward(CallerRequest());
+  CHECK(reply.outcome == forward_outcome::kAnswered);
   CHECK(reply.status == net::kOk);
   CHECK(reply.body == "answer");
   REQUIRE(owner.requests.size() == 1);
-  const net::server_request& passed = owner.requests[0];
-  CHECK(passed.verb == net::method::kPost);
-  CHECK(passed.host == "a.example");
-  CHECK(passed.target == "/q/0123456789abcdef");
-  CHECK(passed.body == "{}");
-  CHECK(HopsOf(passed) == 1);
-  CHECK(adapter::DecodePatience(passed) == milliseconds(5000));
-  CHECK(HopsOf(CallersRequest()) == 0);
+  const net::server_request& forwarded = owner.requests[0];
+  CHECK(forwarded.verb == net::method::kPost);
+  CHECK(forwarded.host == "a.example");
+  CHECK(forwarded.target == "/q/0123456789abcdef");
+  CHECK(forwarded.body == "{}");
+  CHECK(HopCountOf(forwarded) == 1);
+  CHECK(adapter::DecodePatience(forwarded) == milliseconds(5000));
+  CHECK(HopCountOf(CallerRequest()) == 0);
 }
 
 // What a caller is told rests on these three: after "not taken" it may be told
 // that its job won't run; after "unknown" it may not.
 TEST_CASE("An owner that gives no answer to a request") {
-  linked_owner owner;
+  owner_client_fixture owner;
 
   SECTION("has taken nothing when it says that it isn't the owner") {
     owner.status = net::kMisdirected;
-    CHECK(owner.Pass(CallersRequest()).outcome == pass_outcome::kNotTaken);
+    CHECK(owner.Forward(CallerRequest()).outcome ==
+          forward_outcome::kNotAccepted);
 
     SECTION("and is asked nothing for a while") {
-      CHECK(owner.Pass(CallersRequest()).outcome == pass_outcome::kNotTaken);
+      CHECK(owner.Forward(CallerRequest()).outcome ==
+            forward_outcome::kNotAccepted);
       CHECK(owner.requests.size() == 1);
     }
   }
 
   SECTION("has taken nothing when nobody listens there") {
     owner.server.reset();
-    CHECK(owner.Pass(CallersRequest()).outcome == pass_outcome::kNotTaken);
+    CHECK(owner.Forward(CallerRequest()).outcome ==
+          forward_outcome::kNotAccepted);
   }
 
   SECTION("may have taken it when it is silent") {
     owner.status = 0;
-    CHECK(owner.Pass(CallersRequest()).outcome == pass_outcome::kUnknown);
+    CHECK(owner.Forward(CallerRequest()).outcome == forward_outcome::kUnknown);
     CHECK(owner.requests.size() == 1);
   }
 
   SECTION("is waited for while it answers others") {
     owner.status = 0;
-    std::optional<pass_reply> slow;
-    owner.links.Pass(kPartition, CallersRequest(), seconds(5),
-                     [&](const pass_reply& got) { slow = got; });
-    REQUIRE(RunUntil(&owner.context, [&] { return owner.held.size() == 1; }));
+    std::optional<forward_reply> slow;
+    owner.client.Forward(
+        kPartition, CallerRequest(), seconds(5),
+        [&](const forward_reply& received) { slow = received; });
+    REQUIRE(RunUntil(&owner.context,
+                     [&] { return owner.pending_responders.size() == 1; }));
     owner.status = net::kOk;
     const core::time_point until = jobs::BootTime() + milliseconds(600);
     while (jobs::BootTime() < until) {
-      owner.Pass(CallersRequest());
+      owner.Forward(CallerRequest());
     }
     CHECK_FALSE(slow);
-    owner.held[0]({net::kOk, {}, "late"});
+    owner.pending_responders[0]({net::kOk, {}, "late"});
     REQUIRE(RunUntil(&owner.context, [&] { return slow.has_value(); }));
-    CHECK(slow->outcome == pass_outcome::kAnswered);
+    CHECK(slow->outcome == forward_outcome::kAnswered);
     CHECK(slow->body == "late");
   }
 }
