--- a/src/jobs/clocks.h
+++ b/src/jobs/clocks.h
@@ -7,23 +7,23 @@
 
 namespace plantainhead::jobs {
 
-/// Returns the time since the VM's start, with the time that it was suspended.
-/// Leases are measured on it: the steady clock stands still during a
-/// suspension, so that an owner that wakes up would take a lease that has long
-/// passed on for its own.
+/// Returns the time since the VM was booted, including the time for which it
+/// was suspended. Leases are measured with this clock: the steady clock stops
+/// during a suspension, so an owner that resumes would still consider itself
+/// the holder of a lease that expired long ago.
 /// Thread safety: safe from any thread.
 core::time_point BootTime();
 
-/// Returns the time of day, which may jump. Only due times and the ages of jobs
-/// use it.
+/// Returns the time of day, which may jump. Used only for due times and the
+/// ages of jobs.
 /// Thread safety: safe from any thread.
 core::time_point WallTime();
 
-/// Returns the processor time that the calling thread has used.
+/// Returns the CPU time that the calling thread has used.
 /// Thread safety: safe from any thread.
 core::duration ThreadCpuTime();
 
-/// Returns the time in whole milliseconds, as lines of the log have it.
+/// Formats a duration in whole milliseconds for log fields.
 /// Thread safety: safe from any thread.
 std::string MillisOf(core::duration time);
 
--- a/src/jobs/cpu_time_meter.h
+++ b/src/jobs/cpu_time_meter.h
@@ -11,7 +11,7 @@
 
 namespace plantainhead::jobs {
 
-/// What the thread of all work spends its processor time on.
+/// Kinds of work on which the event loop thread spends its CPU time.
 enum class loop_work {
   kPlan,
   kLinks,
@@ -24,7 +24,8 @@
   kFleetRecords,
   kJobs,
   kFleet,
-  /// All that isn't metered by itself: sockets, callers, the store's answers.
+  /// All work without a kind of its own: sockets, client requests, responses
+  /// of the store.
   kOther,
 };
 
@@ -46,31 +47,31 @@
   return kLoopWorkNames;
 }
 
-/// Processor time by kind of work.
+/// CPU time by kind of work.
 using cpu_times = std::array<core::duration, kLoopWorkNames.size()>;
 
-/// Returns for instance "plan 12, holds 31": milliseconds, without the kinds
-/// that took none. Thread safety: safe from any thread.
+/// Formats the times in milliseconds, for example "plan 12, holds 31", without
+/// the kinds that took less than 1 ms. Thread safety: safe from any thread.
 std::string ToText(const cpu_times& times);
 
-/// Meters the processor time of the thread of all work by kind. The lag of the
-/// loop is the time of one turn, however much waits behind it; a loop without
-/// any time left shows only here. Not thread-safe.
+/// Measures the CPU time of the event loop thread by kind of work. The loop lag
+/// shows only the duration of one iteration, however much work is queued; only
+/// these times show that the loop has no idle time left. Not thread-safe.
 class cpu_time_meter {
  public:
-  /// Returns the processor time that the thread has used.
+  /// Returns the CPU time that the thread has used.
   using clock = std::function<core::duration()>;
 
   explicit cpu_time_meter(clock clock);
   cpu_time_meter(const cpu_time_meter&) = delete;
   cpu_time_meter& operator=(const cpu_time_meter&) = delete;
 
-  /// Counts the time until its end for one kind of work. Scopes nest: the time
-  /// of an inner one counts for its own kind only.
+  /// Attributes the CPU time during its lifetime to one kind of work. Scopes
+  /// may be nested: the time of an inner scope counts only for its own kind.
   class scope {
    public:
-    /// Preconditions: `meter` outlives it, and it ends before any scope that
-    /// was begun earlier.
+    /// Preconditions: `meter` outlives this scope, and this scope is destroyed
+    /// before any scope that was created earlier.
     scope(cpu_time_meter* meter, loop_work kind);
     scope(const scope&) = delete;
     scope& operator=(const scope&) = delete;
@@ -81,11 +82,12 @@
     loop_work outer_kind_;
   };
 
-  /// Returns what each kind of work has taken since the meter was made.
+  /// Returns the CPU time of each kind of work since the meter was created.
   cpu_times Totals();
 
  private:
-  /// Counts the time since the last change for the present kind.
+  /// Attributes the time since the last change to the current kind, and
+  /// switches to `kind`.
   void ChangeTo(loop_work kind);
 
   clock clock_;
--- a/src/jobs/event_aggregator.cc
+++ b/src/jobs/event_aggregator.cc
@@ -13,7 +13,7 @@
   *text += item;
 }
 
-// Returns for instance "0-3,7".
+// Formats indices as sorted ranges, for example "0-3,7".
 std::string ToRanges(std::vector<std::uint32_t> indices) {
   std::sort(indices.begin(), indices.end());
   std::string text;
--- a/src/jobs/event_aggregator.h
+++ b/src/jobs/event_aggregator.h
@@ -16,7 +16,7 @@
 
 namespace plantainhead::jobs {
 
-/// A line of the log that is ready to be written.
+/// Content of one log line that reports one or several aggregated events.
 struct aggregated_event {
   job_event event;
   observe::log_fields fields;
@@ -25,24 +25,28 @@
                          const aggregated_event&) = default;
 };
 
-/// Gathers events that differ only in the task, the VM or the job they concern,
-/// so that one line of the log stands for all of them. An owner starts up to
-/// 870 tasks a second; with a line for each, a collector that keeps the last 55
-/// KB of a log kept 2 s of it, and nothing on who owned what.
+/// Aggregates events that differ only in the task, VM or job that they concern,
+/// so that a single log line reports all of them. An owner starts up to 870
+/// tasks per second. With one line for each, a log collector that keeps the
+/// last 55 KB of a log would retain only 2 s of it, without any line about
+/// ownership.
 ///
-/// A line for one event has `vm` (and `index`) or `job`. A line for several has
-/// `count`, and in their place one of these lists, its items separated by a
-/// space: `tasks`, of "VM:indices" such as "vm-1:0-3,7"; `vms`; `jobs`.
+/// A line for one event has the field `vm` (and `index`) or `job`. A line for
+/// several events has `count` and, in place of those fields, one of these
+/// space-separated lists: `tasks`, with items "VM:indices" such as
+/// "vm-1:0-3,7"; `vms`; `jobs`.
 ///
-/// Pure: it neither writes nor looks at a clock. Not thread-safe.
+/// Pure: it writes no log and reads no clock. Not thread-safe.
 class event_aggregator {
  public:
-  /// Adds a task's event. `outcome` are further fields, such as how it ended.
+  /// Adds an event of a task. `outcome` holds further fields, such as the
+  /// result of the task.
   void AddTask(job_event event,
                const core::jobs::run_ref& target,
                const observe::log_fields& outcome,
                core::time_point now);
-  /// Adds an event of a VM or of a job. `common` are the other fields.
+  /// Adds an event of a VM or a job. `common` holds the remaining fields; only
+  /// events with equal fields are aggregated.
   void AddVm(job_event event,
              const core::jobs::vm_id& vm,
              const observe::log_fields& common,
@@ -52,13 +56,13 @@
               const observe::log_fields& common,
               core::time_point now);
 
-  /// Returns and forgets the lines that are full, and those whose first event
-  /// came `kAggregationDelay` ago, in the order of their first events.
+  /// Returns and removes the lines that are full and those whose first event
+  /// was added at least `kAggregationDelay` ago, ordered by their first events.
   std::vector<aggregated_event> TakeDue(core::time_point now);
-  /// Returns and forgets the lines on `job`, in the same order: they come
-  /// before the line on its end.
+  /// Returns and removes the lines about `job`, in the same order, so that they
+  /// can be logged before the line about the end of the job.
   std::vector<aggregated_event> TakeForJob(const core::jobs::job_id& job);
-  /// Returns and forgets all lines, in the same order.
+  /// Returns and removes all lines, in the same order.
   std::vector<aggregated_event> TakeAll();
 
  private:
@@ -69,9 +73,10 @@
     subject kind;
     observe::log_fields common;
     core::time_point first_at;
-    /// Whose tasks they are; empty where the subject isn't a task.
+    /// The job of the tasks; empty if the subject is not a task.
     core::jobs::job_id job;
-    /// Indices of tasks by VM; empty ones where the subject isn't a task.
+    /// Task indices by VM. If the subject is not a task, the keys are VMs or
+    /// jobs and the lists are empty.
     std::map<std::string, std::vector<std::uint32_t>> items;
     std::size_t count = 0;
   };
@@ -89,17 +94,17 @@
       const std::function<bool(const event_group&)>& is_taken);
   static aggregated_event ToLine(const event_group& events);
 
-  /// Few at a time, so that they are searched one by one.
+  /// Searched linearly, as there are only a few groups at a time.
   std::vector<event_group> event_groups_;
 };
 
-/// How long a line waits for further events. The answers to the orders of one
-/// plan arrive within 0.05 s; waiting ten times longer saves 7 in 100 bytes
-/// more (counted in the logs of nine processes), and a line's time would tell
-/// less.
+/// Time for which a line is held back to aggregate further events. The answers
+/// to the orders of one plan arrive within 0.05 s. A delay of 0.5 s would save
+/// only another 7% of the bytes logged, and the timestamps of lines would be
+/// less accurate.
 inline constexpr std::chrono::milliseconds kAggregationDelay{100};
 
-/// Events in one line at most, so that a line stays under 1 KB.
+/// Maximum number of events per line, which keeps a line below 1 KB.
 inline constexpr std::size_t kMaxEventsPerLine = 40;
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/event_log.h
+++ b/src/jobs/event_log.h
@@ -10,7 +10,7 @@
 
 namespace plantainhead::jobs {
 
-/// What a process of the job scheduler logs.
+/// Kinds of events that a process of the job scheduler logs.
 enum class job_event {
   kProcessStarted,
   kProcessState,
@@ -126,8 +126,9 @@
   return kJobEventNames;
 }
 
-/// How many lines of one kind of event are written at most in a window of time.
-/// The rest is counted, and the count is written in the next window.
+/// Maximum number of log lines for one kind of event per time window. Lines
+/// beyond the limit are suppressed and counted, and the count is logged in the
+/// next window.
 struct log_rate_limit {
   unsigned lines;
   std::chrono::seconds window;
@@ -135,34 +136,38 @@
   friend bool operator==(const log_rate_limit&,
                          const log_rate_limit&) = default;
 };
-/// 60 lines of 200 bytes of each kind stay near the 10 KB/s that a node may
-/// write when quiet, and bound a storm to a few hundred lines a second.
+/// 60 lines of 200 bytes per kind stay close to the 10 KB/s that an idle node
+/// may log, and limit a burst of events of all kinds to a few hundred lines per
+/// second.
 inline constexpr log_rate_limit kDefaultRateLimit{60, std::chrono::seconds(1)};
-/// For events of tasks, of which one line stands for up to 40. A collector that
-/// keeps the last 55 KB of a log lost, at 60 such lines a second, those on
-/// ownership and readiness within 5 s. Half as many take 9 s, so that there is
-/// a line on the state of the process among them. A burst of 120 lines is
-/// written whole.
+/// Limit for task events, of which one line reports up to 40. At 60 such lines
+/// per second, a log collector that keeps the last 55 KB of a log drops the
+/// lines about ownership and readiness within 5 s. At half that rate it takes
+/// 9 s, so the retained part always has a line with the process state. A burst
+/// of 120 lines is logged completely.
 inline constexpr log_rate_limit kTaskRateLimit{120, std::chrono::seconds(4)};
-/// For reads without an answer: a process reads some 20 partitions, and while
-/// the store is away lines on them differ only in the partition.
+/// Limit for unanswered reads: a process reads about 20 partitions, and while
+/// the store is unavailable their lines differ only in the partition.
 inline constexpr log_rate_limit kReadRateLimit{20, std::chrono::seconds(4)};
 
+/// Returns the rate limit for events of this kind.
 /// Thread safety: safe from any thread.
 log_rate_limit RateLimitOf(job_event event);
 
-/// Writes one line. Never waits for the reader of the log.
+/// Writes one log line, unless the rate limit of its kind is exhausted. Never
+/// blocks on the reader of the log.
 /// Thread safety: one thread at a time.
 void LogEvent(job_event event, const observe::log_fields& fields);
 
-/// Appends how many milliseconds ago the time was; nothing for the epoch, which
-/// stands for never.
+/// Appends a field with the age of `time`, a time by `BootTime`, in
+/// milliseconds. Appends nothing if `time` is the clock's epoch, which means
+/// "never".
 /// Thread safety: safe from any thread for different lists.
 void AppendAge(const char* name,
                core::time_point time,
                observe::log_fields* fields);
 
-/// Returns how many lines the process has written.
+/// Returns the number of event lines that the process has logged.
 /// Thread safety: as `LogEvent`.
 std::uint64_t LinesWritten();
 
--- a/src/jobs/fault_log.cc
+++ b/src/jobs/fault_log.cc
@@ -7,10 +7,11 @@
 namespace plantainhead::jobs {
 namespace {
 
-// Of a key or a place in a line of the log.
+// Maximum length of a key or a field path in a log line.
 constexpr std::size_t kMaxLoggedBytes = 80;
 
-// Another writer's keys may have any bytes and any length.
+// Replaces non-printable bytes and truncates the text: keys stored by other
+// writers may have any content and length.
 std::string Printable(const std::string& text) {
   std::string printable = text.substr(0, kMaxLoggedBytes);
   std::replace_if(
--- a/src/jobs/fault_log.h
+++ b/src/jobs/fault_log.h
@@ -7,14 +7,17 @@
 
 namespace plantainhead::jobs {
 
-/// Counts what can't be read, and writes one line for each key that holds it.
+/// Counts the records that cannot be decoded, and logs one line for each key
+/// that holds such a record.
 /// Thread safety: one thread at a time.
 class fault_log {
  public:
-  /// `topic` may also name a list that isn't one of the store's.
+  /// Counts a fault in the record under `key` and logs it unless it has been
+  /// logged before. `topic` may also name a list that is not kept in the store.
   void Note(const std::string& topic,
             const std::string& key,
             const core::jobs::record_fault& fault);
+  /// Notes that the newest record under `key` is valid.
   void NoteValid(const std::string& topic, const std::string& key) {
     counter_.NoteValid(topic, key);
   }
--- a/src/jobs/job_meters.cc
+++ b/src/jobs/job_meters.cc
@@ -8,24 +8,25 @@
 
 job_meters::job_meters()
     : accept_(registry_.Latency("plantain_job_accept_seconds",
-                                "From a submission's arrival until its record "
-                                "is stored.")),
+                                "Time from a submission's arrival until its "
+                                "record is stored.")),
       plan_(registry_.Latency("plantain_plan_seconds",
-                              "Time that one plan of a pool's owner takes.")),
+                              "Time to compute one plan of a pool's owner.")),
       start_(registry_.Latency("plantain_task_start_seconds",
-                               "From an order to start until the VM's "
-                               "answer.")),
-      takeover_(registry_.Latency("plantain_takeover_seconds",
-                                  "From being dealt a partition until its "
-                                  "owner gives orders.")),
+                               "Time from an order to start a task until the "
+                               "VM's answer.")),
+      takeover_(
+          registry_.Latency("plantain_takeover_seconds",
+                            "Time from the assignment of a partition until "
+                            "its owner gives orders.")),
       loop_lag_(
           registry_.Latency("plantain_loop_lag_seconds",
-                            "How far the thread of all work is behind.")) {}
+                            "Delay of timers on the event loop thread.")) {}
 
 void job_meters::NoteStoreCall(adapter::store_call call, core::duration time) {
   registry_
       .Latency("plantain_store_call_seconds",
-               "Calls to the store, without reads that wait for records.",
+               "Duration of store calls, without long-poll reads.",
                {{"call", std::string(core::NameOf(call))}})
       .Record(time);
 }
@@ -35,10 +36,10 @@
   for (const auto& [kind, name] : kLoopWorkNames) {
     const auto used = std::chrono::duration_cast<std::chrono::microseconds>(
         times[static_cast<std::size_t>(kind)]);
-    observe::counter& shown = registry_.Counter(
-        "plantain_loop_busy_microseconds_total",
-        "Processor time of the thread of all work, by kind of work.",
-        {{"work", std::string(name)}});
+    observe::counter& shown =
+        registry_.Counter("plantain_loop_busy_microseconds_total",
+                          "CPU time of the event loop thread, by kind of work.",
+                          {{"work", std::string(name)}});
     shown.Add(static_cast<std::uint64_t>(used.count()) - shown.value());
   }
   return registry_.ToText();
@@ -51,20 +52,20 @@
       core::jobs::VerdictOf(result, ended_at);
   registry_
       .Counter("plantain_job_results_total",
-               "Jobs that have ended, by what became of their target.",
+               "Jobs that have ended, by verdict: in time, or why not.",
                {{"queue", result.queue},
                 {"verdict", std::string(core::NameOf(verdict))}})
       .Add();
   registry_
       .Latency("plantain_job_seconds",
-               "From a job's handing in until its end is stored.",
+               "Time from a job's submission until its end is stored.",
                {{"queue", result.queue}})
       .Record(ended_at - result.arrived_at);
   if (result.started_at) {
     registry_
         .Latency("plantain_job_first_start_seconds",
-                 "From a job's handing in until the first order of its last "
-                 "owner to start a task of it.",
+                 "Time from a job's submission until its last owner first "
+                 "ordered the start of one of its tasks.",
                  {{"queue", result.queue}})
         .Record(*result.started_at - result.arrived_at);
   }
--- a/src/jobs/job_meters.h
+++ b/src/jobs/job_meters.h
@@ -12,33 +12,36 @@
 
 namespace plantainhead::jobs {
 
-/// Latencies and results that a process measures as it goes, for its metrics.
-/// Names of queues come from the configuration, so that they are few.
+/// Records the latencies and job results of a process and exports them as
+/// metrics. Queue names used as labels come from the configuration, so their
+/// number is small.
 /// Thread safety: one thread at a time.
 class job_meters {
  public:
   job_meters();
 
-  /// A call to the store ended after this time.
+  /// Records the duration of a call to the store.
   void NoteStoreCall(adapter::store_call call, core::duration time);
-  /// A submission was answered as accepted.
+  /// Records the time from a submission's arrival until it was accepted.
   void NoteAccepted(core::duration time) { accept_.Record(time); }
-  /// An owner decided what starts where.
+  /// Records the time in which a pool's owner planned task placement.
   void NotePlan(core::duration time) { plan_.Record(time); }
-  /// A VM answered an order to start a task.
+  /// Records the time in which a VM answered an order to start a task.
   void NoteStart(core::duration time) { start_.Record(time); }
-  /// The thread of all work was behind by this time.
+  /// Records by how much the event loop is behind.
   void NoteLoopLag(core::duration lag) { loop_lag_.Record(lag); }
-  /// From being dealt a partition to the first order.
+  /// Records the time from the assignment of a partition until its new owner
+  /// may give orders.
   void NoteTakeover(core::duration time) { takeover_.Record(time); }
-  /// A job has ended, and its end is stored. Returns what spent its time.
+  /// Records the result of a job whose end has been stored. Returns
+  /// whether it ended in time, or why it did not.
   core::jobs::job_verdict NoteResult(const core::jobs::job_result& result,
                                      core::time_point ended_at);
 
-  /// Meters what the thread of all work is busy with.
+  /// Returns the meter for the CPU time of the event loop thread.
   cpu_time_meter& work() { return work_; }
 
-  /// Returns all as Prometheus text.
+  /// Returns all metrics as Prometheus text.
   std::string ToText();
 
  private:
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr const char* kRequestsName = "plantain_job_requests_total";
-constexpr const char* kRequestsHelp = "Callers' requests by outcome.";
+constexpr const char* kRequestsHelp = "Client requests by outcome.";
 
 void AddFaultCounters(
     const core::jobs::record_fault_counter::counts_by_fault& faults,
@@ -14,7 +14,7 @@
   for (const auto& [fault, times] : faults) {
     registry
         ->Counter("plantain_record_faults_total",
-                  "Records that were read and can't be used.",
+                  "Invalid records that were read from the store.",
                   {{"topic", fault.first},
                    {"fault", std::string(core::NameOf(fault.second))}})
         .Add(times);
@@ -49,39 +49,42 @@
                              const observe::label_list& labels = {}) {
     registry.Gauge(name, help, labels).Set(value);
   };
-  set_gauge("plantain_ready", "1 when the process takes requests.",
+  set_gauge("plantain_ready", "1 if the process accepts requests, 0 otherwise.",
             snapshot.is_ready ? 1 : 0);
-  set_gauge("plantain_jobs_known", "Jobs that have been read from the store.",
+  set_gauge("plantain_jobs_known",
+            "Number of jobs that have been read from the store.",
             static_cast<double>(snapshot.known_jobs));
   if (snapshot.job_copy_age) {
     set_gauge("plantain_job_copy_age_seconds",
-              "Since the jobs of owned pools had been read to their ends.",
+              "Time since all stored jobs of owned pools had been read.",
               std::chrono::duration<double>(*snapshot.job_copy_age).count());
   }
-  set_gauge("plantain_configuration_version", "The version in force.",
+  set_gauge("plantain_configuration_version",
+            "Version of the active configuration.",
             static_cast<double>(snapshot.configuration_version));
-  set_gauge("plantain_faulty_keys", "Keys whose newest record can't be used.",
+  set_gauge("plantain_faulty_keys",
+            "Number of keys whose newest record is invalid.",
             static_cast<double>(snapshot.faulty_keys));
   AddFaultCounters(snapshot.faults, &registry);
   for (const auto& [partition, counts] : snapshot.pools) {
     const observe::label_list labels = {
         {"partition", std::to_string(partition)}};
-    set_gauge("plantain_open_jobs", "Jobs that haven't ended, in owned pools.",
+    set_gauge("plantain_open_jobs", "Jobs in owned pools that have not ended.",
               static_cast<double>(counts.open_jobs), labels);
     set_gauge("plantain_waiting_tasks", "Tasks that may not start yet.",
               static_cast<double>(counts.waiting_tasks), labels);
-    set_gauge("plantain_placed_tasks", "Tasks with a run on a VM.",
+    set_gauge("plantain_placed_tasks", "Tasks that have a run on a VM.",
               static_cast<double>(counts.placed_tasks), labels);
     registry
-        .Counter("plantain_task_starts_total", "Orders to start a task.",
-                 labels)
+        .Counter("plantain_task_starts_total",
+                 "Orders to start a task that were given.", labels)
         .Add(counts.starts);
     registry
         .Counter("plantain_task_failures_total", "Runs that failed.", labels)
         .Add(counts.failed_runs);
     registry
         .Counter("plantain_task_lapses_total",
-                 "Runs given up because their VM was silent.", labels)
+                 "Runs abandoned because their VM did not respond.", labels)
         .Add(counts.lease_expired_runs);
     registry
         .Counter("plantain_task_losses_total",
--- a/src/jobs/job_metrics.h
+++ b/src/jobs/job_metrics.h
@@ -14,22 +14,22 @@
 
 namespace plantainhead::jobs {
 
-/// What a process of the job scheduler reports of itself.
+/// Values that a process of the job scheduler exports as metrics at one moment.
 struct job_metrics_snapshot {
   submission_counts submissions;
   bool is_ready = false;
-  /// By partition, of those that it owns.
+  /// Counts by partition, for the partitions that the process owns.
   std::map<std::uint32_t, core::jobs::scheduler_counts> pools;
   std::size_t known_jobs = 0;
-  /// See `job_world::WatchedJobCopyAge`; nothing without an owned pool.
+  /// See `job_world::WatchedJobCopyAge`; not set if the process owns no pool.
   std::optional<core::duration> job_copy_age;
   std::uint64_t configuration_version = 0;
   core::jobs::record_fault_counter::counts_by_fault faults;
-  /// Keys that hold a record that can't be used now.
+  /// Number of keys whose newest record is invalid.
   std::size_t faulty_keys = 0;
 };
 
-/// Returns the figures as Prometheus text (version 0.0.4).
+/// Formats the snapshot as Prometheus text (version 0.0.4).
 /// Thread safety: safe from any thread.
 std::string FormatMetrics(const job_metrics_snapshot& snapshot);
 
--- a/src/jobs/log_rate_limiter.h
+++ b/src/jobs/log_rate_limiter.h
@@ -5,20 +5,22 @@
 
 namespace plantainhead::jobs {
 
-/// Bounds how many lines of one kind are written: so many in each window of
-/// time. A window begins with the first line after the last one's end.
-/// Pure: it doesn't look at a clock. Not thread-safe.
+/// Limits the number of log lines of one kind per time window, and counts the
+/// suppressed lines. A window starts with the first line after the end of the
+/// previous window. Pure: it reads no clock. Not thread-safe.
 class log_rate_limiter {
  public:
-  /// What to do about one line.
+  /// Decision on one line.
   struct decision {
     bool is_allowed = false;
-    /// Lines that the window before left out and that are to be told of now.
+    /// Number of lines suppressed in the previous window, to be logged now.
     unsigned suppressed_lines = 0;
 
     friend bool operator==(const decision&, const decision&) = default;
   };
 
+  /// Decides whether a line may be logged at `now`, with at most `max_lines`
+  /// per `window`.
   decision Acquire(core::time_point now,
                    unsigned max_lines,
                    core::duration window);
--- a/src/jobs/loop_lag_monitor.h
+++ b/src/jobs/loop_lag_monitor.h
@@ -9,22 +9,23 @@
 
 namespace plantainhead::jobs {
 
-/// Measures how far the thread of an `io_context` is behind: how late a timer
-/// fires, which waits its turn behind whatever else is due. Not thread-safe.
+/// Measures the lag of the event loop of an `io_context`: the delay with which
+/// a timer's handler runs, as it is queued behind all other handlers that are
+/// due. Not thread-safe.
 class loop_lag_monitor {
  public:
   using lag_handler = std::function<void(core::duration lag)>;
 
   /// `on_lag` is called after each measurement. Preconditions: `context` and
-  /// what `on_lag` uses outlive it.
+  /// everything that `on_lag` uses outlive this object.
   loop_lag_monitor(boost::asio::io_context* context, lag_handler on_lag)
       : on_lag_(std::move(on_lag)), timer_(*context) {}
   loop_lag_monitor(const loop_lag_monitor&) = delete;
   loop_lag_monitor& operator=(const loop_lag_monitor&) = delete;
 
-  /// Begins to measure. Call it once.
+  /// Starts measuring. Must be called only once.
   void Start();
-  /// Returns the longest lag since the last call of it.
+  /// Returns the maximum lag since the previous call, and resets it.
   core::duration TakeMaxLag();
 
  private:
@@ -35,7 +36,7 @@
   core::duration max_lag_{};
 };
 
-/// Time between two measurements.
+/// Interval between two measurements.
 inline constexpr std::chrono::milliseconds kLagSampleInterval{100};
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/pending_job_counter.cc
+++ b/src/jobs/pending_job_counter.cc
@@ -16,9 +16,9 @@
 
   void Answer(const core::jobs::queue_route& route,
               const net::responder& respond) {
-    // A count of what has been read so far would be far too low.
+    // Until all stored jobs have been read, the count would be far too low.
     if (!world_.KnowsQueue(route)) {
-      RefuseCount(route.queue, "the jobs haven't been read yet", respond);
+      RefuseCount(route.queue, "the jobs have not been read yet", respond);
       return;
     }
     world_.RefreshQueue(route, [self = weak_from_this(), queue = route.queue,
@@ -30,7 +30,7 @@
       if (is_read) {
         counter->RespondWithCount(queue, respond);
       } else {
-        counter->RefuseCount(queue, "the store can't be read", respond);
+        counter->RefuseCount(queue, "the store cannot be read", respond);
       }
     });
   }
--- a/src/jobs/pending_job_counter.h
+++ b/src/jobs/pending_job_counter.h
@@ -10,25 +10,27 @@
 
 namespace plantainhead::jobs {
 
-/// Tells how many accepted jobs of a queue wait. Used by the owner of the
-/// queue's pool.
+/// Answers requests for the number of accepted jobs that wait in a queue. Used
+/// by the owner of the queue's pool.
 ///
-/// Other processes may have stored jobs that the owner hasn't read: not at all
-/// while a read hangs, so that none was told to wait when six had for 5 s. So
-/// the store is asked before each answer. Without its answer the number isn't
-/// known, and none is told. The wait for it is bounded by two of a call's
-/// timeouts, as a read that is under way is waited for.
+/// Other processes may have stored jobs that the owner has not read yet. When a
+/// read hung, the owner reported no waiting jobs although six had been waiting
+/// for 5 s. Therefore the store is read before each answer. If the store does
+/// not answer, the number is unknown and the request is refused. The wait is
+/// limited to twice the timeout of a store call, as a read in progress has to
+/// finish first.
 /// Not thread-safe.
 class pending_job_counter {
  public:
-  /// `world` outlives the object. `retry_after` goes with refusals.
+  /// Precondition: `world` outlives this object. `retry_after` is sent with
+  /// refusals.
   pending_job_counter(job_world* world, std::chrono::seconds retry_after);
   pending_job_counter(const pending_job_counter&) = delete;
   pending_job_counter& operator=(const pending_job_counter&) = delete;
   ~pending_job_counter();
 
-  /// Answers with the number, or refuses; at once or later, unless the object
-  /// is destroyed before.
+  /// Responds with the number of waiting jobs, or with a refusal, immediately
+  /// or later. Does not respond if this object is destroyed before.
   void Answer(const core::jobs::queue_route& route,
               const net::responder& respond);
 
--- a/src/jobs/store_outage_tracker.h
+++ b/src/jobs/store_outage_tracker.h
@@ -8,46 +8,49 @@
 
 namespace plantainhead::jobs {
 
-/// A loss of the store that is over.
+/// An outage of the store that has ended.
 struct store_recovery {
-  /// How often calls that failed came after ones that were answered.
+  /// Number of times that calls started to fail after calls had been answered.
   unsigned interruptions = 0;
-  /// From the first call that failed to the answer since which none has.
+  /// Time from the first failed call to the answer after which no call failed.
   core::duration lost_for{};
-  /// How long answers had come when this was told.
+  /// Time for which calls had been answered without a failure when the recovery
+  /// was reported.
   core::duration answered_for{};
 
   friend bool operator==(const store_recovery&,
                          const store_recovery&) = default;
 };
 
-/// Tells when the store is lost and when it is back. Around an outage some
-/// calls are answered and others fail, dozens of times in a second; two lines
-/// of the log for each pair would push the rest out of it. So the first loss is
-/// told at once, and the return when answers have come without a failure for
+/// Detects outages of the store and the recovery from them. Around an outage
+/// successful and failed calls may alternate dozens of times per second, and
+/// two log lines for each change would displace all other lines from the
+/// retained log. Therefore the first failure is reported immediately, and the
+/// recovery only after calls have been answered without a failure for
 /// `kRecoveryTime`.
 ///
-/// Pure: it neither writes nor looks at a clock. Not thread-safe.
+/// Pure: it writes no log and reads no clock. Not thread-safe.
 class store_outage_tracker {
  public:
-  /// Notes that a call failed. Returns whether that is to be told.
+  /// Notes that a call failed. Returns whether an outage is to be reported.
   bool NoteFailure(core::time_point now);
-  /// Notes that a call was answered. Returns what is to be told, if anything.
+  /// Notes that a call was answered. Returns the recovery to be reported, if an
+  /// outage has ended.
   std::optional<store_recovery> NoteAnswer(core::time_point now);
 
  private:
   struct outage {
     core::time_point began;
     unsigned interruptions = 1;
-    /// Since the last failure.
+    /// Time of the first answer since the last failure.
     std::optional<core::time_point> answered_since;
   };
   std::optional<outage> outage_;
 };
 
-/// Answers without a failure for this long end a loss. In the logs of nine
-/// processes around two outages, 101 of 140 returns were followed by a failure
-/// within 2.1 s, and none between that and 3.4 s.
+/// An outage ends after this time of answers without a failure. Around two
+/// outages, 101 of 140 recoveries were followed by another failure within
+/// 2.1 s, and none between 2.1 s and 3.4 s.
 inline constexpr std::chrono::milliseconds kRecoveryTime{2500};
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/throttled_action.cc
+++ b/src/jobs/throttled_action.cc
@@ -10,7 +10,8 @@
 namespace plantainhead::jobs {
 namespace {
 
-// Leaves at least three quarters of the time to all else.
+// The delay before a run, as a multiple of the duration of the previous run.
+// Leaves at least three quarters of the time to other work.
 constexpr int kIdleFactor = 3;
 
 }  // namespace
--- a/src/jobs/throttled_action.h
+++ b/src/jobs/throttled_action.h
@@ -10,22 +10,23 @@
 
 namespace plantainhead::jobs {
 
-/// Runs an action once for many requests. An action that looks through all
-/// records, run for each record of a large answer, takes seconds, in which
-/// nothing else is done. Not thread-safe: used from the thread of its
-/// `io_context` only.
+/// Coalesces requests for an expensive action into one run and limits the share
+/// of time that the action takes. An action that scans all records, if run for
+/// each record of a large response, would block the event loop for seconds.
+/// Not thread-safe: to be used only from the thread of its `io_context`.
 class throttled_action {
  public:
-  /// Preconditions: `context` outlives it; `action` is set.
+  /// Preconditions: `context` outlives this object; `action` is not empty.
   throttled_action(boost::asio::io_context* context,
                    std::function<void()> action);
   throttled_action(const throttled_action&) = delete;
   throttled_action& operator=(const throttled_action&) = delete;
-  /// Ends without running what is requested.
+  /// Discards a pending request without running the action.
   ~throttled_action();
 
-  /// Runs the action later: after the handlers that are under way, and not
-  /// before a multiple of the time has passed that the last run took.
+  /// Schedules a run of the action, unless one is already scheduled. The action
+  /// runs asynchronously, and not before a multiple of the duration of its
+  /// previous run has passed.
   void Request();
 
  private:
--- a/src/jobs/vm_connection.h
+++ b/src/jobs/vm_connection.h
@@ -10,7 +10,9 @@
 
 namespace plantainhead::jobs {
 
-/// An owner's connections to a VM, and the hold that is under way.
+/// Connections of a pool's owner to a VM, with the state of the current hold
+/// call (a long poll by which the owner keeps the VM and learns of task ends)
+/// and of the log lines about the VM.
 struct vm_connection {
   vm_connection(boost::asio::io_context* context,
                 const core::jobs::vm_id& id,
@@ -19,18 +21,18 @@
 
   std::string address;
   adapter::vm_client client;
-  /// Until the next hold.
+  /// Runs until the next hold call is due.
   boost::asio::steady_timer timer;
   bool is_hold_pending = false;
   bool is_hold_scheduled = false;
   core::time_point hold_sent_at;
-  /// When the VM was first known, and first heard.
+  /// Time at which the VM became known, and at which it first answered.
   core::time_point known_at;
   std::optional<core::time_point> heard_at;
   bool is_lost = false;
-  /// Of the life that was heard last.
+  /// The incarnation of the VM that answered last.
   core::jobs::vm_incarnation incarnation;
-  /// The greatest number of an end that was logged.
+  /// The highest sequence number of a task end that was logged.
   std::uint64_t last_logged_end = 0;
 };
 
--- a/src/peers/forwarded_request.h
+++ b/src/peers/forwarded_request.h
@@ -5,21 +5,22 @@
 
 #include "net/http_message.h"
 
-/// The protocol between processes of the scheduler: a caller's request is
-/// passed on as it came, over HTTP, with a header that counts how often.
+/// Protocol between processes of the scheduler: a client's request is forwarded
+/// unchanged over HTTP, with an additional header that counts the hops.
 namespace plantainhead::peers {
 
-/// Passed on once from where the caller sent it to its queue's owner, and once
-/// more when the job belongs to a pool that its queue has left.
+/// Maximum number of times that a request is forwarded: once from the process
+/// that received it to the owner of the queue, and once more if the job belongs
+/// to a pool to which the queue no longer belongs.
 inline constexpr unsigned kMaxHops = 2;
 
-/// Returns the request to send to another process, which is to answer within
-/// `timeout`. Thread safety: safe from any thread.
+/// Returns the request to be sent to another process, which has to answer
+/// within `timeout`. Thread safety: safe from any thread.
 net::client_request MakeForwardedRequest(const net::server_request& request,
                                          std::chrono::milliseconds timeout);
 
-/// Returns how often the request was passed on: 0 when a caller sent it.
-/// Thread safety: safe from any thread.
+/// Returns how many times the request was forwarded: 0 if it comes directly
+/// from a client. Thread safety: safe from any thread.
 unsigned HopCountOf(const net::server_request& request);
 
 }  // namespace plantainhead::peers
--- a/src/peers/owner_announcement.h
+++ b/src/peers/owner_announcement.h
@@ -9,16 +9,17 @@
 
 namespace plantainhead::peers {
 
-/// The owner of a partition of pools tells where other processes reach it. Key:
-/// the partition's number.
+/// Record with which the owner of a partition of pools announces the address
+/// at which other processes reach it. The record's key is the partition number.
 struct owner_announcement {
   std::uint32_t partition = 0;
   core::jobs::owner_address owner;
 };
 
+/// Returns the announcement as a record for the store.
 adapter::keyed_record Encode(const owner_announcement& announcement);
 
-/// Returns a whole announcement, or what is wrong with the record.
+/// Decodes an announcement. Returns the fault if the record is invalid.
 /// Precondition: the record has a value.
 core::jobs::decoded<owner_announcement> DecodeAnnouncement(
     const adapter::keyed_record& record);
--- a/src/peers/owner_client.h
+++ b/src/peers/owner_client.h
@@ -18,33 +18,37 @@
 
 namespace plantainhead::peers {
 
+/// Settings of `owner_client`.
 struct owner_client_settings {
   core::jobs::owner_directory_settings directory;
-  /// An owner that answers nobody for this time is taken for lost. One that
-  /// waits for a slow store answers questions meanwhile, so that requests that
-  /// have reached it aren't repeated elsewhere.
+  /// An owner that answers no request at all for this time is considered lost.
+  /// An owner that waits for a slow store still answers queries, so requests
+  /// that have reached it are not repeated elsewhere.
   std::chrono::milliseconds silence_timeout = std::chrono::milliseconds(700);
-  /// Connections to one owner.
+  /// Maximum number of connections to one owner.
   std::size_t most_connections = 8;
 };
 
+/// Outcome of forwarding a request to an owner.
 enum class forward_outcome {
-  /// The owner has answered.
+  /// The owner answered.
   kAnswered,
-  /// No owner was asked, or it has done nothing with the request.
+  /// The request was not sent, or the owner did nothing with it.
   kNotAccepted,
-  /// The owner may have taken the request, or may yet.
+  /// The owner may have accepted the request, or may still accept it.
   kUnknown,
 };
 
+/// Reply to a forwarded request. `status` and `body` are those of the owner's
+/// HTTP response.
 struct forward_reply {
   forward_outcome outcome = forward_outcome::kNotAccepted;
   unsigned status = 0;
   std::string body;
 };
 
-/// Passes requests on to the owners of pools.
-/// Not thread-safe: used from the thread of its `io_context` only.
+/// Forwards requests to the owners of pools, which are other processes.
+/// Not thread-safe: to be used only from the thread of its `io_context`.
 class owner_client {
  public:
   using reply_handler = std::function<void(const forward_reply&)>;
@@ -53,20 +57,22 @@
                const owner_client_settings& settings);
   owner_client(const owner_client&) = delete;
   owner_client& operator=(const owner_client&) = delete;
-  /// Requests that are under way end without their handlers being called.
+  /// Abandons pending requests without calling their handlers.
   ~owner_client();
 
-  /// Whom to ask; announcements are noted there.
+  /// Returns the directory of known owners. Announcements have to be added to
+  /// it with `NoteAnnouncement`.
   core::jobs::owner_directory& directory();
 
-  /// Passes the request on to the owner of the partition. Calls `on_reply` once
-  /// within `timeout`: at once when there is nobody to ask.
+  /// Forwards the request to the owner of the partition. Calls `on_reply` once
+  /// within `timeout`, or immediately, before returning, if there is no owner
+  /// to which the request may be sent.
   void Forward(std::uint32_t partition,
                const net::server_request& request,
                std::chrono::milliseconds timeout,
                const reply_handler& on_reply);
 
-  /// Returns when an owner last answered, by `BootTime`.
+  /// Returns the time by `BootTime` at which an owner last answered.
   core::time_point AnsweredAt() const;
 
  private:
--- a/tests/jobs/cpu_time_meter_test.cc
+++ b/tests/jobs/cpu_time_meter_test.cc
@@ -11,23 +11,23 @@
   return times[static_cast<std::size_t>(kind)];
 }
 
-// The lag of a loop that is never idle is one turn, so that it doesn't tell
-// which work leaves no time for the rest.
-TEST_CASE("A process tells what its thread of all work is busy with") {
+// The lag of an event loop that is never idle is the duration of one iteration,
+// so it does not show which kind of work uses up the time.
+TEST_CASE("The CPU time of the event loop thread is measured by kind of work") {
   core::duration used = milliseconds(100);
   cpu_time_meter meter([&used] { return used; });
 
-  SECTION("what isn't metered by itself counts as other work") {
+  SECTION("time outside of any scope counts as other work") {
     used += milliseconds(5);
     CHECK(TimeOf(meter.Totals(), loop_work::kOther) == milliseconds(5));
   }
 
-  SECTION("a kind of work counts until its end") {
+  SECTION("time within a scope counts for its kind of work") {
     {
       const cpu_time_meter::scope plan(&meter, loop_work::kPlan);
       used += milliseconds(7);
 
-      SECTION("without the time of what is metered within it") {
+      SECTION("without the time of a nested scope") {
         {
           const cpu_time_meter::scope starts(&meter, loop_work::kStarts);
           used += milliseconds(2);
--- a/tests/jobs/event_aggregator_test.cc
+++ b/tests/jobs/event_aggregator_test.cc
@@ -21,14 +21,14 @@
   return run;
 }
 
-// After an outage an owner starts hundreds of tasks in a second, and a
-// collector that keeps only the end of a log has lost who owned the pool. So
-// tasks of one step that start together are told in one line, which still
-// names each with its VM.
-TEST_CASE("One line stands for the tasks that start together") {
+// After an outage an owner starts hundreds of tasks per second. If each had its
+// own line, a log collector that keeps only the end of a log would drop the
+// lines about the pool's ownership. Tasks of one step that start together are
+// reported in one line, which still names each task and its VM.
+TEST_CASE("Tasks that start together are reported in one line") {
   event_aggregator lines;
 
-  SECTION("a task alone is told with its index and VM, when its time is up") {
+  SECTION("a single task is reported with its index and VM after the delay") {
     lines.AddTask(job_event::kTaskStarted, Run("a", 7, "vm-1"), {}, kStart);
     CHECK(lines.TakeDue(kStart + kAggregationDelay - milliseconds(1)).empty());
     CHECK(lines.TakeDue(kStart + kAggregationDelay) ==
@@ -41,7 +41,7 @@
     CHECK(lines.TakeAll().empty());
   }
 
-  SECTION("several are told with the indices on each VM") {
+  SECTION("several tasks are reported with their indices on each VM") {
     for (const std::uint32_t index : {2u, 0u, 1u, 7u}) {
       lines.AddTask(job_event::kTaskStarted, Run("a", index, "vm-1"), {},
                     kStart);
@@ -57,7 +57,9 @@
                                           {"tasks", "vm-1:0-2,7 vm-2:4"}}}});
   }
 
-  SECTION("jobs, occurrences, runs, outcomes and events are kept apart") {
+  SECTION(
+      "different jobs, occurrences, runs, outcomes or events are not "
+      "aggregated") {
     lines.AddTask(job_event::kTaskNotStarted, Run("a", 0, "vm-1"),
                   {{"result", "full"}}, kStart);
     lines.AddTask(job_event::kTaskNotStarted, Run("a", 1, "vm-1"),
@@ -76,7 +78,7 @@
     CHECK(lines.TakeAll().size() == 6);
   }
 
-  SECTION("lines come in the order of their first events") {
+  SECTION("lines are ordered by their first events") {
     lines.AddTask(job_event::kTaskStarted, Run("b", 0, "vm-1"), {}, kStart);
     lines.AddTask(job_event::kTaskStarted, Run("a", 0, "vm-1"), {},
                   kStart + milliseconds(60));
@@ -88,7 +90,7 @@
     CHECK(lines.TakeAll().size() == 1);
   }
 
-  SECTION("those of a job are taken before the line on its end") {
+  SECTION("the lines about one job can be taken before the others") {
     lines.AddJob(job_event::kJobRead, "a", {}, kStart);
     lines.AddTask(job_event::kTaskStarted, Run("b", 0, "vm-1"), {}, kStart);
     lines.AddTask(job_event::kTaskEnded, Run("a", 0, "vm-1"), {}, kStart);
@@ -99,7 +101,8 @@
     CHECK(lines.TakeAll().size() == 1);
   }
 
-  SECTION("a full line is written at once, and the rest begins a new one") {
+  SECTION(
+      "a full line is due immediately, and further events start a new line") {
     for (std::uint32_t i = 0; i < kMaxEventsPerLine + 3; ++i) {
       lines.AddTask(job_event::kTaskStarted, Run("a", 2 * i, "vm-1"), {},
                     kStart);
@@ -114,7 +117,8 @@
   }
 }
 
-TEST_CASE("One line stands for VMs or jobs that meet with the same") {
+TEST_CASE(
+    "VMs or jobs with the same event and fields are reported in one line") {
   event_aggregator lines;
   lines.AddVm(job_event::kVmVacated, "vm-2", {{"reason", "service"}}, kStart);
   lines.AddVm(job_event::kVmVacated, "vm-1", {{"reason", "service"}}, kStart);
--- a/tests/jobs/log_rate_limiter_test.cc
+++ b/tests/jobs/log_rate_limiter_test.cc
@@ -13,7 +13,7 @@
 constexpr core::time_point kStart{std::chrono::hours(1)};
 constexpr milliseconds kWindow{1000};
 
-TEST_CASE("Lines of a kind are written up to so many in a window") {
+TEST_CASE("Lines of one kind are limited per time window") {
   log_rate_limiter budget;
   const auto take = [&](int millis) {
     return budget.Acquire(kStart + milliseconds(millis), 2, kWindow);
@@ -21,7 +21,7 @@
   CHECK(take(0) == decision{true, 0});
   CHECK(take(10) == decision{true, 0});
 
-  SECTION("and the rest is counted and told in the next window") {
+  SECTION("suppressed lines are counted and reported in the next window") {
     CHECK(take(20) == decision{false, 0});
     CHECK(take(999) == decision{false, 0});
     CHECK(take(1000) == decision{true, 2});
@@ -29,16 +29,16 @@
     CHECK(take(1020) == decision{false, 0});
   }
 
-  SECTION("and a window without any more tells nothing") {
+  SECTION("nothing is reported after a window without suppressed lines") {
     CHECK(take(5000) == decision{true, 0});
   }
 }
 
 // Around an outage a process starts hundreds of tasks and misses dozens of
-// answers in each second, for many seconds. What it says of its pools and of
-// its readiness must not be cut for that, nor as soon pushed out of the log's
-// end.
-TEST_CASE("Details have a smaller budget than what a process owns") {
+// answers per second, for many seconds. Its lines about ownership and readiness
+// must not be suppressed because of that, nor be displaced quickly from the
+// retained end of the log.
+TEST_CASE("Task and read events have lower rate limits than ownership events") {
   for (const job_event event :
        {job_event::kTaskStarted, job_event::kTaskNotStarted,
         job_event::kTaskStopped, job_event::kTaskEnded}) {
--- a/tests/jobs/loop_lag_monitor_test.cc
+++ b/tests/jobs/loop_lag_monitor_test.cc
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-// Nothing tells of a loop that is busy for long: renewals and answers are late,
-// and their lines look as if the peer was slow.
-TEST_CASE("A loop that is held up tells for how long") {
+// Without this measurement a blocked event loop goes unnoticed: renewals and
+// answers are processed late, and the log looks as if the peer were slow.
+TEST_CASE("The lag of a blocked event loop is measured") {
   boost::asio::io_context context;
   core::duration max_reported_lag{};
   loop_lag_monitor monitor(&context, [&max_reported_lag](core::duration lag) {
--- a/tests/jobs/process_state_test.cc
+++ b/tests/jobs/process_state_test.cc
@@ -7,13 +7,14 @@
 
 using std::chrono::milliseconds;
 
-// A collector keeps the end of each log. Whatever else a process writes, the
-// end has what it owns, whether it is ready, and how old what it knows is.
-TEST_CASE("A process says from time to time what it owns and knows") {
+// A log collector keeps only the end of each log. Whatever else a process logs,
+// this part has to show what the process owns, whether it is ready, and how old
+// its copy of the jobs is.
+TEST_CASE("The state of a process is formatted as log fields") {
   process_state state;
   state.configuration_version = 13;
 
-  SECTION("when it owns nothing and hasn't read the jobs yet") {
+  SECTION("of a process that owns nothing and has not read the jobs yet") {
     CHECK(FormatProcessState(state) ==
           observe::log_fields{{"owns", ""},
                               {"fleet", "no"},
@@ -22,7 +23,7 @@
                               {"loop_lag_ms", "0"}});
   }
 
-  SECTION("when it owns pools, and is taking one over") {
+  SECTION("of a process that owns pools and is taking one over") {
     state.pools = {{3, 12, true}, {7, 0, false}};
     state.owns_fleet = true;
     state.is_ready = true;
@@ -40,13 +41,13 @@
   }
 }
 
-TEST_CASE("A process that writes much says so more often") {
+TEST_CASE("A process that logs many lines logs its state more often") {
   const core::time_point start(std::chrono::hours(1));
   state_log_schedule schedule;
   CHECK(schedule.IsDue(start, 5));
   CHECK_FALSE(schedule.IsDue(start + kStateCheckInterval, 6));
 
-  SECTION("a quiet one at an interval") {
+  SECTION("a process that logs little logs it at a fixed interval") {
     CHECK_FALSE(
         schedule.IsDue(start + kStateTimeInterval - milliseconds(1), 6));
     CHECK(schedule.IsDue(start + kStateTimeInterval, 6));
@@ -54,7 +55,7 @@
         schedule.IsDue(start + kStateTimeInterval + kStateCheckInterval, 6));
   }
 
-  SECTION("a busy one after so many lines") {
+  SECTION("a process that logs much logs it after a number of lines") {
     CHECK_FALSE(
         schedule.IsDue(start + kStateCheckInterval, 4 + kStateLineInterval));
     CHECK(schedule.IsDue(start + 2 * kStateCheckInterval,
--- a/tests/jobs/store_outage_tracker_test.cc
+++ b/tests/jobs/store_outage_tracker_test.cc
@@ -13,24 +13,23 @@
   return kStart + milliseconds(millis);
 }
 
-// The store goes away for some seconds. Calls that were under way fail one by
-// one while others are still answered, and again when it comes back. The
-// on-call engineer sees one line at the first failure and one when the store is
-// back for good, and not a pair of lines for each of dozens of changes in a
-// second.
-TEST_CASE("A store that comes and goes is told lost once and regained once") {
+// The store is unavailable for some seconds. Pending calls fail one by one
+// while others are still answered, and the same happens when it recovers. One
+// line is logged at the first failure and one when the store has recovered for
+// good, not a pair of lines for each of dozens of changes per second.
+TEST_CASE("An intermittent outage is reported as one outage and one recovery") {
   store_outage_tracker tracker;
 
-  SECTION("answers alone tell nothing") {
+  SECTION("answers without a failure are not reported") {
     CHECK_FALSE(tracker.NoteAnswer(At(0)));
     CHECK_FALSE(tracker.NoteAnswer(At(10000)));
   }
 
-  SECTION("the first failure is told at once, and later ones aren't") {
+  SECTION("the first failure is reported immediately, and later ones are not") {
     CHECK(tracker.NoteFailure(At(0)));
     CHECK_FALSE(tracker.NoteFailure(At(10)));
 
-    SECTION("nor is an answer between them, or a failure after it") {
+    SECTION("nor are answers between failures, or failures after an answer") {
       int reported = 0;
       for (int millis = 20; millis < 1020; millis += 20) {
         reported += tracker.NoteAnswer(At(millis)) ? 1 : 0;
@@ -38,7 +37,8 @@
       }
       CHECK(reported == 0);
 
-      SECTION("until answers have come for a while without a failure") {
+      SECTION(
+          "until calls have been answered for some time without a failure") {
         CHECK_FALSE(tracker.NoteAnswer(At(4000)));
         CHECK_FALSE(tracker.NoteAnswer(At(4000) + kRecoveryTime / 2));
         const auto regained = tracker.NoteAnswer(At(4000) + kRecoveryTime);
@@ -47,14 +47,15 @@
                                           milliseconds(kRecoveryTime)});
         CHECK_FALSE(tracker.NoteAnswer(At(4100) + kRecoveryTime));
 
-        SECTION("and the next failure is told again") {
+        SECTION("and the next failure is reported again") {
           CHECK(tracker.NoteFailure(At(9000)));
         }
       }
     }
   }
 
-  SECTION("one answer long after a failure isn't taken for its return") {
+  SECTION(
+      "a single answer long after a failure is not reported as a recovery") {
     CHECK(tracker.NoteFailure(At(0)));
     CHECK_FALSE(tracker.NoteAnswer(At(30000)));
     CHECK_FALSE(tracker.NoteFailure(At(30010)));
--- a/tests/jobs/throttled_action_test.cc
+++ b/tests/jobs/throttled_action_test.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::jobs {
 namespace {
 
-TEST_CASE("An action runs once for many requests") {
+TEST_CASE("An action runs once for several requests") {
   boost::asio::io_context context;
   int runs = 0;
   throttled_action action(&context, [&] { ++runs; });
@@ -17,7 +17,7 @@
   context.run();
   CHECK(runs == 1);
 
-  SECTION("and again for one that comes after it") {
+  SECTION("and again for a request after the run") {
     action.Request();
     context.restart();
     context.run();
@@ -25,7 +25,7 @@
   }
 }
 
-TEST_CASE("An action that is requested while it runs, runs again") {
+TEST_CASE("An action that is requested during its own run is run again") {
   boost::asio::io_context context;
   int runs = 0;
   std::unique_ptr<throttled_action> action;
@@ -39,7 +39,7 @@
   CHECK(runs == 3);
 }
 
-TEST_CASE("An action doesn't run once its object is gone") {
+TEST_CASE("A pending action is discarded when its object is destroyed") {
   boost::asio::io_context context;
   int runs = 0;
   auto action = std::make_unique<throttled_action>(&context, [&] { ++runs; });
--- a/tests/peers/owner_announcement_test.cc
+++ b/tests/peers/owner_announcement_test.cc
@@ -6,16 +6,18 @@
 namespace plantainhead::peers {
 namespace {
 
-TEST_CASE("An announcement is read back as it was written") {
+TEST_CASE("An encoded announcement decodes to the same value") {
   const auto read = DecodeAnnouncement(Encode({9, {17, "10.1.0.9:7060"}}));
   REQUIRE(read);
   CHECK(read->partition == 9);
   CHECK(read->owner == core::jobs::owner_address{17, "10.1.0.9:7060"});
 }
 
-// Another writer may put anything there. A process that took it would connect
-// to what isn't an address, or to the owner of a partition that doesn't exist.
-TEST_CASE("What is no announcement is refused with its place") {
+// Other writers may store any record in this place. A process that accepted an
+// invalid one would connect to an invalid address, or to the owner of a
+// partition that does not exist.
+TEST_CASE(
+    "An invalid announcement is rejected with the path of the faulty field") {
   const auto fault_field_of = [](const std::string& key,
                                  const std::string& value) {
     adapter::keyed_record record;
--- a/tests/peers/owner_client_test.cc
+++ b/tests/peers/owner_client_test.cc
@@ -26,7 +26,7 @@
 
 constexpr std::uint32_t kPartition = 3;
 
-/// A process with a link to an owner that a test plays.
+/// An owner client, and a server that acts as the owner of a partition.
 struct owner_client_fixture {
   owner_client_fixture()
       : client(&context, Settings()), address(FreeAddress()) {
@@ -64,7 +64,7 @@
   std::unique_ptr<net::http_server> server;
   std::vector<net::server_request> requests;
   std::vector<net::responder> pending_responders;
-  /// What the owner answers; 0: nothing.
+  /// The HTTP status that the owner answers with; 0 for no answer.
   unsigned status = net::kOk;
 };
 
@@ -77,7 +77,7 @@
   return request;
 }
 
-TEST_CASE("A request is passed on as the caller sent it") {
+TEST_CASE("A request is forwarded as the client sent it") {
   owner_client_fixture owner;
   const forward_reply reply = owner.Forward(CallerRequest());
   CHECK(reply.outcome == forward_outcome::kAnswered);
@@ -94,36 +94,36 @@
   CHECK(HopCountOf(CallerRequest()) == 0);
 }
 
-// What a caller is told rests on these three: after "not taken" it may be told
-// that its job won't run; after "unknown" it may not.
-TEST_CASE("An owner that gives no answer to a request") {
+// The outcome determines the answer to the client: after `kNotAccepted` it may
+// be told that its job will not run, after `kUnknown` it may not.
+TEST_CASE("An owner that does not answer a request") {
   owner_client_fixture owner;
 
-  SECTION("has taken nothing when it says that it isn't the owner") {
+  SECTION("has not accepted it if it responds that it is not the owner") {
     owner.status = net::kMisdirected;
     CHECK(owner.Forward(CallerRequest()).outcome ==
           forward_outcome::kNotAccepted);
 
-    SECTION("and is asked nothing for a while") {
+    SECTION("and receives no further requests for some time") {
       CHECK(owner.Forward(CallerRequest()).outcome ==
             forward_outcome::kNotAccepted);
       CHECK(owner.requests.size() == 1);
     }
   }
 
-  SECTION("has taken nothing when nobody listens there") {
+  SECTION("has not accepted it if no process listens at its address") {
     owner.server.reset();
     CHECK(owner.Forward(CallerRequest()).outcome ==
           forward_outcome::kNotAccepted);
   }
 
-  SECTION("may have taken it when it is silent") {
+  SECTION("may have accepted it if it answers no request") {
     owner.status = 0;
     CHECK(owner.Forward(CallerRequest()).outcome == forward_outcome::kUnknown);
     CHECK(owner.requests.size() == 1);
   }
 
-  SECTION("is waited for while it answers others") {
+  SECTION("is still waited for while it answers other requests") {
     owner.status = 0;
     std::optional<forward_reply> slow;
     owner.client.Forward(
