--- a/src/jobs/event_aggregator.cc
+++ b/src/jobs/event_aggregator.cc
@@ -65,14 +65,14 @@
   AddItem(event, subject::kJob, job, common, now);
 }
 
-std::vector<aggregated_event> event_aggregator::TakeDue(core::time_point now) {
+std::vector<aggregated_line> event_aggregator::TakeDue(core::time_point now) {
   return TakeIf([now](const event_group& events) {
     return events.count >= kMaxEventsPerLine ||
            now - events.first_at >= kAggregationDelay;
   });
 }
 
-std::vector<aggregated_event> event_aggregator::TakeForJob(
+std::vector<aggregated_line> event_aggregator::TakeForJob(
     const core::jobs::job_id& job) {
   return TakeIf([&job](const event_group& events) {
     return events.job == job ||
@@ -80,13 +80,13 @@
   });
 }
 
-std::vector<aggregated_event> event_aggregator::TakeAll() {
+std::vector<aggregated_line> event_aggregator::TakeAll() {
   return TakeIf([](const event_group& /*events*/) { return true; });
 }
 
-std::vector<aggregated_event> event_aggregator::TakeIf(
+std::vector<aggregated_line> event_aggregator::TakeIf(
     const std::function<bool(const event_group&)>& is_taken) {
-  std::vector<aggregated_event> lines;
+  std::vector<aggregated_line> lines;
   std::vector<event_group> rest;
   for (event_group& events : event_groups_) {
     if (is_taken(events)) {
@@ -128,8 +128,8 @@
   return &event_groups_.back();
 }
 
-aggregated_event event_aggregator::ToLine(const event_group& events) {
-  aggregated_event line{events.event, events.common};
+aggregated_line event_aggregator::ToLine(const event_group& events) {
+  aggregated_line line{events.event, events.common};
   const auto& [first, indices] = *events.items.begin();
   if (events.count == 1) {
     if (events.kind == subject::kTask) {
--- a/src/jobs/event_aggregator.h
+++ b/src/jobs/event_aggregator.h
@@ -17,12 +17,12 @@
 namespace plantainhead::jobs {
 
 /// Content of one log line that reports one or several aggregated events.
-struct aggregated_event {
+struct aggregated_line {
   job_event event;
   observe::log_fields fields;
 
-  friend bool operator==(const aggregated_event&,
-                         const aggregated_event&) = default;
+  friend bool operator==(const aggregated_line&,
+                         const aggregated_line&) = default;
 };
 
 /// Aggregates events that differ only in the task, VM or job that they concern,
@@ -58,12 +58,12 @@
 
   /// Returns and removes the lines that are full and those whose first event
   /// was added at least `kAggregationDelay` ago, ordered by their first events.
-  std::vector<aggregated_event> TakeDue(core::time_point now);
+  std::vector<aggregated_line> TakeDue(core::time_point now);
   /// Returns and removes the lines about `job`, in the same order, so that they
   /// can be logged before the line about the end of the job.
-  std::vector<aggregated_event> TakeForJob(const core::jobs::job_id& job);
+  std::vector<aggregated_line> TakeForJob(const core::jobs::job_id& job);
   /// Returns and removes all lines, in the same order.
-  std::vector<aggregated_event> TakeAll();
+  std::vector<aggregated_line> TakeAll();
 
  private:
   enum class subject { kTask, kVm, kJob };
@@ -90,9 +90,9 @@
                             subject kind,
                             const observe::log_fields& common,
                             core::time_point now);
-  std::vector<aggregated_event> TakeIf(
+  std::vector<aggregated_line> TakeIf(
       const std::function<bool(const event_group&)>& is_taken);
-  static aggregated_event ToLine(const event_group& events);
+  static aggregated_line ToLine(const event_group& events);
 
   /// Searched linearly, as there are only a few groups at a time.
   std::vector<event_group> event_groups_;
--- a/src/jobs/job_meters.cc
+++ b/src/jobs/job_meters.cc
@@ -36,11 +36,11 @@
   for (const auto& [kind, name] : kLoopWorkNames) {
     const auto used = std::chrono::duration_cast<std::chrono::microseconds>(
         times[static_cast<std::size_t>(kind)]);
-    observe::counter& shown =
+    observe::counter& exported =
         registry_.Counter("plantain_loop_busy_microseconds_total",
                           "CPU time of the event loop thread, by kind of work.",
                           {{"work", std::string(name)}});
-    shown.Add(static_cast<std::uint64_t>(used.count()) - shown.value());
+    exported.Add(static_cast<std::uint64_t>(used.count()) - exported.value());
   }
   return registry_.ToText();
 }
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -5,8 +5,8 @@
 namespace plantainhead::jobs {
 namespace {
 
-constexpr const char* kRequestsName = "plantain_job_requests_total";
-constexpr const char* kRequestsHelp = "Client requests by outcome.";
+constexpr const char* kRequestCounterName = "plantain_job_requests_total";
+constexpr const char* kRequestCounterHelp = "Client requests by outcome.";
 
 void AddFaultCounters(
     const core::jobs::record_fault_counter::counts_by_fault& faults,
@@ -24,7 +24,9 @@
 void AddRequestCounters(const submission_counts& counts,
                         observe::metrics* registry) {
   const auto count = [&](const char* outcome, std::uint64_t value) {
-    registry->Counter(kRequestsName, kRequestsHelp, {{"outcome", outcome}})
+    registry
+        ->Counter(kRequestCounterName, kRequestCounterHelp,
+                  {{"outcome", outcome}})
         .Add(value);
   };
   const recorder_counts& records = counts.records;
--- a/src/jobs/loop_lag_monitor.cc
+++ b/src/jobs/loop_lag_monitor.cc
@@ -19,7 +19,7 @@
   const core::duration lag = std::chrono::duration_cast<core::duration>(
       std::chrono::steady_clock::now() - timer_.expiry());
   max_lag_ = std::max(max_lag_, lag);
-  on_lag_(lag);
+  on_measurement_(lag);
 }
 
 core::duration loop_lag_monitor::TakeMaxLag() {
--- a/src/jobs/loop_lag_monitor.h
+++ b/src/jobs/loop_lag_monitor.h
@@ -16,10 +16,10 @@
  public:
   using lag_handler = std::function<void(core::duration lag)>;
 
-  /// `on_lag` is called after each measurement. Preconditions: `context` and
-  /// everything that `on_lag` uses outlive this object.
-  loop_lag_monitor(boost::asio::io_context* context, lag_handler on_lag)
-      : on_lag_(std::move(on_lag)), timer_(*context) {}
+  /// `on_measurement` is called after each measurement. Preconditions:
+  /// `context` and everything that `on_measurement` uses outlive this object.
+  loop_lag_monitor(boost::asio::io_context* context, lag_handler on_measurement)
+      : on_measurement_(std::move(on_measurement)), timer_(*context) {}
   loop_lag_monitor(const loop_lag_monitor&) = delete;
   loop_lag_monitor& operator=(const loop_lag_monitor&) = delete;
 
@@ -31,7 +31,7 @@
  private:
   void RecordLag();
 
-  lag_handler on_lag_;
+  lag_handler on_measurement_;
   boost::asio::steady_timer timer_;
   core::duration max_lag_{};
 };
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -323,8 +323,8 @@
   deps_.archiver->Add(job.queue, job.id, job.phase);
 }
 
-void pool_owner::impl::LogLines(const std::vector<aggregated_event>& lines) {
-  for (const aggregated_event& line : lines) {
+void pool_owner::impl::LogLines(const std::vector<aggregated_line>& lines) {
+  for (const aggregated_line& line : lines) {
     LogEvent(line.event, line.fields);
   }
 }
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -99,7 +99,7 @@
   void TakeStored(const std::optional<core::jobs::progress_batch>& batch,
                   progress_writer::result result);
   void NoteJobEnd(const core::jobs::job_result& job);
-  static void LogLines(const std::vector<aggregated_event>& lines);
+  static void LogLines(const std::vector<aggregated_line>& lines);
 
   // VMs.
   /// Takes over all VMs of the registry.
--- a/src/jobs/store_outage_tracker.cc
+++ b/src/jobs/store_outage_tracker.cc
@@ -26,11 +26,11 @@
   if (answered_for < kRecoveryTime) {
     return std::nullopt;
   }
-  const store_recovery regained{outage_->interruptions,
-                                *outage_->answered_since - outage_->began,
+  const store_recovery recovery{outage_->interruptions,
+                                *outage_->answered_since - outage_->started_at,
                                 answered_for};
   outage_.reset();
-  return regained;
+  return recovery;
 }
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/store_outage_tracker.h
+++ b/src/jobs/store_outage_tracker.h
@@ -40,7 +40,7 @@
 
  private:
   struct outage {
-    core::time_point began;
+    core::time_point started_at;
     unsigned interruptions = 1;
     /// Time of the first answer since the last failure.
     std::optional<core::time_point> answered_since;
--- a/src/jobs/throttled_action.cc
+++ b/src/jobs/throttled_action.cc
@@ -41,9 +41,9 @@
  private:
   void Run() {
     is_requested_ = false;
-    const core::time_point began = BootTime();
+    const core::time_point started_at = BootTime();
     action_();
-    last_run_time_ = BootTime() - began;
+    last_run_time_ = BootTime() - started_at;
   }
 
   std::function<void()> action_;
--- a/tests/jobs/log_rate_limiter_test.cc
+++ b/tests/jobs/log_rate_limiter_test.cc
@@ -15,22 +15,22 @@
 
 TEST_CASE("Lines of one kind are limited per time window") {
   log_rate_limiter budget;
-  const auto take = [&](int millis) {
+  const auto acquire = [&](int millis) {
     return budget.Acquire(kStart + milliseconds(millis), 2, kWindow);
   };
-  CHECK(take(0) == decision{true, 0});
-  CHECK(take(10) == decision{true, 0});
+  CHECK(acquire(0) == decision{true, 0});
+  CHECK(acquire(10) == decision{true, 0});
 
   SECTION("suppressed lines are counted and reported in the next window") {
-    CHECK(take(20) == decision{false, 0});
-    CHECK(take(999) == decision{false, 0});
-    CHECK(take(1000) == decision{true, 2});
-    CHECK(take(1010) == decision{true, 0});
-    CHECK(take(1020) == decision{false, 0});
+    CHECK(acquire(20) == decision{false, 0});
+    CHECK(acquire(999) == decision{false, 0});
+    CHECK(acquire(1000) == decision{true, 2});
+    CHECK(acquire(1010) == decision{true, 0});
+    CHECK(acquire(1020) == decision{false, 0});
   }
 
   SECTION("nothing is reported after a window without suppressed lines") {
-    CHECK(take(5000) == decision{true, 0});
+    CHECK(acquire(5000) == decision{true, 0});
   }
 }
 
@@ -53,11 +53,11 @@
         job_event::kProcessState, job_event::kJobEnded}) {
     CHECK(RateLimitOf(event) == kDefaultRateLimit);
   }
-  const auto lines_a_second = [](const log_rate_limit& budget) {
+  const auto lines_per_second = [](const log_rate_limit& budget) {
     return budget.lines / budget.window.count();
   };
-  CHECK(lines_a_second(kTaskRateLimit) < lines_a_second(kDefaultRateLimit));
-  CHECK(lines_a_second(kReadRateLimit) < lines_a_second(kTaskRateLimit));
+  CHECK(lines_per_second(kTaskRateLimit) < lines_per_second(kDefaultRateLimit));
+  CHECK(lines_per_second(kReadRateLimit) < lines_per_second(kTaskRateLimit));
 }
 
 }  // namespace
--- a/tests/jobs/store_outage_tracker_test.cc
+++ b/tests/jobs/store_outage_tracker_test.cc
@@ -41,9 +41,9 @@
           "until calls have been answered for some time without a failure") {
         CHECK_FALSE(tracker.NoteAnswer(At(4000)));
         CHECK_FALSE(tracker.NoteAnswer(At(4000) + kRecoveryTime / 2));
-        const auto regained = tracker.NoteAnswer(At(4000) + kRecoveryTime);
-        REQUIRE(regained);
-        CHECK(*regained == store_recovery{51, milliseconds(4000),
+        const auto recovery = tracker.NoteAnswer(At(4000) + kRecoveryTime);
+        REQUIRE(recovery);
+        CHECK(*recovery == store_recovery{51, milliseconds(4000),
                                           milliseconds(kRecoveryTime)});
         CHECK_FALSE(tracker.NoteAnswer(At(4100) + kRecoveryTime));
 
