--- a/src/jobs/cpu_time_meter.h
+++ b/src/jobs/cpu_time_meter.h
@@ -24,7 +24,7 @@
   kFleetRecords,
   kJobs,
   kFleet,
-  /// All work without a kind of its own: sockets, client requests, responses
+  /// All work without a kind of its own: sockets, callers' requests, responses
   /// of the store.
   kOther,
 };
--- a/src/jobs/event_aggregator.h
+++ b/src/jobs/event_aggregator.h
@@ -99,9 +99,9 @@
 };
 
 /// Time for which a line is held back to aggregate further events. The answers
-/// to the orders of one plan arrive within 0.05 s. A delay of 0.5 s would save
-/// only another 7% of the bytes logged, and the timestamps of lines would be
-/// less accurate.
+/// to the orders of one plan arrive within 0.05 s. A delay ten times as long
+/// would save only another 7% of the bytes logged, and the timestamps of lines
+/// would be less accurate.
 inline constexpr std::chrono::milliseconds kAggregationDelay{100};
 
 /// Maximum number of events per line, which keeps a line below 1 KB.
--- a/src/jobs/job_meters.h
+++ b/src/jobs/job_meters.h
@@ -33,8 +33,8 @@
   /// Records the time from the assignment of a partition until its new owner
   /// may give orders.
   void NoteTakeover(core::duration time) { takeover_.Record(time); }
-  /// Records the result of a job whose end has been stored. Returns
-  /// whether it ended in time, or why it did not.
+  /// Records the result of a job whose end has been stored. Returns whether it
+  /// ended in time, or why it did not.
   core::jobs::job_verdict NoteResult(const core::jobs::job_result& result,
                                      core::time_point ended_at);
 
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr const char* kRequestCounterName = "plantain_job_requests_total";
-constexpr const char* kRequestCounterHelp = "Client requests by outcome.";
+constexpr const char* kRequestCounterHelp = "Callers' requests by outcome.";
 
 void AddFaultCounters(
     const core::jobs::record_fault_counter::counts_by_fault& faults,
--- a/src/jobs/process_state.h
+++ b/src/jobs/process_state.h
@@ -27,7 +27,7 @@
   bool owns_fleet = false;
   bool is_ready = false;
   std::uint64_t configuration_version = 0;
-  /// Time since the last successful renewal of the group membership was sent;
+  /// Time since the last answered renewal of the group membership was sent;
   /// not set before the first one, for example in a standby process that has
   /// not joined the group.
   std::optional<core::duration> renewed_ago;
--- a/src/jobs/vm_connection.h
+++ b/src/jobs/vm_connection.h
@@ -10,9 +10,9 @@
 
 namespace plantainhead::jobs {
 
-/// Connections of a pool's owner to a VM, with the state of the current hold
-/// call (a long poll by which the owner keeps the VM and learns of task ends)
-/// and of the log lines about the VM.
+/// Connections of a pool's owner to a VM, with the state of its hold call (a
+/// long poll that renews the VM's lease and returns its tasks) and what has
+/// been logged about the VM.
 struct vm_connection {
   vm_connection(boost::asio::io_context* context,
                 const core::jobs::vm_id& id,
--- a/src/peers/forwarded_request.h
+++ b/src/peers/forwarded_request.h
@@ -5,7 +5,7 @@
 
 #include "net/http_message.h"
 
-/// Protocol between processes of the scheduler: a client's request is forwarded
+/// Protocol between processes of the scheduler: a caller's request is forwarded
 /// unchanged over HTTP, with an additional header that counts the hops.
 namespace plantainhead::peers {
 
@@ -20,7 +20,7 @@
                                          std::chrono::milliseconds timeout);
 
 /// Returns how many times the request was forwarded: 0 if it comes directly
-/// from a client. Thread safety: safe from any thread.
+/// from a caller. Thread safety: safe from any thread.
 unsigned HopCountOf(const net::server_request& request);
 
 }  // namespace plantainhead::peers
--- a/src/peers/owner_client.h
+++ b/src/peers/owner_client.h
@@ -39,8 +39,8 @@
   kUnknown,
 };
 
-/// Reply to a forwarded request. `status` and `body` are those of the owner's
-/// HTTP response.
+/// Reply to a forwarded request. `status` is that of the owner's HTTP response,
+/// or 0 without a response; `body` is set only for `kAnswered`.
 struct forward_reply {
   forward_outcome outcome = forward_outcome::kNotAccepted;
   unsigned status = 0;
--- a/tests/peers/owner_client_test.cc
+++ b/tests/peers/owner_client_test.cc
@@ -77,7 +77,7 @@
   return request;
 }
 
-TEST_CASE("A request is forwarded as the client sent it") {
+TEST_CASE("A request is forwarded as the caller sent it") {
   owner_client_fixture owner;
   const forward_reply reply = owner.Forward(CallerRequest());
   CHECK(reply.outcome == forward_outcome::kAnswered);
@@ -94,7 +94,7 @@
   CHECK(HopCountOf(CallerRequest()) == 0);
 }
 
-// The outcome determines the answer to the client: after `kNotAccepted` it may
+// The outcome determines the answer to the caller: after `kNotAccepted` it may
 // be told that its job will not run, after `kUnknown` it may not.
 TEST_CASE("An owner that does not answer a request") {
   owner_client_fixture owner;
