--- a/include/plantainhead/core/fleet/job_placement.h
+++ b/include/plantainhead/core/fleet/job_placement.h
@@ -35,27 +35,27 @@
   /// Returns a worker with enough free capacity for the job, or nothing.
   /// Prefers workers that no running wave has still to reboot, then the worker
   /// with the least free capacity.
-  std::optional<choice> Find(const job_spec& spec);
+  std::optional<choice> Find(const job_requirements& spec);
 
   /// Returns true if `Find` has already found that no worker has capacity for a
   /// job of this pool and size. Avoids repeating the search for each job of a
   /// long queue.
-  bool IsKnownFull(const job_spec& spec) const;
+  bool IsKnownFull(const job_requirements& spec) const;
 
   /// Returns a worker on which an urgent job can be placed by preempting jobs
   /// that can wait, or nothing.
-  std::optional<choice> FindByPreemption(const job_spec& spec) const;
+  std::optional<choice> FindByPreemption(const job_requirements& spec) const;
 
   /// Reserves capacity for a job on a worker.
-  void Place(const job_spec& spec, const vm_id& vm);
+  void Place(const job_requirements& spec, const vm_id& vm);
 
   /// Returns why no worker of the job's pool could run the job even if it were
   /// idle, or an empty string.
-  std::string UnplaceableReason(const job_spec& spec) const;
+  std::string UnplaceableReason(const job_requirements& spec) const;
 
   /// Returns why the quota of the job's team prevents its start, or an empty
   /// string.
-  std::string QuotaExceededReason(const job_spec& spec) const;
+  std::string QuotaExceededReason(const job_requirements& spec) const;
 
  private:
   struct worker {
@@ -76,7 +76,7 @@
   void AddWorkers();
   void AddJobs();
   void AddTeamPools();
-  void Occupy(const job_spec& spec, const vm_id& vm, const job_id& job);
+  void Occupy(const job_requirements& spec, const vm_id& vm, const job_id& job);
   /// Returns true if the job failed on the worker or was recently refused by
   /// it.
   bool IsAvoided(const job_id& job, const vm_id& vm) const;
--- a/include/plantainhead/core/fleet/job_planner.h
+++ b/include/plantainhead/core/fleet/job_planner.h
@@ -42,29 +42,29 @@
   void AdvanceJobs(const planner_context& context);
   void AdvancePlaced(const planner_context& context,
                      const job_id& id,
-                     const job_progress& job);
+                     const fleet_job& job);
   void AdvanceCheckpointing(const planner_context& context,
                             const job_id& id,
-                            const job_progress& job);
+                            const fleet_job& job);
   /// Records the end of a task if the list shows it. Returns true if it did.
   bool RecordTaskEnd(const planner_context& context,
                      const job_id& id,
-                     const job_progress& job);
+                     const fleet_job& job);
   /// Sends the start of the task until its result is known. Returns true if the
   /// start succeeded.
   bool AdvanceStart(const planner_context& context,
                     const job_id& id,
-                    const job_progress& job);
+                    const fleet_job& job);
   /// Requeues the job of a lost task once the lease of the task has certainly
   /// expired. Returns true if the worker or the task is missing from the list.
   bool ReleaseLostTask(const planner_context& context,
                        const job_id& id,
-                       const job_progress& job);
+                       const fleet_job& job);
   static bool IsWorkerGone(const planner_context& context,
-                           const job_progress& job);
+                           const fleet_job& job);
   void Renew(const planner_context& context,
              const job_id& id,
-             const job_progress& job);
+             const fleet_job& job);
   void StopOrphanedTasks(const planner_context& context);
   void Quarantine(const planner_context& context);
   void PlaceWaiting(const planner_context& context);
@@ -73,22 +73,22 @@
   bool PlaceWaitingJob(const planner_context& context,
                        job_placement& placement,
                        const job_id& id,
-                       const job_progress& job);
+                       const fleet_job& job);
   bool PlaceUrgent(const planner_context& context,
                    job_placement& placement,
                    const job_id& id,
-                   const job_progress& job);
+                   const fleet_job& job);
   std::string ParkReason(const planner_context& context,
                          const job_placement& placement,
                          const job_id& id,
-                         const job_progress& job);
-  const task_listing* FindTask(const job_id& id, const job_progress& job) const;
+                         const fleet_job& job);
+  const task_listing* FindTask(const job_id& id, const fleet_job& job) const;
   static bool MustVacateWorker(const planner_context& context,
-                               const job_progress& job);
+                               const fleet_job& job);
   void SetState(const planner_context& context,
                 const job_id& id,
-                const job_progress& job,
-                job_state state,
+                const fleet_job& job,
+                job_status state,
                 const vm_id& vm,
                 const std::string& operation_kind,
                 const std::string& reason) const;
--- a/include/plantainhead/core/fleet/planner_context.h
+++ b/include/plantainhead/core/fleet/planner_context.h
@@ -45,7 +45,7 @@
 
   /// Stores `reason` for `object`, and logs it unless it is already the stored
   /// reason.
-  void Report(note_level level,
+  void Report(log_severity level,
               const std::string& object,
               const std::string& reason) const {
     std::string& kept = reasons[object];
@@ -53,7 +53,7 @@
       return;
     }
     kept = reason;
-    out.Note(level, reason, {{"object", object}});
+    out.Log(level, reason, {{"object", object}});
   }
 };
 
--- a/include/plantainhead/core/fleet/task_history.h
+++ b/include/plantainhead/core/fleet/task_history.h
@@ -71,7 +71,7 @@
   /// Returns the expected resource use of a job: its observed use, or else its
   /// declared use, corrected by the observed ratio of used to declared
   /// resources of its team.
-  job_size SizeOf(const job_spec& spec) const;
+  job_size SizeOf(const job_requirements& spec) const;
 
  private:
   struct usage {
@@ -85,7 +85,7 @@
   };
 
   void CountTaskEnd(const task_listing& task);
-  void LearnUsage(const task_listing& task, const job_spec& spec);
+  void LearnUsage(const task_listing& task, const job_requirements& spec);
 
   std::map<vm_id, std::deque<job_id>> failures_;
   std::map<job_id, std::set<vm_id>> failed_on_;
--- a/include/plantainhead/core/fleet/vm_lifecycle.h
+++ b/include/plantainhead/core/fleet/vm_lifecycle.h
@@ -14,7 +14,7 @@
 
 /// Returns true if the wave was paused by the planner and not by an operator.
 /// Thread safety: safe from any thread as long as no thread modifies the wave.
-bool IsAutoPause(const wave_progress& wave);
+bool IsAutoPause(const fleet_wave& wave);
 
 /// Returns the id of the operation of one kind ("reboot") that a record with
 /// this expected generation permits. Two planners build the same id. Thread
--- a/src/core/fleet/job_planner.cc
+++ b/src/core/fleet/job_planner.cc
@@ -30,7 +30,7 @@
     return job == inputs.state.jobs.end() || !HoldsTask(job->second);
   });
   for (const auto& [id, job] : inputs.state.jobs) {
-    if (job.state == job_state::kParked) {
+    if (job.state == job_status::kParked) {
       // An operator who releases the job expects it to be tried on all workers
       // again.
       history_.ClearFailures(id);
@@ -85,13 +85,13 @@
     if (found == context.inputs.state.jobs.end()) {
       continue;
     }
-    const job_progress& job = found->second;
+    const fleet_job& job = found->second;
     if (HoldsTask(job) && job.vm == task.vm) {
       continue;
     }
-    const bool has_ended = job.state == job_state::kCancelled ||
-                           job.state == job_state::kFinished ||
-                           job.state == job_state::kParked;
+    const bool has_ended = job.state == job_status::kCancelled ||
+                           job.state == job_status::kFinished ||
+                           job.state == job_status::kParked;
     const bool is_elsewhere = HoldsTask(job) && job.vm != task.vm;
     if (has_ended || is_elsewhere) {
       context.operations.EnsureSent(
@@ -132,7 +132,7 @@
       continue;
     }
     if (quarantined >= most) {
-      context.Report(note_level::kError, ObjectOf(id),
+      context.Report(log_severity::kError, ObjectOf(id),
                      "the worker fails every task, but is not quarantined: the "
                      "limit of quarantined workers is reached");
       continue;
@@ -158,13 +158,13 @@
   placed_version_ = context.view.work_version();
   placed_list_ = context.inputs.listed_at;
   using order = std::tuple<bool, time_point, generation>;
-  std::vector<std::pair<order, const job_progress*>> waiting;
-  for (const job_progress* job : context.view.waiting()) {
+  std::vector<std::pair<order, const fleet_job*>> waiting;
+  for (const fleet_job* job : context.view.waiting()) {
     if (context.gate.IsPending(ObjectOf(job->spec.name), job->version,
                                context.now)) {
       continue;
     }
-    const job_spec& spec = job->spec;
+    const job_requirements& spec = job->spec;
     const time_point by = spec.finish_by == time_point()
                               ? time_point::max()
                               : spec.finish_by - spec.declared_run_time;
@@ -192,11 +192,11 @@
 bool job_planner::PlaceWaitingJob(const planner_context& context,
                                   job_placement& placement,
                                   const job_id& id,
-                                  const job_progress& job) {
+                                  const fleet_job& job) {
   const std::string park = ParkReason(context, placement, id, job);
   if (!park.empty()) {
-    context.Report(note_level::kWarning, ObjectOf(id), park);
-    SetState(context, id, job, job_state::kParked, vm_id(), "", park);
+    context.Report(log_severity::kWarning, ObjectOf(id), park);
+    SetState(context, id, job, job_status::kParked, vm_id(), "", park);
     return true;
   }
   const std::string quota = placement.QuotaExceededReason(job.spec);
@@ -207,7 +207,7 @@
   const std::optional<job_placement::choice> found = placement.Find(job.spec);
   if (found) {
     placement.Place(job.spec, found->vm->id);
-    SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
+    SetState(context, id, job, job_status::kPlaced, found->vm->id, kStart,
              "worker " + found->vm->id.value() + " has enough free capacity");
     return true;
   }
@@ -221,19 +221,19 @@
 bool job_planner::PlaceUrgent(const planner_context& context,
                               job_placement& placement,
                               const job_id& id,
-                              const job_progress& job) {
+                              const fleet_job& job) {
   const std::optional<job_placement::choice> found =
       placement.FindByPreemption(job.spec);
   if (!found) {
     return false;
   }
   for (const job_id& other : found->preempted) {
-    const job_progress& progress = context.inputs.state.jobs.at(other);
+    const fleet_job& progress = context.inputs.state.jobs.at(other);
     if (context.gate.IsPending(ObjectOf(other), progress.version,
                                context.now)) {
       continue;
     }
-    SetState(context, other, progress, job_state::kCheckpointing, progress.vm,
+    SetState(context, other, progress, job_status::kCheckpointing, progress.vm,
              kCheckpoint, "preempted by urgent job " + id.value());
   }
   // Reserves the capacity for the rest of this plan, so that no other job takes
@@ -244,7 +244,7 @@
         "waiting for preempted jobs to leave worker " + found->vm->id.value();
     return false;
   }
-  SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
+  SetState(context, id, job, job_status::kPlaced, found->vm->id, kStart,
            "urgent; shares worker " + found->vm->id.value() +
                " until the preempted jobs have left");
   return true;
@@ -253,7 +253,7 @@
 std::string job_planner::ParkReason(const planner_context& context,
                                     const job_placement& placement,
                                     const job_id& id,
-                                    const job_progress& job) {
+                                    const fleet_job& job) {
   std::string workers;
   std::size_t failed = 0;
   for (const vm_id& vm : history_.FailedOn(id)) {
@@ -292,8 +292,8 @@
 
 void job_planner::SetState(const planner_context& context,
                            const job_id& id,
-                           const job_progress& job,
-                           job_state state,
+                           const fleet_job& job,
+                           job_status state,
                            const vm_id& vm,
                            const std::string& operation_kind,
                            const std::string& reason) const {
@@ -306,7 +306,7 @@
   if (!operation_kind.empty()) {
     record.operation = MakeOperationId(operation_kind, id.value(), job.version);
   }
-  if (state == job_state::kPlaced) {
+  if (state == job_status::kPlaced) {
     record.operation = WithSize(record.operation, history_.SizeOf(job.spec));
   }
   record.reason = reason;
--- a/src/core/fleet/job_planner_tasks.cc
+++ b/src/core/fleet/job_planner_tasks.cc
@@ -27,7 +27,7 @@
         context.gate.IsPending(ObjectOf(id), job.version, context.now)) {
       continue;
     }
-    if (job.state == job_state::kPlaced) {
+    if (job.state == job_status::kPlaced) {
       AdvancePlaced(context, id, job);
     } else {
       AdvanceCheckpointing(context, id, job);
@@ -37,7 +37,7 @@
 
 void job_planner::AdvancePlaced(const planner_context& context,
                                 const job_id& id,
-                                const job_progress& job) {
+                                const fleet_job& job) {
   if (RecordTaskEnd(context, id, job)) {
     return;
   }
@@ -55,7 +55,7 @@
     return;
   }
   if (MustVacateWorker(context, job)) {
-    SetState(context, id, job, job_state::kCheckpointing, job.vm, kCheckpoint,
+    SetState(context, id, job, job_status::kCheckpointing, job.vm, kCheckpoint,
              "worker " + job.vm.value() + " is leaving or in maintenance");
     return;
   }
@@ -64,7 +64,7 @@
 
 bool job_planner::AdvanceStart(const planner_context& context,
                                const job_id& id,
-                               const job_progress& job) {
+                               const fleet_job& job) {
   const job_size size =
       ParseSize(job.operation).value_or(history_.SizeOf(job.spec));
   const std::optional<operation_result> end = context.operations.EnsureSent(
@@ -77,7 +77,7 @@
   }
   if (end == operation_result::kRefused) {
     history_.CountRefusal(id, job.vm, context.now);
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              "worker " + job.vm.value() + " refused the task: " +
                  context.operations.DetailOf(job.operation));
     return false;
@@ -93,11 +93,11 @@
 
 void job_planner::AdvanceCheckpointing(const planner_context& context,
                                        const job_id& id,
-                                       const job_progress& job) {
+                                       const fleet_job& job) {
   const std::optional<operation_result> end = context.operations.EnsureSent(
       job.operation, checkpoint_task{id, job.vm}, context.now, context.out);
   if (end == operation_result::kDone) {
-    SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+    SetState(context, id, job, job_status::kWaiting, vm_id(), "",
              "checkpointed; " + job.reason);
     return;
   }
@@ -109,7 +109,7 @@
   Renew(context, id, job);
   if (end == operation_result::kRefused) {
     context.Report(
-        note_level::kWarning, ObjectOf(id),
+        log_severity::kWarning, ObjectOf(id),
         "the checkpoint was refused; the task continues until it finishes: " +
             context.operations.DetailOf(job.operation));
   }
@@ -117,7 +117,7 @@
 
 bool job_planner::RecordTaskEnd(const planner_context& context,
                                 const job_id& id,
-                                const job_progress& job) {
+                                const fleet_job& job) {
   const task_listing* task = FindTask(id, job);
   if (task == nullptr) {
     return false;
@@ -126,19 +126,19 @@
     case task_state::kRunning:
       return false;
     case task_state::kFinished:
-      SetState(context, id, job, job_state::kFinished, vm_id(), "",
+      SetState(context, id, job, job_status::kFinished, vm_id(), "",
                "finished on " + job.vm.value());
       return true;
     case task_state::kFailed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "failed on " + job.vm.value() + ": " + task->detail);
       return true;
-    case task_state::kLapsed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    case task_state::kLeaseExpired:
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "the task lease expired on " + job.vm.value());
       return true;
     case task_state::kCheckpointed:
-      SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+      SetState(context, id, job, job_status::kWaiting, vm_id(), "",
                "checkpointed on " + job.vm.value());
       return true;
   }
@@ -147,7 +147,7 @@
 
 bool job_planner::ReleaseLostTask(const planner_context& context,
                                   const job_id& id,
-                                  const job_progress& job) {
+                                  const fleet_job& job) {
   const auto seen = observations_.find(id);
   if (!context.list_is_fresh() || seen == observations_.end()) {
     return false;
@@ -164,7 +164,7 @@
   // is unreachable; a second start now would run the job twice. Without
   // renewals the worker ends the task when its lease expires.
   if (context.now >= seen->second.lease_end) {
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              (is_vm_gone ? "its worker was lost: " : "its task was lost on ") +
                  job.vm.value());
   }
@@ -172,14 +172,14 @@
 }
 
 bool job_planner::IsWorkerGone(const planner_context& context,
-                               const job_progress& job) {
+                               const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   return vm == nullptr || vm->listing == nullptr;
 }
 
 void job_planner::Renew(const planner_context& context,
                         const job_id& id,
-                        const job_progress& job) {
+                        const fleet_job& job) {
   const auto seen = observations_.find(id);
   if (seen == observations_.end()) {
     return;
@@ -198,7 +198,7 @@
 }
 
 const task_listing* job_planner::FindTask(const job_id& id,
-                                          const job_progress& job) const {
+                                          const fleet_job& job) const {
   const auto found = tasks_.find(id);
   if (found == tasks_.end()) {
     return nullptr;
@@ -206,13 +206,13 @@
   const task_listing* task = found->second;
   // The list is delayed and may still show an earlier task of the job on this
   // worker.
-  const bool is_this = job.state == job_state::kCheckpointing ||
+  const bool is_this = job.state == job_status::kCheckpointing ||
                        task->started_by == job.operation;
   return is_this ? task : nullptr;
 }
 
 bool job_planner::MustVacateWorker(const planner_context& context,
-                                   const job_progress& job) {
+                                   const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   if (vm == nullptr || vm->state == nullptr) {
     return false;
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -247,7 +247,7 @@
 void pool_planner::ReportNoDonor(const planner_context& context,
                                  const pool_id& name,
                                  const pool_balance& pool) {
-  context.Report(note_level::kWarning, ObjectOf(name),
+  context.Report(log_severity::kWarning, ObjectOf(name),
                  "the pool is short of " + Count(pool.Shortage()) +
                      " VMs and no other pool can release any");
 }
--- a/src/core/fleet/wave_planner.cc
+++ b/src/core/fleet/wave_planner.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::core {
 namespace {
 
-bool IsOpen(const wave_progress& wave) {
+bool IsOpen(const fleet_wave& wave) {
   return wave.state == wave_state::kRunning ||
          wave.state == wave_state::kPaused;
 }
@@ -114,7 +114,7 @@
                             const vm_lifecycle& lifecycle,
                             const capacity_plan& capacity,
                             const wave_id& id,
-                            const wave_progress& wave) {
+                            const fleet_wave& wave) {
   if (context.gate.IsPending(ObjectOf(id), wave.version, context.now)) {
     return;
   }
@@ -143,7 +143,7 @@
                             const pool_capacity& capacity,
                             const pool_view& pool,
                             const wave_id& id,
-                            const wave_progress& wave,
+                            const fleet_wave& wave,
                             scan_result& found) {
   std::uint32_t left = 0;
   std::uint32_t under_way = 0;
@@ -202,7 +202,7 @@
     const planner_context& context,
     const vm_lifecycle& lifecycle,
     const pool_view& pool,
-    const wave_progress& wave) const {
+    const fleet_wave& wave) const {
   std::vector<const vm_view*> found;
   std::set<zone_id> started;
   std::map<zone_id, std::uint32_t> jobs;
@@ -236,7 +236,7 @@
 }
 
 std::string wave_planner::PauseReason(const planner_context& context,
-                                      const wave_progress& wave,
+                                      const fleet_wave& wave,
                                       const scan_result& found) const {
   if (found.open_pools > 0 && found.blocked_pools == found.open_pools) {
     return found.obstacle;
@@ -266,7 +266,7 @@
 
 void wave_planner::PauseOrResume(const planner_context& context,
                                  const wave_id& id,
-                                 const wave_progress& wave,
+                                 const fleet_wave& wave,
                                  const std::string& why) {
   if (!why.empty()) {
     clear_since_.erase(id);
@@ -288,7 +288,7 @@
 
 void wave_planner::SetState(const planner_context& context,
                             const wave_id& id,
-                            const wave_progress& wave,
+                            const fleet_wave& wave,
                             wave_state state,
                             const std::string& reason) const {
   context.reasons[ObjectOf(id)] = reason;
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -129,7 +129,7 @@
 void fleet_owner::impl::TakePage(const adapter::fleet_page& reply) {
   const auto work = Meter();
   if (!reply.is_read) {
-    for (const adapter::faulty_host& row : reply.faults) {
+    for (const adapter::unreadable_host& row : reply.faults) {
       deps_.world->faults().Note(kFleetList, row.host, row.fault);
     }
     is_listing_ = false;
@@ -139,8 +139,8 @@
   page_hosts_.insert(page_hosts_.end(), reply.hosts.begin(), reply.hosts.end());
   page_faults_.insert(page_faults_.end(), reply.faults.begin(),
                       reply.faults.end());
-  if (!reply.next.empty()) {
-    ListPage(reply.next);
+  if (!reply.next_page_token.empty()) {
+    ListPage(reply.next_page_token);
     return;
   }
   is_listing_ = false;
@@ -161,7 +161,7 @@
 
 void fleet_owner::impl::AddUnreadableHosts() {
   std::vector<core::jobs::host_id> faulty;
-  for (const adapter::faulty_host& row : page_faults_) {
+  for (const adapter::unreadable_host& row : page_faults_) {
     deps_.world->faults().Note(kFleetList, row.host, row.fault);
     faulty.push_back(row.host);
   }
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/delivery.h"
+#include "net/call_outcome.h"
 
 /// HTTP/1.1 as messages, without the sockets. The platform's deployments need
 /// some hundred calls in flight on a quarter of a core, so that here, other
@@ -32,7 +32,7 @@
 };
 
 struct client_reply {
-  delivery reached = delivery::kNotSent;
+  call_outcome outcome = call_outcome::kNotSent;
   /// Of a whole answer.
   unsigned status = 0;
   std::string body;
--- a/src/peers/forwarded_request.cc
+++ b/src/peers/forwarded_request.cc
@@ -19,7 +19,7 @@
   forwarded.target = request.target;
   forwarded.body = request.body;
   forwarded.headers.emplace_back("Host", request.host);
-  forwarded.headers.push_back(adapter::EncodePatience(timeout));
+  forwarded.headers.push_back(adapter::EncodeTimeout(timeout));
   forwarded.headers.emplace_back(kHopsHeader,
                                  std::to_string(HopCountOf(request) + 1));
   return forwarded;
--- a/src/peers/owner_client.cc
+++ b/src/peers/owner_client.cc
@@ -108,24 +108,25 @@
 
   void OnReply(const call_ptr& call, const net::client_reply& reply) {
     const core::time_point now = BootTime();
-    if (reply.reached == net::delivery::kAnswered) {
+    if (reply.outcome == net::call_outcome::kAnswered) {
       ConnectionTo(call->owner).answered_at = now;
       answered_at_ = now;
     }
     if (call->is_finished) {
       return;
     }
-    const bool is_refused = reply.reached == net::delivery::kAnswered &&
+    const bool is_refused = reply.outcome == net::call_outcome::kAnswered &&
                             reply.status == net::kMisdirected;
     const bool is_answered =
-        reply.reached == net::delivery::kAnswered && !is_refused;
+        reply.outcome == net::call_outcome::kAnswered && !is_refused;
     if (is_answered) {
       directory_.NoteAnswered(call->partition, call->owner.epoch);
       Finish(call, {forward_outcome::kAnswered, reply.status, reply.body});
       return;
     }
     directory_.NoteFailed(call->partition, call->owner.epoch, now);
-    const bool may_be_accepted = reply.reached == net::delivery::kUnanswered;
+    const bool may_be_accepted =
+        reply.outcome == net::call_outcome::kUnanswered;
     Finish(call, {may_be_accepted ? forward_outcome::kUnknown
                                   : forward_outcome::kNotAccepted,
                   reply.status,
--- a/src/platform/http_client.h
+++ b/src/platform/http_client.h
@@ -7,15 +7,15 @@
 
 #include <httplib.h>
 
-#include "net/delivery.h"
+#include "net/call_outcome.h"
 #include "plantainhead/core/time.h"
 
 namespace plantainhead::platform {
 
-using net::delivery;
+using net::call_outcome;
 
 struct http_reply {
-  delivery reached = delivery::kNotSent;
+  call_outcome reached = call_outcome::kNotSent;
   /// Of the answer, when there is one.
   int status = 0;
   std::string body;
--- a/tests/core/fleet/job_planner_test.cc
+++ b/tests/core/fleet/job_planner_test.cc
@@ -22,8 +22,9 @@
     }
     Step();
   }
-  job_spec Spec(const std::string& name, std::uint32_t processors = 8) const {
-    job_spec spec;
+  job_requirements Spec(const std::string& name,
+                        std::uint32_t processors = 8) const {
+    job_requirements spec;
     spec.name = job_id(name);
     spec.team = team_id("coast");
     spec.pool = pool_id("lidar");
@@ -34,13 +35,13 @@
   void Submit(const std::string& name, std::uint32_t processors = 8) {
     Apply(submit_job{Spec(name, processors)});
   }
-  std::size_t CountJobs(job_state wanted) const {
+  std::size_t CountJobs(job_status wanted) const {
     return static_cast<std::size_t>(std::count_if(
         state.jobs.begin(), state.jobs.end(),
         [&](const auto& job) { return job.second.state == wanted; }));
   }
   bool ReachesState(const std::string& job,
-                    job_state wanted,
+                    job_status wanted,
                     duration limit = std::chrono::hours(1)) {
     return StepUntil([&] { return Job(job).state == wanted; }, limit);
   }
@@ -48,7 +49,7 @@
     set_job_state record;
     record.job = job_id(job);
     record.expected = Job(job).version;
-    record.state = job_state::kCancelled;
+    record.state = job_status::kCancelled;
     Apply(record);
   }
   std::size_t Running() const {
@@ -64,7 +65,7 @@
 
   SECTION("when it is started once and its lease is renewed many times") {
     harness.run_time = std::chrono::hours(1);
-    REQUIRE(harness.ReachesState("map", job_state::kFinished,
+    REQUIRE(harness.ReachesState("map", job_status::kFinished,
                                  std::chrono::hours(2)));
     CHECK(harness.starts[job_id("map")] == 1);
   }
@@ -74,10 +75,10 @@
     // before it sends the start. The next planner sends the start that the
     // record names.
     harness.Step();
-    REQUIRE(harness.Job("map").state == job_state::kPlaced);
+    REQUIRE(harness.Job("map").state == job_status::kPlaced);
     REQUIRE(harness.starts.empty());
     harness.ReplacePlanner();
-    REQUIRE(harness.ReachesState("map", job_state::kFinished));
+    REQUIRE(harness.ReachesState("map", job_status::kFinished));
     CHECK(harness.starts[job_id("map")] == 1);
   }
 
@@ -107,7 +108,7 @@
       return harness.state.waves.at(wave).state == wave_state::kFinished;
     }));
     CHECK(harness.reboots.size() == 6);
-    REQUIRE(harness.ReachesState("map", job_state::kFinished));
+    REQUIRE(harness.ReachesState("map", job_status::kFinished));
     // The second placement prefers workers that the wave has already rebooted.
     CHECK(harness.starts[job_id("map")] == 2);
     CHECK(harness.Job("map").failures == 0);
@@ -124,9 +125,9 @@
     harness.Submit("job-" + std::to_string(i));
   }
   REQUIRE(harness.StepUntil(
-      [&] { return harness.CountJobs(job_state::kFinished) == 20; }));
+      [&] { return harness.CountJobs(job_status::kFinished) == 20; }));
   CHECK(harness.Vm("w0").quarantined);
-  CHECK(harness.CountJobs(job_state::kParked) == 0);
+  CHECK(harness.CountJobs(job_status::kParked) == 0);
 
   harness.bad_workers.clear();
   harness.StepFor(std::chrono::hours(2));
@@ -164,9 +165,9 @@
   }
   harness.Submit("map");
   harness.StepFor(std::chrono::minutes(10));
-  CHECK(harness.Job("map").state != job_state::kParked);
+  CHECK(harness.Job("map").state != job_status::kParked);
   harness.refusing.clear();
-  CHECK(harness.ReachesState("map", job_state::kFinished));
+  CHECK(harness.ReachesState("map", job_status::kFinished));
 }
 
 TEST_CASE("Some jobs can never run") {
@@ -176,10 +177,10 @@
     harness.bad_jobs = {job_id("broken")};
     harness.Submit("broken");
     harness.Submit("sound");
-    REQUIRE(harness.ReachesState("broken", job_state::kParked));
+    REQUIRE(harness.ReachesState("broken", job_status::kParked));
     CHECK(harness.Job("broken").reason.starts_with("it failed on 3 workers"));
     CHECK(harness.starts[job_id("broken")] == 3);
-    REQUIRE(harness.ReachesState("sound", job_state::kFinished));
+    REQUIRE(harness.ReachesState("sound", job_status::kFinished));
     for (const auto& [id, vm] : harness.state.vms) {
       CHECK_FALSE(vm.quarantined);
     }
@@ -187,7 +188,7 @@
 
   SECTION("one that is too large for every worker is parked with its size") {
     harness.Submit("huge", 64);
-    REQUIRE(harness.ReachesState("huge", job_state::kParked));
+    REQUIRE(harness.ReachesState("huge", job_status::kParked));
     CHECK(harness.Job("huge").reason.find("64 processors") !=
           std::string::npos);
   }
@@ -200,8 +201,8 @@
     harness.Submit("batch-" + std::to_string(i));
   }
   harness.StepFor(std::chrono::minutes(1));
-  REQUIRE(harness.CountJobs(job_state::kPlaced) == 4);
-  job_spec urgent = harness.Spec("preview");
+  REQUIRE(harness.CountJobs(job_status::kPlaced) == 4);
+  job_requirements urgent = harness.Spec("preview");
   urgent.urgent = true;
   harness.Apply(submit_job{urgent});
   const time_point asked = harness.now;
@@ -210,8 +211,8 @@
       [&] { return harness.starts[job_id("preview")] == 1; }));
   CHECK(harness.now - asked <= std::chrono::milliseconds(2100));
   harness.StepFor(std::chrono::minutes(1));
-  CHECK(harness.CountJobs(job_state::kWaiting) == 1);
-  CHECK(harness.CountJobs(job_state::kPlaced) == 4);
+  CHECK(harness.CountJobs(job_status::kWaiting) == 1);
+  CHECK(harness.CountJobs(job_status::kPlaced) == 4);
 }
 
 TEST_CASE("A team reaches its quota of accelerators") {
@@ -220,12 +221,12 @@
     vm.accelerators = 2;
   }
   for (int i = 0; i < 6; ++i) {
-    job_spec spec = harness.Spec("train-" + std::to_string(i), 1);
+    job_requirements spec = harness.Spec("train-" + std::to_string(i), 1);
     spec.accelerators = 1;
     harness.Apply(submit_job{spec});
   }
   harness.StepFor(std::chrono::minutes(1));
-  CHECK(harness.CountJobs(job_state::kPlaced) == 4);
+  CHECK(harness.CountJobs(job_status::kPlaced) == 4);
   CHECK(harness.Planner().reasons().at("job:train-5") ==
         "team coast would hold 5 of its 4 accelerators");
 }
--- a/tests/peers/owner_client_test.cc
+++ b/tests/peers/owner_client_test.cc
@@ -90,7 +90,7 @@
   CHECK(forwarded.target == "/q/0123456789abcdef");
   CHECK(forwarded.body == "{}");
   CHECK(HopCountOf(forwarded) == 1);
-  CHECK(adapter::DecodePatience(forwarded) == milliseconds(5000));
+  CHECK(adapter::DecodeTimeout(forwarded) == milliseconds(5000));
   CHECK(HopCountOf(CallerRequest()) == 0);
 }
 
