--- a/src/net/delivery.h
+++ b/src/net/call_outcome.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_NET_DELIVERY_H_
-#define PLANTAINHEAD_SRC_NET_DELIVERY_H_
+#ifndef PLANTAINHEAD_SRC_NET_CALL_OUTCOME_H_
+#define PLANTAINHEAD_SRC_NET_CALL_OUTCOME_H_
 
 #include "plantainhead/core/names.h"
 
@@ -26,4 +26,4 @@
 
 }  // namespace plantainhead::net
 
-#endif  // PLANTAINHEAD_SRC_NET_DELIVERY_H_
+#endif  // PLANTAINHEAD_SRC_NET_CALL_OUTCOME_H_
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/delivery.h"
+#include "net/call_outcome.h"
 
 /// HTTP/1.1 as messages, without the sockets. The platform's deployments need
 /// some hundred calls in flight on a quarter of a core, so that here, other
--- a/src/platform/http_client.h
+++ b/src/platform/http_client.h
@@ -7,7 +7,7 @@
 
 #include <httplib.h>
 
-#include "net/delivery.h"
+#include "net/call_outcome.h"
 #include "plantainhead/core/time.h"
 
 namespace plantainhead::platform {
