--- a/soak/silence_run.cc
+++ b/soak/silence_run.cc
@@ -274,7 +274,7 @@
     site_.AnyProcess().caller->Send(
         std::move(request), kCallTimeout,
         [this, id, queue](const net::client_reply& reply) {
-          if (reply.reached == net::delivery::kAnswered) {
+          if (reply.outcome == net::call_outcome::kAnswered) {
             TakeAnswer(queue, id, reply.status);
           }
         });
@@ -317,10 +317,10 @@
     site_.AnyProcess().caller->Send(
         CallerRequest(net::method::kDelete, queue, id), kCallTimeout,
         [this, queue, id](const net::client_reply& reply) {
-          if (reply.reached == net::delivery::kAnswered &&
+          if (reply.outcome == net::call_outcome::kAnswered &&
               reply.status == 200) {
             promises_.NoteCancelled(id, steady_clock::now());
-          } else if (reply.reached != net::delivery::kAnswered ||
+          } else if (reply.outcome != net::call_outcome::kAnswered ||
                      reply.status != 410) {
             site_.After(kRetryGap, [this, queue, id] { Cancel(queue, id); });
           }
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -220,7 +220,7 @@
     }
     AnyCaller().Send(std::move(request), seconds(4),
                      [this, id](const net::client_reply& reply) {
-                       if (reply.reached != net::delivery::kAnswered) {
+                       if (reply.outcome != net::call_outcome::kAnswered) {
                          return;
                        }
                        if (reply.status == 200) {
--- a/src/jobs/fleet_owner_impl.h
+++ b/src/jobs/fleet_owner_impl.h
@@ -90,9 +90,9 @@
   /// Returns what tells whether an order may still be sent.
   std::function<bool()> SendGate(core::time_point recorded_at);
   void TakeMove(const core::jobs::move_host& move,
-                adapter::duty_outcome outcome);
+                adapter::host_order_outcome outcome);
   void TakeService(const core::jobs::service_host& action,
-                   adapter::duty_outcome outcome);
+                   adapter::host_order_outcome outcome);
 
   dependencies deps_;
   fleet_settings settings_;
@@ -119,7 +119,7 @@
   core::time_point figures_at_;
   core::jobs::host_order_queue queue_;
   std::vector<core::jobs::fleet_host> page_hosts_;
-  std::vector<adapter::faulty_host> page_faults_;
+  std::vector<adapter::unreadable_host> page_faults_;
   /// Of the newest list.
   std::vector<core::jobs::fleet_host> known_hosts_;
 };
--- a/src/jobs/fleet_owner_orders.cc
+++ b/src/jobs/fleet_owner_orders.cc
@@ -10,24 +10,24 @@
 
 namespace plantainhead::jobs {
 
-using adapter::duty_outcome;
+using adapter::host_order_outcome;
 using core::jobs::HostOf;
 using core::jobs::service_result;
 
 namespace {
 
-service_result ToResult(duty_outcome outcome) {
+service_result ToResult(host_order_outcome outcome) {
   switch (outcome) {
-    case duty_outcome::kAccepted:
+    case host_order_outcome::kAccepted:
       return service_result::kAccepted;
-    case duty_outcome::kInvalid:
-    case duty_outcome::kNotOfWave:
+    case host_order_outcome::kInvalid:
+    case host_order_outcome::kNotInWave:
       return service_result::kPermanentFailure;
-    case duty_outcome::kUnknown:
+    case host_order_outcome::kUnknown:
       return service_result::kUnknown;
-    case duty_outcome::kFenced:
-    case duty_outcome::kBusy:
-    case duty_outcome::kRefused:
+    case host_order_outcome::kFenced:
+    case host_order_outcome::kBusy:
+    case host_order_outcome::kRefused:
       return service_result::kTemporaryFailure;
   }
   return service_result::kUnknown;
@@ -129,30 +129,31 @@
 
 void fleet_owner::impl::Send(const core::jobs::move_host& move,
                              core::time_point recorded_at) {
-  client_.Move(move.host, move.pool, epoch_, settings_.order_timeout,
-               SendGate(recorded_at),
-               [self = weak_from_this(), move](duty_outcome outcome) {
-                 const auto owner = self.lock();
-                 if (owner && !owner->is_closed_) {
-                   owner->TakeMove(move, outcome);
-                 }
-               });
+  client_.MoveHost(move.host, move.pool, epoch_, settings_.order_timeout,
+                   SendGate(recorded_at),
+                   [self = weak_from_this(), move](host_order_outcome outcome) {
+                     const auto owner = self.lock();
+                     if (owner && !owner->is_closed_) {
+                       owner->TakeMove(move, outcome);
+                     }
+                   });
 }
 
 void fleet_owner::impl::Send(const core::jobs::service_host& action,
                              core::time_point recorded_at) {
-  client_.Service(action.host, action.wave, epoch_, settings_.order_timeout,
-                  SendGate(recorded_at),
-                  [self = weak_from_this(), action](duty_outcome outcome) {
-                    const auto owner = self.lock();
-                    if (owner && !owner->is_closed_) {
-                      owner->TakeService(action, outcome);
-                    }
-                  });
+  client_.ServiceHost(
+      action.host, action.wave, epoch_, settings_.order_timeout,
+      SendGate(recorded_at),
+      [self = weak_from_this(), action](host_order_outcome outcome) {
+        const auto owner = self.lock();
+        if (owner && !owner->is_closed_) {
+          owner->TakeService(action, outcome);
+        }
+      });
 }
 
 void fleet_owner::impl::TakeMove(const core::jobs::move_host& move,
-                                 duty_outcome outcome) {
+                                 host_order_outcome outcome) {
   queue_.NoteFinished(move);
   observe::log_fields fields = {
       {"host", move.host},
@@ -162,19 +163,19 @@
     AppendAge("ordered_ms_ago", *ordered_at, &fields);
   }
   LogEvent(job_event::kHostMoved, fields);
-  balancer_.OnMoveAnswer(move.host, outcome == duty_outcome::kAccepted,
-                         outcome != duty_outcome::kUnknown, BootTime());
+  balancer_.OnMoveAnswer(move.host, outcome == host_order_outcome::kAccepted,
+                         outcome != host_order_outcome::kUnknown, BootTime());
 }
 
 void fleet_owner::impl::TakeService(const core::jobs::service_host& action,
-                                    duty_outcome outcome) {
+                                    host_order_outcome outcome) {
   queue_.NoteFinished(action);
-  const bool is_accepted = outcome == duty_outcome::kAccepted;
+  const bool is_accepted = outcome == host_order_outcome::kAccepted;
   LogEvent(is_accepted ? job_event::kHostServiced : job_event::kHostNotServiced,
            {{"host", action.host},
             {"wave", std::to_string(action.wave)},
             {"outcome", std::string(core::NameOf(outcome))}});
-  if (outcome == duty_outcome::kFenced) {
+  if (outcome == host_order_outcome::kFenced) {
     Lose();
     return;
   }
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -117,19 +117,20 @@
 }
 
 void fleet_owner::impl::ListPage(const std::string& page) {
-  client_.List(page, settings_.order_timeout,
-               [self = weak_from_this()](const adapter::fleet_page& reply) {
-                 const auto owner = self.lock();
-                 if (owner && !owner->is_closed_) {
-                   owner->TakePage(reply);
-                 }
-               });
+  client_.ListHosts(
+      page, settings_.order_timeout,
+      [self = weak_from_this()](const adapter::fleet_page& reply) {
+        const auto owner = self.lock();
+        if (owner && !owner->is_closed_) {
+          owner->TakePage(reply);
+        }
+      });
 }
 
 void fleet_owner::impl::TakePage(const adapter::fleet_page& reply) {
   const auto work = Meter();
   if (!reply.is_read) {
-    for (const adapter::faulty_host& row : reply.faults) {
+    for (const adapter::unreadable_host& row : reply.unreadable_hosts) {
       deps_.world->faults().Note(kFleetList, row.host, row.fault);
     }
     is_listing_ = false;
@@ -137,10 +138,10 @@
     return;
   }
   page_hosts_.insert(page_hosts_.end(), reply.hosts.begin(), reply.hosts.end());
-  page_faults_.insert(page_faults_.end(), reply.faults.begin(),
-                      reply.faults.end());
-  if (!reply.next.empty()) {
-    ListPage(reply.next);
+  page_faults_.insert(page_faults_.end(), reply.unreadable_hosts.begin(),
+                      reply.unreadable_hosts.end());
+  if (!reply.next_page_token.empty()) {
+    ListPage(reply.next_page_token);
     return;
   }
   is_listing_ = false;
@@ -161,7 +162,7 @@
 
 void fleet_owner::impl::AddUnreadableHosts() {
   std::vector<core::jobs::host_id> faulty;
-  for (const adapter::faulty_host& row : page_faults_) {
+  for (const adapter::unreadable_host& row : page_faults_) {
     deps_.world->faults().Note(kFleetList, row.host, row.fault);
     faulty.push_back(row.host);
   }
--- a/src/jobs/job_recorder.cc
+++ b/src/jobs/job_recorder.cc
@@ -202,7 +202,7 @@
     if (may_land) {
       ++counts_.unanswered;
       LogEvent(job_event::kJobUnanswered, fields);
-      Answer(pending, adapter::EncodeFault(
+      Answer(pending, adapter::EncodeError(
                           net::kGatewayTimeout,
                           "the store didn't answer; repeat the same id"));
       return;
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -268,7 +268,7 @@
   void Probe(const net::server_request& request,
              const net::responder& respond) {
     if (adapter::DecodePath(request.target) != adapter::kReadinessPath) {
-      respond(adapter::EncodeFault(net::kNotFound, "unknown path"));
+      respond(adapter::EncodeError(net::kNotFound, "unknown path"));
       return;
     }
     const bool is_ready = IsReady();
@@ -282,7 +282,7 @@
       LogEvent(job_event::kReadinessChanged, fields);
     }
     respond(is_ready ? net::server_response{net::kOk, {}, "{}"}
-                     : adapter::EncodeFault(net::kUnavailable, "not ready"));
+                     : adapter::EncodeError(net::kUnavailable, "not ready"));
   }
 
   net::server_response Metrics() {
--- a/src/jobs/log_follower.cc
+++ b/src/jobs/log_follower.cc
@@ -255,7 +255,7 @@
     }
     // The same bytes would come again for ever. The newest record of each key
     // is all that counts, and pages of those are framed in another way.
-    if (reply.outcome == read_outcome::kUnframed) {
+    if (reply.outcome == read_outcome::kInvalidFraming) {
       LogUnframed();
       PauseAfterFailure(&impl::LoadAgain);
       return;
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -204,7 +204,7 @@
         // one that holds none has left or has expired. A partition without a
         // member may still be on its way from one to another.
         const bool is_gone =
-            reply.is_read && reply.unowned == 0 &&
+            reply.is_read && reply.unowned_partitions == 0 &&
             reply.members.size() < kPoolPartitions &&
             ProcessesOf(reply.members).count(owner->predecessor_.member) == 0;
         owner->may_predecessor_act_ = !is_gone;
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -13,7 +13,7 @@
 namespace plantainhead::jobs {
 namespace {
 
-using adapter::kMostNumber;
+using adapter::kMaxExactInteger;
 using adapter::value_reader;
 using core::duration;
 using core::jobs::decoded;
@@ -33,7 +33,7 @@
 constexpr const char* kMark = "1";
 // As many as a submission may have.
 constexpr std::uint32_t kMostTasksOfStep = 10000;
-constexpr std::int64_t kMostMicroseconds = adapter::kMostMillis * 1000;
+constexpr std::int64_t kMostMicroseconds = adapter::kMaxMillis * 1000;
 
 // Names are one or two letters: the bytes of each record are paid for once when
 // it is written and once by every entry that reads it.
@@ -100,7 +100,7 @@
 }
 
 duration ReadDuration(const value_reader& field) {
-  return duration(field.Whole(0, kMostMicroseconds));
+  return duration(field.Integer(0, kMostMicroseconds));
 }
 
 // Each number is that of an earlier step: the length of a chain of steps is
@@ -115,7 +115,7 @@
       std::all_of(earlier.begin(), earlier.end(),
                   [number](std::uint32_t step) { return step < number; });
   if (!is_ordered) {
-    field.Fail(fault_kind::kOutOfRange);
+    field.ReportFault(fault_kind::kOutOfRange);
   }
   return earlier;
 }
@@ -124,9 +124,10 @@
   step_spec step;
   step.task_count = row.At("n").Count(1, kMostTasksOfStep);
   step.need = {
-      row.At("c").Whole(0, kMostNumber), row.At("m").Whole(0, kMostNumber),
+      row.At("c").Integer(0, kMaxExactInteger),
+      row.At("m").Integer(0, kMaxExactInteger),
       Optional(row.At("g"), std::int64_t{0}, [](const value_reader& field) {
-        return field.Whole(0, kMostNumber);
+        return field.Integer(0, kMaxExactInteger);
       })};
   step.estimate = ReadDuration(row.At("e"));
   step.depends_on = ReadEarlier(row.At("d"), number);
@@ -156,7 +157,7 @@
   spec.pool = record.At("p").Name();
   spec.payload = record.At("b").Text();
   const value_reader steps = record.At("s");
-  const std::size_t count = steps.Rows();
+  const std::size_t count = steps.RowCount();
   for (std::size_t i = 0; i < count; ++i) {
     spec.steps.push_back(ReadStep(steps.At(i), i));
   }
@@ -172,17 +173,17 @@
 }
 
 core::jobs::job_phase ReadFinalPhase(const value_reader& field) {
-  const auto phase = field.Named<core::jobs::job_phase>();
+  const auto phase = field.EnumValue<core::jobs::job_phase>();
   if (!core::jobs::IsFinal(phase)) {
-    field.Fail(fault_kind::kOutOfRange);
+    field.ReportFault(fault_kind::kOutOfRange);
   }
   return phase;
 }
 
 core::jobs::run_loss ReadLoss(const value_reader& row) {
   return {row.At(std::size_t{0}).Count(),
-          row.At(1).Named<core::jobs::loss_kind>(), row.At(2).Name(),
-          row.At(3).MaybeWhole(0, adapter::kMostMillis)};
+          row.At(1).EnumValue<core::jobs::loss_kind>(), row.At(2).Name(),
+          row.At(3).OptionalInteger(0, adapter::kMaxMillis)};
 }
 
 core::jobs::task_record ReadTask(const value_reader& row) {
@@ -198,7 +199,7 @@
     return field.Count(0, 1) != 0;
   });
   const value_reader losses = row.At(8);
-  const std::size_t loss_count = losses.IsMissing() ? 0 : losses.Rows();
+  const std::size_t loss_count = losses.IsMissing() ? 0 : losses.RowCount();
   for (std::size_t i = 0; i < loss_count; ++i) {
     task.losses.push_back(ReadLoss(losses.At(i)));
   }
@@ -207,10 +208,10 @@
 
 core::jobs::job_progress ReadProgress(const value_reader& record) {
   core::jobs::job_progress progress;
-  progress.phase = record.At("s").Named<core::jobs::job_phase>();
+  progress.phase = record.At("s").EnumValue<core::jobs::job_phase>();
   progress.untold_runs = OptionalCount(record.At("u"));
   const value_reader tasks = record.At("t");
-  const std::size_t count = tasks.IsMissing() ? 0 : tasks.Rows();
+  const std::size_t count = tasks.IsMissing() ? 0 : tasks.RowCount();
   for (std::size_t i = 0; i < count; ++i) {
     progress.tasks.push_back(ReadTask(tasks.At(i)));
   }
@@ -219,8 +220,8 @@
 
 owner_record ReadOwner(const value_reader& record) {
   owner_record owner;
-  owner.epoch =
-      static_cast<std::uint64_t>(record.At("epoch").Whole(1, kMostNumber));
+  owner.epoch = static_cast<std::uint64_t>(
+      record.At("epoch").Integer(1, kMaxExactInteger));
   owner.member = record.At("member").Text(core::jobs::kMaxNameBytes);
   const value_reader leases = record.At("leases");
   const auto* fields = leases.IsMissing() ? nullptr : leases.Fields();
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -53,8 +53,8 @@
       ++counts_.unknown_route;
       // The process that passed the request on knows the queue.
       respond(peers::HopsOf(request) > 0
-                  ? adapter::EncodeFault(net::kMisdirected, "no such queue")
-                  : adapter::EncodeFault(net::kNotFound, "no such queue"));
+                  ? adapter::EncodeError(net::kMisdirected, "no such queue")
+                  : adapter::EncodeError(net::kNotFound, "no such queue"));
       return;
     }
     const caller_request asked{
@@ -84,7 +84,7 @@
   void HandleJob(const caller_request& asked) {
     if (!adapter::IsJobId(asked.id)) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
+      asked.respond(adapter::EncodeError(net::kBadRequest,
                                          "the path doesn't end in a job's id"));
       return;
     }
@@ -100,7 +100,7 @@
         Cancel(asked);
         return;
       case net::method::kOther:
-        asked.respond(adapter::EncodeFault(net::kMethodNotAllowed,
+        asked.respond(adapter::EncodeError(net::kMethodNotAllowed,
                                            "use POST, GET or DELETE"));
         return;
     }
@@ -114,13 +114,13 @@
   net::server_response NotHere(const net::server_request& request,
                                const std::string& why) const {
     return peers::HopsOf(request) > 0
-               ? adapter::EncodeFault(net::kMisdirected, why)
+               ? adapter::EncodeError(net::kMisdirected, why)
                : Refusal(why);
   }
 
   core::time_point GiveUpAt(const net::server_request& request) const {
     const milliseconds patience =
-        adapter::DecodePatience(request).value_or(settings_.default_patience);
+        adapter::DecodeTimeout(request).value_or(settings_.default_patience);
     const milliseconds usable =
         std::max(patience - settings_.answer_reserve, patience / 2);
     return BootTime() + usable;
@@ -163,7 +163,7 @@
   }
 
   net::server_response UnknownJob(bool is_read) const {
-    return is_read ? adapter::EncodeFault(net::kGone, "no such job")
+    return is_read ? adapter::EncodeError(net::kGone, "no such job")
                    : Refusal("the store can't be read");
   }
 
@@ -186,7 +186,7 @@
     adapter::decoded_job decoded = adapter::DecodeJob(asked.request.body);
     if (!decoded.spec) {
       ++counts_.malformed;
-      asked.respond(adapter::EncodeFault(net::kBadRequest,
+      asked.respond(adapter::EncodeError(net::kBadRequest,
                                          "malformed: " + decoded.fault));
       return;
     }
--- a/src/jobs/waiting_counts.cc
+++ b/src/jobs/waiting_counts.cc
@@ -50,7 +50,7 @@
              {{"queue", queue},
               {"waiting", std::to_string(waiting)},
               {"copy_age_ms", MillisOf(world_.JobCopyAge(queue))}});
-    respond(adapter::EncodePending(waiting));
+    respond(adapter::EncodePendingCount(waiting));
   }
 
   job_world& world_;
--- a/src/net/address.cc
+++ b/src/net/address.cc
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::tcp;
 
-std::optional<tcp::endpoint> ReadAddress(const std::string& text) {
+std::optional<tcp::endpoint> TryParseAddress(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) {
     return std::nullopt;
@@ -30,7 +30,7 @@
 }  // namespace
 
 tcp::endpoint ParseAddress(const std::string& text) {
-  const auto endpoint = ReadAddress(text);
+  const auto endpoint = TryParseAddress(text);
   if (!endpoint) {
     throw std::invalid_argument("not an address of the form IP:PORT: " + text);
   }
@@ -38,7 +38,7 @@
 }
 
 bool IsAddress(const std::string& text) {
-  const auto endpoint = ReadAddress(text);
+  const auto endpoint = TryParseAddress(text);
   return endpoint && endpoint->port() != 0;
 }
 
--- a/src/net/call_outcome.h
+++ b/src/net/call_outcome.h
@@ -6,7 +6,7 @@
 namespace plantainhead::net {
 
 /// How far a request got.
-enum class delivery {
+enum class call_outcome {
   /// No connection was made, so the request was not sent.
   kNotSent,
   /// It was sent, at least in part, and no whole answer came in time.
@@ -15,13 +15,13 @@
   kAnswered,
 };
 
-inline constexpr core::name_table<delivery, 3> kDeliveryNames = {{
-    {delivery::kNotSent, "not sent"},
-    {delivery::kUnanswered, "no whole answer"},
-    {delivery::kAnswered, "answered"},
+inline constexpr core::name_table<call_outcome, 3> kCallOutcomeNames = {{
+    {call_outcome::kNotSent, "not sent"},
+    {call_outcome::kUnanswered, "no whole answer"},
+    {call_outcome::kAnswered, "answered"},
 }};
-inline constexpr const auto& NamesOf(delivery) {
-  return kDeliveryNames;
+inline constexpr const auto& NamesOf(call_outcome) {
+  return kCallOutcomeNames;
 }
 
 }  // namespace plantainhead::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -29,14 +29,14 @@
 
 // Above the largest answer of the store: a read of 1 MiB with its frame, or a
 // page of records of 1 MB in base64.
-constexpr std::size_t kMostAnswerBytes = std::size_t{8} << 20U;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{8} << 20U;
 
 // What is asked of a socket at once: enough for nearly all answers of VMs, and
 // for a large one as much as a socket holds.
-constexpr std::size_t kFirstPiece = std::size_t{4} << 10U;
-constexpr std::size_t kMostPiece = std::size_t{256} << 10U;
+constexpr std::size_t kMinReadBytes = std::size_t{4} << 10U;
+constexpr std::size_t kMaxReadBytes = std::size_t{256} << 10U;
 
-std::string_view NameOfVerb(method verb) {
+std::string_view RequestLinePrefix(method verb) {
   switch (verb) {
     case method::kPost:
       return "POST ";
@@ -57,11 +57,12 @@
 // views of the fields and goes through it for each write, which an owner that
 // sends some thousand small requests a second has no processor time for.
 // Precondition: no name or value holds a line end.
-std::string ToText(const client_request& request, const std::string& host) {
-  constexpr std::size_t kUsualHeadBytes = 256;
+std::string SerializeRequest(const client_request& request,
+                             const std::string& host) {
+  constexpr std::size_t kTypicalHeaderBytes = 256;
   std::string text;
-  text.reserve(kUsualHeadBytes + request.body.size());
-  text.append(NameOfVerb(request.verb))
+  text.reserve(kTypicalHeaderBytes + request.body.size());
+  text.append(RequestLinePrefix(request.verb))
       .append(request.target)
       .append(" HTTP/1.1\r\n");
   if (FindHeader(request.headers, "Host").empty()) {
@@ -103,27 +104,27 @@
 
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
-            late_answer late,
+            late_answer_policy late,
             reply_handler on_reply) {
     auto call = std::make_shared<pending_call>(context_);
     call->on_reply = std::move(on_reply);
     call->late = std::move(late);
     call->deadline = steady_clock::now() + timeout;
-    call->text = ToText(request, host_);
+    call->text = SerializeRequest(request, host_);
     call->may_send = request.may_send;
-    call->last_deadline = call->deadline + options_.answer_limit;
-    waiting_.push_back(call);
+    call->max_deadline = call->deadline + options_.answer_timeout;
+    queued_calls_.push_back(call);
     AwaitDeadline(call);
     StartNext();
   }
 
   void Close() {
     is_closed_ = true;
-    waiting_.clear();
+    queued_calls_.clear();
     idle_.clear();
   }
 
-  std::uint64_t opened() const { return opened_; }
+  std::uint64_t opened() const { return opened_count_; }
 
  private:
   struct connection {
@@ -140,30 +141,30 @@
     std::function<bool()> may_send;
     http::response_parser<http::string_body> parser;
     reply_handler on_reply;
-    late_answer late;
+    late_answer_policy late;
     steady_clock::time_point sent_at;
     steady_clock::time_point deadline;
-    steady_clock::time_point last_deadline;
+    steady_clock::time_point max_deadline;
     asio::steady_timer timer;
-    connection_ptr held;
+    connection_ptr active_connection;
     /// How much of the answer had arrived at the last deadline.
-    std::size_t arrived = 0;
+    std::size_t arrived_bytes = 0;
     bool is_sent = false;
-    bool is_over = false;
+    bool is_finished = false;
   };
   using call_ptr = std::shared_ptr<pending_call>;
 
   void StartNext() {
-    while (!waiting_.empty() && !is_closed_) {
+    while (!queued_calls_.empty() && !is_closed_) {
       connection_ptr free = TakeIdle();
-      if (!free && busy_ >= options_.most_connections) {
+      if (!free && in_use_ >= options_.max_connections) {
         return;
       }
-      const call_ptr call = waiting_.front();
-      waiting_.pop_front();
-      ++busy_;
+      const call_ptr call = queued_calls_.front();
+      queued_calls_.pop_front();
+      ++in_use_;
       if (free) {
-        call->held = std::move(free);
+        call->active_connection = std::move(free);
         WriteIfAllowed(call);
       } else {
         Connect(call);
@@ -176,7 +177,7 @@
       connection_ptr last = std::move(idle_.back());
       idle_.pop_back();
       const bool is_fresh =
-          steady_clock::now() - last->idle_since < options_.idle_limit;
+          steady_clock::now() - last->idle_since < options_.idle_timeout;
       if (is_fresh && IsUsable(&last->stream)) {
         return last;
       }
@@ -185,18 +186,19 @@
   }
 
   void Connect(const call_ptr& call) {
-    ++opened_;
-    call->held = std::make_unique<connection>(context_);
-    call->held->stream.async_connect(
+    ++opened_count_;
+    call->active_connection = std::make_unique<connection>(context_);
+    call->active_connection->stream.async_connect(
         endpoint_, [self = shared_from_this(), call](error_code error) {
-          if (call->is_over) {
+          if (call->is_finished) {
             return;
           }
           if (error) {
-            self->Finish(call, {delivery::kNotSent, 0, {}}, false);
+            self->Finish(call, {call_outcome::kNotSent, 0, {}}, false);
             return;
           }
-          SetSocketOptions(call->held->stream.socket().native_handle());
+          SetSocketOptions(
+              call->active_connection->stream.socket().native_handle());
           self->WriteIfAllowed(call);
         });
   }
@@ -210,8 +212,8 @@
     }
     asio::post(context_, [self = weak_from_this(), call] {
       const auto client = self.lock();
-      if (client && !call->is_over) {
-        client->Finish(call, {delivery::kNotSent, 0, {}}, true);
+      if (client && !call->is_finished) {
+        client->Finish(call, {call_outcome::kNotSent, 0, {}}, true);
       }
     });
   }
@@ -220,13 +222,13 @@
     call->is_sent = true;
     call->sent_at = steady_clock::now();
     asio::async_write(
-        call->held->stream, asio::buffer(call->text),
+        call->active_connection->stream, asio::buffer(call->text),
         [self = shared_from_this(), call](error_code error, std::size_t) {
-          if (call->is_over) {
+          if (call->is_finished) {
             return;
           }
           if (error) {
-            self->Finish(call, {delivery::kUnanswered, 0, {}}, false);
+            self->Finish(call, {call_outcome::kUnanswered, 0, {}}, false);
             return;
           }
           self->Read(call);
@@ -234,32 +236,32 @@
   }
 
   void Read(const call_ptr& call) {
-    call->parser.body_limit(kMostAnswerBytes);
+    call->parser.body_limit(kMaxAnswerBytes);
     call->parser.eager(true);
-    ReadPiece(call);
+    ReadMore(call);
   }
 
   // The library's own loop asks for 512 bytes at a time of a buffer that is
   // consumed as it fills. Each piece waits for its turn behind all else that is
   // due, so that a busy process would take seconds to read some hundred KB.
-  void ReadPiece(const call_ptr& call) {
-    call->held->stream.async_read_some(
-        call->held->buffer.prepare(NextPiece(call->parser)),
+  void ReadMore(const call_ptr& call) {
+    call->active_connection->stream.async_read_some(
+        call->active_connection->buffer.prepare(NextReadSize(call->parser)),
         [self = shared_from_this(), call](error_code error, std::size_t bytes) {
-          if (!call->is_over) {
-            self->TakePiece(call, error, bytes);
+          if (!call->is_finished) {
+            self->OnBytesRead(call, error, bytes);
           }
         });
   }
 
-  static std::size_t NextPiece(
+  static std::size_t NextReadSize(
       const http::response_parser<http::string_body>& parser) {
     const std::uint64_t wanted =
         parser.is_header_done()
-            ? parser.content_length_remaining().value_or(kMostPiece)
-            : kFirstPiece;
+            ? parser.content_length_remaining().value_or(kMaxReadBytes)
+            : kMinReadBytes;
     return static_cast<std::size_t>(
-        std::clamp<std::uint64_t>(wanted, kFirstPiece, kMostPiece));
+        std::clamp<std::uint64_t>(wanted, kMinReadBytes, kMaxReadBytes));
   }
 
   static error_code Parse(beast::flat_buffer* buffer,
@@ -273,8 +275,8 @@
     return error == http::error::need_more ? error_code() : error;
   }
 
-  void TakePiece(const call_ptr& call, error_code error, std::size_t bytes) {
-    beast::flat_buffer& buffer = call->held->buffer;
+  void OnBytesRead(const call_ptr& call, error_code error, std::size_t bytes) {
+    beast::flat_buffer& buffer = call->active_connection->buffer;
     buffer.commit(bytes);
     if (error == asio::error::eof && call->parser.got_some()) {
       call->parser.put_eof(error);
@@ -282,15 +284,15 @@
       error = Parse(&buffer, &call->parser);
     }
     if (error) {
-      Finish(call, {delivery::kUnanswered, 0, {}}, false);
+      Finish(call, {call_outcome::kUnanswered, 0, {}}, false);
       return;
     }
     if (!call->parser.is_done()) {
-      ReadPiece(call);
+      ReadMore(call);
       return;
     }
     auto message = call->parser.release();
-    client_reply reply{delivery::kAnswered, message.result_int(),
+    client_reply reply{call_outcome::kAnswered, message.result_int(),
                        std::move(message.body())};
     Finish(call, std::move(reply), message.keep_alive() && buffer.size() == 0);
   }
@@ -300,7 +302,7 @@
     call->timer.async_wait([self = weak_from_this(), call](error_code error) {
       const auto client = self.lock();
       if (client && !error) {
-        client->Expire(call);
+        client->OnDeadline(call);
       }
     });
   }
@@ -312,45 +314,46 @@
 
   // Returns whether more of the answer has arrived since the last deadline, so
   // that there is a new one.
-  bool Prolong(const call_ptr& call) {
-    const std::size_t arrived = ArrivedBytes(call.get());
-    const bool is_arriving = call->is_sent && arrived > call->arrived &&
-                             call->deadline < call->last_deadline;
+  bool ExtendDeadline(const call_ptr& call) {
+    const std::size_t arrived_bytes = ArrivedBytes(call.get());
+    const bool is_arriving = call->is_sent &&
+                             arrived_bytes > call->arrived_bytes &&
+                             call->deadline < call->max_deadline;
     if (is_arriving) {
-      call->arrived = arrived;
+      call->arrived_bytes = arrived_bytes;
       call->deadline =
-          std::min(call->deadline + options_.stall_limit, call->last_deadline);
+          std::min(call->deadline + options_.stall_timeout, call->max_deadline);
       AwaitDeadline(call);
     }
     return is_arriving;
   }
 
-  void Expire(const call_ptr& call) {
-    if (call->is_over || Prolong(call)) {
+  void OnDeadline(const call_ptr& call) {
+    if (call->is_finished || ExtendDeadline(call)) {
       return;
     }
-    const bool is_waiting = call->held == nullptr;
+    const bool is_waiting = call->active_connection == nullptr;
     if (is_waiting) {
-      std::erase(waiting_, call);
-      call->is_over = true;
-      Answer(call, {delivery::kNotSent, 0, {}});
+      std::erase(queued_calls_, call);
+      call->is_finished = true;
+      CallHandler(call, {call_outcome::kNotSent, 0, {}});
       return;
     }
-    const delivery reached =
-        call->is_sent ? delivery::kUnanswered : delivery::kNotSent;
+    const call_outcome outcome =
+        call->is_sent ? call_outcome::kUnanswered : call_outcome::kNotSent;
     if (call->is_sent) {
       DropIdleSince(call->sent_at);
     }
-    if (call->is_sent && call->late.patience.count() > 0) {
+    if (call->is_sent && call->late.extra_wait.count() > 0) {
       AwaitLateAnswer(call);
       return;
     }
-    Finish(call, {reached, 0, {}}, false);
+    Finish(call, {outcome, 0, {}}, false);
   }
 
   void AwaitLateAnswer(const call_ptr& call) {
-    call->deadline += std::exchange(call->late.patience, {});
-    call->last_deadline = std::max(call->last_deadline, call->deadline);
+    call->deadline += std::exchange(call->late.extra_wait, {});
+    call->max_deadline = std::max(call->max_deadline, call->deadline);
     AwaitDeadline(call);
     const auto on_late = std::exchange(call->late.on_late, nullptr);
     if (on_late && !is_closed_) {
@@ -369,30 +372,31 @@
   }
 
   void Finish(const call_ptr& call, client_reply reply, bool is_reusable) {
-    call->is_over = true;
+    call->is_finished = true;
     call->timer.cancel();
-    --busy_;
+    --in_use_;
     if (is_reusable && !is_closed_) {
-      call->held->idle_since = steady_clock::now();
+      call->active_connection->idle_since = steady_clock::now();
       // A large answer's buffer isn't kept for the next small one.
-      call->held->buffer.consume(call->held->buffer.size());
-      call->held->buffer.shrink_to_fit();
-      idle_.push_back(std::move(call->held));
+      call->active_connection->buffer.consume(
+          call->active_connection->buffer.size());
+      call->active_connection->buffer.shrink_to_fit();
+      idle_.push_back(std::move(call->active_connection));
     } else {
       error_code ignored;
       // What was sent of a call that is given up isn't sent again: it would be
       // carried out when the path to the peer is back, long after its time.
-      call->held->stream.socket().set_option(asio::socket_base::linger(true, 0),
-                                             ignored);
-      call->held->stream.socket().close(ignored);
+      call->active_connection->stream.socket().set_option(
+          asio::socket_base::linger(true, 0), ignored);
+      call->active_connection->stream.socket().close(ignored);
       // The handlers that are still due refer to the connection through the
       // call, which they hold.
     }
-    Answer(call, std::move(reply));
+    CallHandler(call, std::move(reply));
     StartNext();
   }
 
-  void Answer(const call_ptr& call, client_reply reply) {
+  void CallHandler(const call_ptr& call, client_reply reply) {
     const reply_handler on_reply = std::move(call->on_reply);
     call->on_reply = nullptr;
     if (on_reply && !is_closed_) {
@@ -404,10 +408,10 @@
   asio::ip::tcp::endpoint endpoint_;
   std::string host_;
   http_client_options options_;
-  std::deque<call_ptr> waiting_;
+  std::deque<call_ptr> queued_calls_;
   std::vector<connection_ptr> idle_;
-  std::size_t busy_ = 0;
-  std::uint64_t opened_ = 0;
+  std::size_t in_use_ = 0;
+  std::uint64_t opened_count_ = 0;
   bool is_closed_ = false;
 };
 
@@ -428,7 +432,7 @@
 
 void http_client::Send(const client_request& request,
                        std::chrono::milliseconds timeout,
-                       late_answer late,
+                       late_answer_policy late,
                        reply_handler on_reply) {
   impl_->Send(request, timeout, std::move(late), std::move(on_reply));
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -18,22 +18,22 @@
 
 struct http_client_options {
   /// Calls beyond it wait for a connection, within their own timeout.
-  std::size_t most_connections = 4;
+  std::size_t max_connections = 4;
   /// A connection unused for this time is closed.
-  std::chrono::milliseconds idle_limit = std::chrono::seconds(20);
+  std::chrono::milliseconds idle_timeout = std::chrono::seconds(20);
   /// An answer that is still arriving when its call's timeout is over gets this
   /// time for each further piece: a page of 1.3 MB takes 1.1 s over the slowest
   /// link (10 Mbit/s), and several share it when a process starts. A call that
   /// ended then would be repeated and would never succeed.
-  std::chrono::milliseconds stall_limit = std::chrono::milliseconds(900);
+  std::chrono::milliseconds stall_timeout = std::chrono::milliseconds(900);
   /// But all of it must have arrived within this time.
-  std::chrono::milliseconds answer_limit = std::chrono::seconds(20);
+  std::chrono::milliseconds answer_timeout = std::chrono::seconds(20);
 };
 
 /// What happens when an answer is late but may still come.
-struct late_answer {
+struct late_answer_policy {
   /// The answer is awaited this much longer. Zero: not at all.
-  std::chrono::milliseconds patience{0};
+  std::chrono::milliseconds extra_wait{0};
   /// Is called, once, when that begins.
   std::function<void()> on_late;
 };
@@ -68,7 +68,7 @@
   /// then.
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
-            late_answer late,
+            late_answer_policy late,
             reply_handler on_reply);
 
   /// Returns how many connections were opened so far.
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -32,7 +32,7 @@
 };
 
 struct client_reply {
-  delivery reached = delivery::kNotSent;
+  call_outcome outcome = call_outcome::kNotSent;
   /// Of a whole answer.
   unsigned status = 0;
   std::string body;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -22,11 +22,11 @@
 using boost::system::error_code;
 
 // After an accept failed for want of descriptors the next try waits this long.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 // Of a session's buffer: nearly all requests fit, so that each is read at once.
 // The library reads no more at a time than the buffer has room for.
-constexpr std::size_t kRequestBytes = std::size_t{4} << 10U;
+constexpr std::size_t kInitialBufferBytes = std::size_t{4} << 10U;
 
 method ToMethod(http::verb verb) {
   switch (verb) {
@@ -57,7 +57,7 @@
   void Accept() {
     acceptor_.async_accept([self = shared_from_this()](
                                error_code error, asio::ip::tcp::socket socket) {
-      self->TakeConnection(error, std::move(socket));
+      self->OnAccept(error, std::move(socket));
     });
   }
 
@@ -67,9 +67,9 @@
     error_code ignored;
     acceptor_.close(ignored);
     const auto copy = sessions_;
-    for (const auto& open : copy) {
-      if (!open->is_active) {
-        open->stream.socket().close(ignored);
+    for (const auto& client_session : copy) {
+      if (!client_session->is_active) {
+        client_session->stream.socket().close(ignored);
       }
     }
   }
@@ -80,18 +80,18 @@
     accept_timer_.cancel();
     handler_ = nullptr;
     const auto copy = sessions_;
-    for (const auto& open : copy) {
-      open->stream.socket().close(ignored);
+    for (const auto& client_session : copy) {
+      client_session->stream.socket().close(ignored);
     }
     sessions_.clear();
   }
 
-  std::size_t active() const { return active_; }
+  std::size_t active_requests() const { return active_requests_; }
 
  private:
   struct session {
     explicit session(asio::ip::tcp::socket socket) : stream(std::move(socket)) {
-      buffer.reserve(kRequestBytes);
+      buffer.reserve(kInitialBufferBytes);
     }
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
@@ -101,12 +101,12 @@
   };
   using session_ptr = std::shared_ptr<session>;
 
-  void TakeConnection(error_code error, asio::ip::tcp::socket socket) {
+  void OnAccept(error_code error, asio::ip::tcp::socket socket) {
     if (!acceptor_.is_open()) {
       return;
     }
     if (error) {
-      accept_timer_.expires_after(kAcceptPause);
+      accept_timer_.expires_after(kAcceptRetryDelay);
       accept_timer_.async_wait([self = shared_from_this()](error_code stopped) {
         if (!stopped) {
           self->Accept();
@@ -114,31 +114,32 @@
       });
       return;
     }
-    if (sessions_.size() < options_.most_connections) {
+    if (sessions_.size() < options_.max_connections) {
       SetSocketOptions(socket.native_handle());
-      auto opened = std::make_shared<session>(std::move(socket));
-      sessions_.insert(opened);
-      Read(opened);
+      auto new_session = std::make_shared<session>(std::move(socket));
+      sessions_.insert(new_session);
+      Read(new_session);
     }
     Accept();
   }
 
-  void Read(const session_ptr& open) {
-    open->is_active = false;
-    open->parser.emplace();
-    open->parser->body_limit(options_.body_limit);
-    open->stream.expires_after(options_.idle_limit);
-    http::async_read(
-        open->stream, open->buffer, *open->parser,
-        [self = shared_from_this(), open](error_code error, std::size_t) {
-          self->TakeRequest(open, error);
-        });
+  void Read(const session_ptr& client_session) {
+    client_session->is_active = false;
+    client_session->parser.emplace();
+    client_session->parser->body_limit(options_.body_limit);
+    client_session->stream.expires_after(options_.idle_timeout);
+    http::async_read(client_session->stream, client_session->buffer,
+                     *client_session->parser,
+                     [self = shared_from_this(), client_session](
+                         error_code error, std::size_t) {
+                       self->OnRequestRead(client_session, error);
+                     });
   }
 
-  void TakeRequest(const session_ptr& open, error_code error) {
+  void OnRequestRead(const session_ptr& client_session, error_code error) {
     if (error == http::error::body_limit) {
-      Begin(open);
-      Write(open,
+      BeginRequest(client_session);
+      Write(client_session,
             {kContentTooLarge, {}, R"({"error":"the body is too large"})"},
             false);
       return;
@@ -150,18 +151,18 @@
         error != http::error::end_of_stream &&
         error != http::error::partial_message;
     if (is_malformed) {
-      Begin(open);
-      Write(open, {kBadRequest, {}, R"({"error":"malformed HTTP request"})"},
-            false);
+      BeginRequest(client_session);
+      Write(client_session,
+            {kBadRequest, {}, R"({"error":"malformed HTTP request"})"}, false);
       return;
     }
     if (error) {
-      Drop(open);
+      CloseSession(client_session);
       return;
     }
-    Begin(open);
-    auto message = open->parser->release();
-    open->parser.reset();
+    BeginRequest(client_session);
+    auto message = client_session->parser->release();
+    client_session->parser.reset();
     const bool keep_alive = message.keep_alive();
     server_request request;
     request.verb = ToMethod(message.method());
@@ -175,59 +176,60 @@
     if (!handler_) {
       return;
     }
-    handler_(std::move(request), [self = weak_from_this(), open,
+    handler_(std::move(request), [self = weak_from_this(), client_session,
                                   keep_alive](server_response response) {
       if (const auto server = self.lock()) {
-        server->Write(open, std::move(response), keep_alive);
+        server->Write(client_session, std::move(response), keep_alive);
       }
     });
   }
 
-  void Begin(const session_ptr& open) {
-    open->is_active = true;
-    ++active_;
-    open->stream.expires_never();
+  void BeginRequest(const session_ptr& client_session) {
+    client_session->is_active = true;
+    ++active_requests_;
+    client_session->stream.expires_never();
   }
 
-  void Write(const session_ptr& open,
+  void Write(const session_ptr& client_session,
              server_response response,
              bool keep_alive) {
-    open->response = {};
-    open->response.version(11);
-    open->response.result(response.status);
+    client_session->response = {};
+    client_session->response.version(11);
+    client_session->response.result(response.status);
     for (const auto& [name, value] : response.headers) {
-      open->response.set(name, value);
+      client_session->response.set(name, value);
     }
     if (!response.body.empty()) {
-      open->response.set(http::field::content_type, response.content_type);
+      client_session->response.set(http::field::content_type,
+                                   response.content_type);
     }
-    open->response.body() = std::move(response.body);
-    open->response.keep_alive(keep_alive && !is_stopping_);
-    open->response.prepare_payload();
-    open->stream.expires_after(options_.transfer_limit);
-    http::async_write(
-        open->stream, open->response,
-        [self = shared_from_this(), open](error_code error, std::size_t) {
-          --self->active_;
-          self->AfterWrite(open, error);
-        });
+    client_session->response.body() = std::move(response.body);
+    client_session->response.keep_alive(keep_alive && !is_stopping_);
+    client_session->response.prepare_payload();
+    client_session->stream.expires_after(options_.transfer_timeout);
+    http::async_write(client_session->stream, client_session->response,
+                      [self = shared_from_this(), client_session](
+                          error_code error, std::size_t) {
+                        --self->active_requests_;
+                        self->OnResponseWritten(client_session, error);
+                      });
   }
 
-  void AfterWrite(const session_ptr& open, error_code error) {
-    if (error || !open->response.keep_alive()) {
+  void OnResponseWritten(const session_ptr& client_session, error_code error) {
+    if (error || !client_session->response.keep_alive()) {
       error_code ignored;
-      open->stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send,
-                                     ignored);
-      Drop(open);
+      client_session->stream.socket().shutdown(
+          asio::ip::tcp::socket::shutdown_send, ignored);
+      CloseSession(client_session);
       return;
     }
-    Read(open);
+    Read(client_session);
   }
 
-  void Drop(const session_ptr& open) {
+  void CloseSession(const session_ptr& client_session) {
     error_code ignored;
-    open->stream.socket().close(ignored);
-    sessions_.erase(open);
+    client_session->stream.socket().close(ignored);
+    sessions_.erase(client_session);
   }
 
   asio::ip::tcp::acceptor acceptor_;
@@ -235,7 +237,7 @@
   http_server_options options_;
   request_handler handler_;
   std::set<session_ptr> sessions_;
-  std::size_t active_ = 0;
+  std::size_t active_requests_ = 0;
   bool is_stopping_ = false;
 };
 
@@ -263,7 +265,7 @@
 }
 
 std::size_t http_server::ActiveRequests() const {
-  return impl_->active();
+  return impl_->active_requests();
 }
 
 }  // namespace plantainhead::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -19,11 +19,11 @@
   /// A larger body is answered with 413.
   std::size_t body_limit = std::size_t{256} << 10U;
   /// A connection without a request is closed after this time.
-  std::chrono::milliseconds idle_limit = std::chrono::seconds(60);
+  std::chrono::milliseconds idle_timeout = std::chrono::seconds(60);
   /// Time to send a request, and to take the answer.
-  std::chrono::milliseconds transfer_limit = std::chrono::seconds(10);
+  std::chrono::milliseconds transfer_timeout = std::chrono::seconds(10);
   /// Connections beyond it are closed at once.
-  std::size_t most_connections = 2000;
+  std::size_t max_connections = 2000;
 };
 
 /// Serves HTTP/1.1 on one address. A request waits on no thread.
--- a/src/peers/owner_announcement.cc
+++ b/src/peers/owner_announcement.cc
@@ -19,11 +19,11 @@
 core::jobs::owner_address ReadOwner(const value_reader& record) {
   core::jobs::owner_address owner;
   owner.epoch = static_cast<std::uint64_t>(
-      record.At("epoch").Whole(1, adapter::kMostNumber));
+      record.At("epoch").Integer(1, adapter::kMaxExactInteger));
   const value_reader address = record.At("address");
   owner.address = address.Text(core::jobs::kMaxNameBytes);
   if (!address.HasFault() && !net::IsAddress(owner.address)) {
-    address.Fail(fault_kind::kOutOfRange);
+    address.ReportFault(fault_kind::kOutOfRange);
   }
   return owner;
 }
--- a/src/peers/owner_links.cc
+++ b/src/peers/owner_links.cc
@@ -71,7 +71,7 @@
     link& found = links_[owner.address];
     if (!found.client) {
       net::http_client_options options;
-      options.most_connections = settings_.most_connections;
+      options.max_connections = settings_.most_connections;
       found.client =
           std::make_unique<net::http_client>(&context_, owner.address, options);
     }
@@ -104,24 +104,24 @@
 
   void TakeReply(const call_ptr& call, const net::client_reply& reply) {
     const core::time_point now = BootTime();
-    if (reply.reached == net::delivery::kAnswered) {
+    if (reply.outcome == net::call_outcome::kAnswered) {
       LinkTo(call->owner).answered_at = now;
       answered_at_ = now;
     }
     if (call->is_over) {
       return;
     }
-    const bool is_refused = reply.reached == net::delivery::kAnswered &&
+    const bool is_refused = reply.outcome == net::call_outcome::kAnswered &&
                             reply.status == net::kMisdirected;
     const bool is_answered =
-        reply.reached == net::delivery::kAnswered && !is_refused;
+        reply.outcome == net::call_outcome::kAnswered && !is_refused;
     if (is_answered) {
       book_.NoteAnswered(call->partition, call->owner.epoch);
       End(call, {pass_outcome::kAnswered, reply.status, reply.body});
       return;
     }
     book_.NoteFailed(call->partition, call->owner.epoch, now);
-    const bool may_be_taken = reply.reached == net::delivery::kUnanswered;
+    const bool may_be_taken = reply.outcome == net::call_outcome::kUnanswered;
     End(call, {may_be_taken ? pass_outcome::kUnknown : pass_outcome::kNotTaken,
                reply.status,
                {}});
--- a/src/peers/passed_request.cc
+++ b/src/peers/passed_request.cc
@@ -19,7 +19,7 @@
   passed.target = request.target;
   passed.body = request.body;
   passed.headers.emplace_back("Host", request.host);
-  passed.headers.push_back(adapter::EncodePatience(patience));
+  passed.headers.push_back(adapter::EncodeTimeout(patience));
   passed.headers.emplace_back(kHopsHeader, std::to_string(HopsOf(request) + 1));
   return passed;
 }
--- a/src/platform/appender.cc
+++ b/src/platform/appender.cc
@@ -62,7 +62,7 @@
   // targets appear that its author was told had failed.
   const bool is_refusal =
       reply.status >= kClientErrorBegin && reply.status < kClientErrorEnd;
-  if (reply.reached == delivery::kNotSent || is_refusal) {
+  if (reply.reached == call_outcome::kNotSent || is_refusal) {
     finished.result = core::append_result::kRejected;
   } else if (reply.IsSuccess()) {
     try {
--- a/src/platform/http_client.cc
+++ b/src/platform/http_client.cc
@@ -13,7 +13,7 @@
 http_reply ToReply(httplib::Result result) {
   http_reply reply;
   if (result) {
-    reply.reached = delivery::kAnswered;
+    reply.reached = call_outcome::kAnswered;
     reply.status = result->status;
     reply.body = std::move(result->body);
     return reply;
@@ -22,19 +22,20 @@
   const bool is_connected = error != httplib::Error::Connection &&
                             error != httplib::Error::ConnectionTimeout &&
                             error != httplib::Error::BindIPAddress;
-  reply.reached = is_connected ? delivery::kUnanswered : delivery::kNotSent;
+  reply.reached =
+      is_connected ? call_outcome::kUnanswered : call_outcome::kNotSent;
   return reply;
 }
 
 }  // namespace
 
 bool http_reply::IsSuccess() const {
-  return reached == delivery::kAnswered && status >= kSuccessBegin &&
+  return reached == call_outcome::kAnswered && status >= kSuccessBegin &&
          status < kSuccessEnd;
 }
 
 std::string http_reply::Fault() const {
-  if (reached == delivery::kAnswered) {
+  if (reached == call_outcome::kAnswered) {
     return "status " + std::to_string(status);
   }
   return std::string(core::NameOf(reached));
--- a/src/platform/http_client.h
+++ b/src/platform/http_client.h
@@ -12,10 +12,10 @@
 
 namespace plantainhead::platform {
 
-using net::delivery;
+using net::call_outcome;
 
 struct http_reply {
-  delivery reached = delivery::kNotSent;
+  call_outcome reached = call_outcome::kNotSent;
   /// Of the answer, when there is one.
   int status = 0;
   std::string body;
--- a/src/platform/operation_runner.cc
+++ b/src/platform/operation_runner.cc
@@ -112,7 +112,7 @@
       client_.Post("/operations/" + EscapeSegment(item.what.operation.value()),
                    Dump(WriteOperation(item.what.what)));
   const bool is_running =
-      reply.reached == delivery::kAnswered && reply.status == kStillRunning;
+      reply.reached == call_outcome::kAnswered && reply.status == kStillRunning;
   if (is_running && steady::now() < item.give_up) {
     return std::nullopt;
   }
--- a/tests/adapter/fleet_client_test.cc
+++ b/tests/adapter/fleet_client_test.cc
@@ -15,12 +15,12 @@
 using std::chrono::hours;
 using testing::RunUntil;
 
-constexpr int kServices = 200;
+constexpr int kServiceCalls = 200;
 
 /// Answers all calls but services.
-class busy_platform {
+class stalled_service_platform {
  public:
-  explicit busy_platform(boost::asio::io_context* context)
+  explicit stalled_service_platform(boost::asio::io_context* context)
       : address(testing::FreeAddress()),
         server_(context,
                 address,
@@ -28,14 +28,14 @@
                 [this](const net::server_request& request,
                        const net::responder& respond) {
                   if (request.target == "/plantainhead/machine-upkeep") {
-                    ++services;
+                    ++service_calls;
                   } else {
                     respond({200, {}, R"({"machines":[],"next_token":null})"});
                   }
                 }) {}
 
   std::string address;
-  int services = 0;
+  int service_calls = 0;
 
  private:
   net::http_server server_;
@@ -45,26 +45,26 @@
 // moves waited for connections behind its services until they were too old.
 TEST_CASE("A service that waits for its answer holds up nothing else") {
   boost::asio::io_context context;
-  busy_platform platform(&context);
+  stalled_service_platform platform(&context);
   fleet_client client(&context, platform.address, "p1");
   const auto may_send = [] { return true; };
-  for (int i = 0; i < kServices; ++i) {
-    client.Service("h" + std::to_string(i), 7, 1, hours(1), may_send,
-                   [](duty_outcome /*outcome*/) {});
+  for (int i = 0; i < kServiceCalls; ++i) {
+    client.ServiceHost("h" + std::to_string(i), 7, 1, hours(1), may_send,
+                       [](host_order_outcome /*outcome*/) {});
   }
-  REQUIRE(RunUntil(&context, [&] { return platform.services > 0; }));
+  REQUIRE(RunUntil(&context, [&] { return platform.service_calls > 0; }));
 
   SECTION("a move is answered") {
-    std::optional<duty_outcome> moved;
-    client.Move("h", "pool", 1, hours(1), may_send,
-                [&](duty_outcome outcome) { moved = outcome; });
+    std::optional<host_order_outcome> moved;
+    client.MoveHost("h", "pool", 1, hours(1), may_send,
+                    [&](host_order_outcome outcome) { moved = outcome; });
     REQUIRE(RunUntil(&context, [&] { return moved.has_value(); }));
-    CHECK(moved == duty_outcome::kAccepted);
+    CHECK(moved == host_order_outcome::kAccepted);
   }
 
   SECTION("the list is read") {
     std::optional<fleet_page> page;
-    client.List("", hours(1), [&](fleet_page read) { page = read; });
+    client.ListHosts("", hours(1), [&](fleet_page read) { page = read; });
     REQUIRE(RunUntil(&context, [&] { return page.has_value(); }));
     CHECK(page->is_read);
   }
--- a/tests/adapter/malformed_records_test.cc
+++ b/tests/adapter/malformed_records_test.cc
@@ -41,18 +41,18 @@
         "next_token":"t"})";
 
 // Changes that make sense all the same, as "place: change".
-using harmless_changes = std::set<std::string>;
+using accepted_changes = std::set<std::string>;
 
 template <typename Decode>
-void CheckMutations(const char* sound,
-                    const harmless_changes& harmless,
+void CheckMutations(const char* valid,
+                    const accepted_changes& accepted,
                     Decode decode) {
-  REQUIRE(decode(sound));
-  for (const mutation& change : testing::Mutations(json::parse(sound))) {
+  REQUIRE(decode(valid));
+  for (const mutation& change : testing::Mutations(json::parse(valid))) {
     const std::string what = change.place + ": " + change.change;
     CAPTURE(what);
     const auto record = decode(change.record.dump());
-    if (harmless.count(what) != 0) {
+    if (accepted.count(what) != 0) {
       CHECK(record);
       continue;
     }
@@ -62,7 +62,7 @@
     CHECK((change.change != "missing" ||
            record.fault().kind == fault_kind::kMissing));
   }
-  for (const std::string& text : testing::BrokenTexts(sound)) {
+  for (const std::string& text : testing::BrokenTexts(valid)) {
     CHECK_FALSE(decode(text));
   }
 }
@@ -164,11 +164,11 @@
 }
 
 TEST_CASE("A bad row of the fleet's list hides no other") {
-  const fleet_page sound = DecodeFleetPage(kFleetPage);
-  REQUIRE(sound.is_read);
-  REQUIRE(sound.hosts.size() == 2);
-  CHECK(sound.hosts[1].state == core::jobs::host_state::kInService);
-  CHECK(sound.next == "t");
+  const fleet_page valid = DecodeFleetPage(kFleetPage);
+  REQUIRE(valid.is_read);
+  REQUIRE(valid.hosts.size() == 2);
+  CHECK(valid.hosts[1].state == core::jobs::host_state::kInService);
+  CHECK(valid.next_page_token == "t");
   for (const mutation& change : testing::Mutations(json::parse(kFleetPage))) {
     CAPTURE(change.place, change.change);
     const fleet_page page = DecodeFleetPage(change.record.dump());
@@ -177,11 +177,11 @@
       continue;
     }
     CHECK(page.hosts.back().host == "m2");
-    CHECK(page.hosts.size() + page.faults.size() == 2);
+    CHECK(page.hosts.size() + page.unreadable_hosts.size() == 2);
     const bool is_optional =
         change.place == "machines[0].id" &&
         (change.change == "missing" || change.change == "null");
-    CHECK(page.faults.empty() == is_optional);
+    CHECK(page.unreadable_hosts.empty() == is_optional);
   }
 
   SECTION("a state that isn't named here is a fault of its row") {
@@ -189,9 +189,9 @@
     list["machines"][0]["state"] = "melting";
     const fleet_page page = DecodeFleetPage(list.dump());
     REQUIRE(page.is_read);
-    REQUIRE(page.faults.size() == 1);
-    CHECK(page.faults[0].host == "m1");
-    CHECK(page.faults[0].fault ==
+    REQUIRE(page.unreadable_hosts.size() == 1);
+    CHECK(page.unreadable_hosts[0].host == "m1");
+    CHECK(page.unreadable_hosts[0].fault ==
           record_fault{fault_kind::kUnknownName, "state"});
     CHECK(page.hosts.size() == 1);
   }
--- a/tests/adapter/store_codec_test.cc
+++ b/tests/adapter/store_codec_test.cc
@@ -27,12 +27,13 @@
 // page counted as unread, it would be read again and again, and the records
 // behind it would never be seen.
 TEST_CASE("A record whose key can't be told hides none of its page") {
-  const std::string odd = GENERATE(std::string(), std::string("\xff"),
-                                   std::string("\x05"
-                                               "abc"));
-  const read_reply reply = DecodeRead(
-      Page(EncodeRecord({"a", "1"}) + Framed(odd) + EncodeRecord({"b", "2"})),
-      kFrom, true);
+  const std::string malformed = GENERATE(std::string(), std::string("\xff"),
+                                         std::string("\x05"
+                                                     "abc"));
+  const read_reply reply =
+      DecodeRead(Page(EncodeRecord({"a", "1"}) + Framed(malformed) +
+                      EncodeRecord({"b", "2"})),
+                 kFrom, true);
   REQUIRE(reply.outcome == read_outcome::kRead);
   REQUIRE(reply.records.size() == 3);
   CHECK(reply.records[0].key == "a");
@@ -52,7 +53,7 @@
     REQUIRE(reply.outcome == read_outcome::kRead);
     CHECK(reply.records.size() == 1);
     CHECK(DecodeRead(Page(part), kFrom, true).outcome ==
-          read_outcome::kUnframed);
+          read_outcome::kInvalidFraming);
   }
   CHECK(DecodeRead("", kFrom, true).outcome == read_outcome::kFailed);
   CHECK(DecodeRead(std::string(15, 'x'), kFrom, true).outcome ==
@@ -60,10 +61,11 @@
 }
 
 TEST_CASE("An item of the newest records that can't be read hides no other") {
-  const json sound = {{"key", "b"}, {"value", "Mg=="}, {"offset", 4}};
-  const auto page = [&sound](const json& odd) {
-    return json{
-        {"items", json::array({odd, sound})}, {"has_more", true}, {"end", 6}};
+  const json valid = {{"key", "b"}, {"value", "Mg=="}, {"offset", 4}};
+  const auto page = [&valid](const json& malformed) {
+    return json{{"items", json::array({malformed, valid})},
+                {"has_more", true},
+                {"end", 6}};
   };
   const json item = {{"key", "a"}, {"value", "MQ=="}, {"offset", 3}};
   REQUIRE(DecodeNewest(page(item).dump()).records[0].value == "1");
@@ -82,13 +84,13 @@
 
   SECTION("half a value is none") {
     for (const char* value : {"MQ=", "M", "MQ*=", "====", "MQ==MQ==", "\n"}) {
-      json odd = item;
-      odd["value"] = value;
-      const newest_reply reply = DecodeNewest(page(odd).dump());
+      json malformed = item;
+      malformed["value"] = value;
+      const newest_reply reply = DecodeNewest(page(malformed).dump());
       REQUIRE(reply.records.size() == 2);
       CAPTURE(value);
-      const bool is_whole = std::string(value) == "MQ=";
-      CHECK(reply.records[0].value.has_value() == is_whole);
+      const bool is_valid = std::string(value) == "MQ=";
+      CHECK(reply.records[0].value.has_value() == is_valid);
     }
   }
 
@@ -131,18 +133,18 @@
 // can't be read may be the predecessor's.
 TEST_CASE("A list of members with a row that can't be read tells nobody gone") {
   const json rows = {{"owners", {{"t", 3, "p1", 0}, {"t", 4, "p2", 0}}}};
-  const members_reply sound = DecodeMembers(rows.dump());
-  REQUIRE(sound.is_read);
-  CHECK(sound.members == std::set<std::string>{"p1", "p2"});
-  json odd = rows;
-  odd["owners"][0][2] = nullptr;
-  CHECK_FALSE(DecodeMembers(odd.dump()).is_read);
+  const members_reply valid = DecodeMembers(rows.dump());
+  REQUIRE(valid.is_read);
+  CHECK(valid.members == std::set<std::string>{"p1", "p2"});
+  json malformed = rows;
+  malformed["owners"][0][2] = nullptr;
+  CHECK_FALSE(DecodeMembers(malformed.dump()).is_read);
   CHECK_FALSE(DecodeMembers("{}").is_read);
   CHECK_FALSE(DecodeMembers("\xff").is_read);
   CHECK(DecodeMembers(R"([["t",3,"p1",0]])").members.count("p1") == 1);
 
   SECTION("and where that row is") {
-    const members_reply reply = DecodeMembers(odd.dump());
+    const members_reply reply = DecodeMembers(malformed.dump());
     REQUIRE(reply.fault.has_value());
     CHECK(reply.fault->kind == core::jobs::fault_kind::kWrongType);
     CHECK(reply.fault->field == "[0][2]");
@@ -155,7 +157,7 @@
   const json rows = {{"owners", {{"t", 3, "", 0}, {"t", 4, "p2", 0}}}};
   const members_reply reply = DecodeMembers(rows.dump());
   REQUIRE(reply.is_read);
-  CHECK(reply.unowned == 1);
+  CHECK(reply.unowned_partitions == 1);
   CHECK(reply.members == std::set<std::string>{"p2"});
 }
 
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -100,7 +100,7 @@
                     "s[1].mm: missing", "s[1].rl: missing"},
                    kDecodeJob);
     json value = json::parse(Encode(record).value.value());
-    for (const json& odd : {json(-1), json(adapter::kMostMillis + 1)}) {
+    for (const json& odd : {json(-1), json(adapter::kMaxMillis + 1)}) {
       value["h"] = odd;
       CHECK(DecodeJobRecord({kId, value.dump()}).fault() ==
             record_fault{fault_kind::kOutOfRange, "h"});
--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -41,7 +41,7 @@
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   std::vector<server_request> requests;
-  std::vector<responder> held;
+  std::vector<responder> pending;
   bool answers = true;
   http_server server(&context, address, {},
                      [&](server_request request, responder respond) {
@@ -49,7 +49,7 @@
                        if (answers) {
                          respond({201, {{"Retry-After", "2"}}, "ok"});
                        } else {
-                         held.push_back(std::move(respond));
+                         pending.push_back(std::move(respond));
                        }
                      });
   http_client client(&context, address, {1, std::chrono::seconds(20)});
@@ -62,7 +62,7 @@
 
   call(std::chrono::seconds(10));
   REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-  CHECK(reply->reached == delivery::kAnswered);
+  CHECK(reply->outcome == call_outcome::kAnswered);
   CHECK(reply->status == 201);
   CHECK(reply->body == "ok");
   REQUIRE(requests.size() == 1);
@@ -82,9 +82,9 @@
     answers = false;
     call(milliseconds(50));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kUnanswered);
-    REQUIRE(held.size() == 1);
-    held[0]({200, {}, "late"});
+    CHECK(reply->outcome == call_outcome::kUnanswered);
+    REQUIRE(pending.size() == 1);
+    pending[0]({200, {}, "late"});
     answers = true;
     call(std::chrono::seconds(10));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
@@ -99,7 +99,7 @@
                 [&](client_reply got) { first = std::move(got); });
     call(milliseconds(50));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kNotSent);
+    CHECK(reply->outcome == call_outcome::kNotSent);
     CHECK(requests.size() <= 2);
   }
 
@@ -115,12 +115,12 @@
     reply.reset();
     client.Send(late, std::chrono::seconds(30),
                 [&](client_reply got) { reply = std::move(got); });
-    REQUIRE(RunUntil(&context, [&] { return held.size() == 1; }));
+    REQUIRE(RunUntil(&context, [&] { return pending.size() == 1; }));
     may_send = false;
     answers = true;
-    held[0]({200, {}, ""});
+    pending[0]({200, {}, ""});
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kNotSent);
+    CHECK(reply->outcome == call_outcome::kNotSent);
     CHECK(requests.back().target == "/first");
 
     SECTION("and its connection serves the next") {
@@ -150,25 +150,25 @@
 TEST_CASE("A call without an answer gives up the connections of its time") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
-  std::vector<responder> held;
+  std::vector<responder> pending;
   http_server server(&context, address, {},
                      [&](const server_request&, responder respond) {
-                       held.push_back(std::move(respond));
+                       pending.push_back(std::move(respond));
                      });
   http_client client(&context, address, {4, std::chrono::seconds(20)});
   std::size_t answered = 0;
   std::size_t unanswered = 0;
   const auto call = [&](milliseconds timeout) {
     client.Send(Post("/", ""), timeout, [&](const client_reply& got) {
-      ++(got.reached == delivery::kAnswered ? answered : unanswered);
+      ++(got.outcome == call_outcome::kAnswered ? answered : unanswered);
     });
   };
   const auto answer = [&](std::size_t count) {
-    REQUIRE(RunUntil(&context, [&] { return held.size() == count; }));
-    for (const responder& respond : held) {
+    REQUIRE(RunUntil(&context, [&] { return pending.size() == count; }));
+    for (const responder& respond : pending) {
       respond({200, {}, "ok"});
     }
-    held.clear();
+    pending.clear();
   };
   for (int i = 0; i < 3; ++i) {
     call(std::chrono::seconds(30));
@@ -180,7 +180,7 @@
   SECTION("those that were idle when it was sent") {
     call(milliseconds(50));
     REQUIRE(RunUntil(&context, [&] { return unanswered == 1; }));
-    held.clear();
+    pending.clear();
     call(std::chrono::seconds(30));
     answer(1);
     REQUIRE(RunUntil(&context, [&] { return answered == 4; }));
@@ -189,9 +189,9 @@
 
   SECTION("and none that has brought an answer since") {
     call(milliseconds(200));
-    REQUIRE(RunUntil(&context, [&] { return held.size() == 1; }));
-    const responder silent = std::move(held.front());
-    held.clear();
+    REQUIRE(RunUntil(&context, [&] { return pending.size() == 1; }));
+    const responder unanswered_call = std::move(pending.front());
+    pending.clear();
     call(std::chrono::seconds(30));
     answer(1);
     REQUIRE(RunUntil(&context, [&] { return unanswered == 1; }));
@@ -216,7 +216,7 @@
     acceptor_.async_accept(socket_,
                            [this](const boost::system::error_code& error) {
                              if (!error) {
-                               Next();
+                               SendNextPiece();
                              }
                            });
   }
@@ -226,7 +226,7 @@
   }
 
  private:
-  void Next() {
+  void SendNextPiece() {
     if (sent_ == pieces_.size()) {
       return;
     }
@@ -235,7 +235,7 @@
       if (!error) {
         boost::asio::write(socket_, boost::asio::buffer(pieces_[sent_]));
         ++sent_;
-        Next();
+        SendNextPiece();
       }
     });
   }
@@ -256,35 +256,35 @@
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n";
   http_client_options options;
   std::optional<client_reply> reply;
-  const auto take = [&](client_reply got) { reply = std::move(got); };
+  const auto on_reply = [&](client_reply got) { reply = std::move(got); };
 
   SECTION("for as long as more of it comes") {
-    options.stall_limit = std::chrono::seconds(30);
+    options.stall_timeout = std::chrono::seconds(30);
     slow_server server(&context, {head + "ab", "cd", "ef"}, milliseconds(400));
     http_client client(&context, server.address(), options);
-    client.Send(Post("/", ""), milliseconds(500), take);
+    client.Send(Post("/", ""), milliseconds(500), on_reply);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kAnswered);
+    CHECK(reply->outcome == call_outcome::kAnswered);
     CHECK(reply->body == "abcdef");
   }
 
   SECTION("but not when it stops") {
-    options.stall_limit = milliseconds(50);
+    options.stall_timeout = milliseconds(50);
     slow_server server(&context, {head + "ab"}, milliseconds(0));
     http_client client(&context, server.address(), options);
-    client.Send(Post("/", ""), milliseconds(500), take);
+    client.Send(Post("/", ""), milliseconds(500), on_reply);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kUnanswered);
+    CHECK(reply->outcome == call_outcome::kUnanswered);
   }
 
   SECTION("and not without end") {
-    options.stall_limit = std::chrono::seconds(30);
-    options.answer_limit = milliseconds(0);
+    options.stall_timeout = std::chrono::seconds(30);
+    options.answer_timeout = milliseconds(0);
     slow_server server(&context, {head + "ab"}, milliseconds(0));
     http_client client(&context, server.address(), options);
-    client.Send(Post("/", ""), milliseconds(300), take);
+    client.Send(Post("/", ""), milliseconds(300), on_reply);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kUnanswered);
+    CHECK(reply->outcome == call_outcome::kUnanswered);
   }
 }
 
@@ -295,10 +295,10 @@
 TEST_CASE("An answer that came while the process was held up counts") {
   boost::asio::io_context peers_context;
   const std::string address = FreeAddress();
-  std::optional<responder> held;
+  std::optional<responder> pending;
   http_server server(&peers_context, address, {},
                      [&](const server_request& /*request*/, responder respond) {
-                       held = std::move(respond);
+                       pending = std::move(respond);
                      });
   boost::asio::io_context context;
   http_client client(&context, address, {});
@@ -306,7 +306,7 @@
   constexpr milliseconds kTimeout(300);
   client.Send(Post("/path", "body"), kTimeout,
               [&](client_reply got) { reply = std::move(got); });
-  while (!held) {
+  while (!pending) {
     context.restart();
     context.poll();
     peers_context.restart();
@@ -314,19 +314,19 @@
   }
 
   SECTION("when the peer has answered") {
-    (*held)({200, {}, "in time"});
+    (*pending)({200, {}, "in time"});
     peers_context.restart();
     peers_context.run_for(milliseconds(10));
     std::this_thread::sleep_for(kTimeout);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kAnswered);
+    CHECK(reply->outcome == call_outcome::kAnswered);
     CHECK(reply->body == "in time");
   }
 
   SECTION("and a peer that hasn't is given up all the same") {
     std::this_thread::sleep_for(kTimeout);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kUnanswered);
+    CHECK(reply->outcome == call_outcome::kUnanswered);
   }
 }
 
@@ -334,7 +334,7 @@
 // waits for its turn behind all else that a busy process does.
 TEST_CASE("A large answer takes few turns of its reader's loop") {
   constexpr std::size_t kBytes = std::size_t{128} << 10U;
-  constexpr int kMostTurns = 32;
+  constexpr int kMaxIterations = 32;
   boost::asio::io_context peers_context;
   const std::string address = FreeAddress();
   http_server server(
@@ -346,29 +346,29 @@
   boost::asio::io_context context;
   http_client client(&context, address, {});
   std::optional<client_reply> reply;
-  const auto turns_for = [&](const std::string& target) {
+  const auto iterations_for = [&](const std::string& target) {
     reply.reset();
     client.Send(Post(target, ""), std::chrono::seconds(30),
                 [&](client_reply got) { reply = std::move(got); });
-    int turns = 0;
+    int iterations = 0;
     while (!reply) {
       // All that the peer can send is there before each turn.
       peers_context.restart();
       peers_context.run_for(milliseconds(2));
       context.restart();
-      turns += static_cast<int>(context.poll_one());
+      iterations += static_cast<int>(context.poll_one());
     }
-    return turns;
+    return iterations;
   };
 
-  const int turns_for_little = turns_for("/little");
-  const int turns_for_much = turns_for("/large");
+  const int small_iterations = iterations_for("/little");
+  const int large_iterations = iterations_for("/large");
   CHECK(reply->body.size() == kBytes);
-  CHECK(turns_for_much - turns_for_little < kMostTurns);
+  CHECK(large_iterations - small_iterations < kMaxIterations);
 
   SECTION("also when the connection has brought little before") {
-    turns_for("/little");
-    CHECK(turns_for("/large") < kMostTurns);
+    iterations_for("/little");
+    CHECK(iterations_for("/large") < kMaxIterations);
   }
 }
 
@@ -376,27 +376,28 @@
 TEST_CASE("A late answer counts while it is awaited") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
-  std::optional<responder> held;
+  std::optional<responder> pending;
   http_server server(&context, address, {},
                      [&](const server_request& /*request*/, responder respond) {
-                       held = std::move(respond);
+                       pending = std::move(respond);
                      });
   http_client client(&context, address, {});
   std::optional<client_reply> reply;
-  int times_late = 0;
-  late_answer late;
-  late.patience = milliseconds(200);
-  late.on_late = [&] { ++times_late; };
+  int late_notifications = 0;
+  late_answer_policy late;
+  late.extra_wait = milliseconds(200);
+  late.on_late = [&] { ++late_notifications; };
 
   SECTION("and its caller is told that it is late") {
-    late.patience = std::chrono::seconds(60);
+    late.extra_wait = std::chrono::seconds(60);
     client.Send(Post("/path", "body"), milliseconds(50), late,
                 [&](client_reply got) { reply = std::move(got); });
-    REQUIRE(RunUntil(&context, [&] { return times_late == 1 && held; }));
+    REQUIRE(
+        RunUntil(&context, [&] { return late_notifications == 1 && pending; }));
     CHECK_FALSE(reply.has_value());
-    (*held)({200, {}, "late"});
+    (*pending)({200, {}, "late"});
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kAnswered);
+    CHECK(reply->outcome == call_outcome::kAnswered);
     CHECK(reply->body == "late");
   }
 
@@ -404,17 +405,18 @@
     client.Send(Post("/path", "body"), milliseconds(50), late,
                 [&](client_reply got) { reply = std::move(got); });
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kUnanswered);
-    CHECK(times_late == 1);
+    CHECK(reply->outcome == call_outcome::kUnanswered);
+    CHECK(late_notifications == 1);
   }
 
   SECTION("but a call that was never sent isn't late") {
-    http_client nobody(&context, FreeAddress(), {});
-    nobody.Send(Post("/path", "body"), std::chrono::seconds(10), late,
-                [&](client_reply got) { reply = std::move(got); });
+    http_client unreachable_client(&context, FreeAddress(), {});
+    unreachable_client.Send(Post("/path", "body"), std::chrono::seconds(10),
+                            late,
+                            [&](client_reply got) { reply = std::move(got); });
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-    CHECK(reply->reached == delivery::kNotSent);
-    CHECK(times_late == 0);
+    CHECK(reply->outcome == call_outcome::kNotSent);
+    CHECK(late_notifications == 0);
   }
 }
 
@@ -425,7 +427,7 @@
   client.Send(Post("/", ""), std::chrono::seconds(10),
               [&](client_reply got) { reply = std::move(got); });
   REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
-  CHECK(reply->reached == delivery::kNotSent);
+  CHECK(reply->outcome == call_outcome::kNotSent);
 }
 
 TEST_CASE("A server bounds what it reads") {
--- a/tests/peers/owner_links_test.cc
+++ b/tests/peers/owner_links_test.cc
@@ -89,7 +89,7 @@
   CHECK(passed.target == "/q/0123456789abcdef");
   CHECK(passed.body == "{}");
   CHECK(HopsOf(passed) == 1);
-  CHECK(adapter::DecodePatience(passed) == milliseconds(5000));
+  CHECK(adapter::DecodeTimeout(passed) == milliseconds(5000));
   CHECK(HopsOf(CallersRequest()) == 0);
 }
 
