--- a/src/jobs/group_member.cc
+++ b/src/jobs/group_member.cc
@@ -228,7 +228,7 @@
     }
     is_in_flight_ = true;
     const renewal sent{++last_renewal_, BootTime()};
-    net::late_answer_policy late;
+    net::late_response_policy late;
     late.extra_wait = settings_.time_to_live - settings_.late_after;
     late.on_late = [self = weak_from_this(), sent] {
       if (const auto member = self.lock()) {
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -98,7 +98,7 @@
     }
   };
   const auto is_late = std::make_shared<bool>(false);
-  net::late_answer_policy late;
+  net::late_response_policy late;
   late.extra_wait = settings_.hold_patience;
   late.on_late = [link, take, is_late] {
     *is_late = true;
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -29,7 +29,7 @@
 
 // Above the largest answer of the store: a read of 1 MiB with its frame, or a
 // page of records of 1 MB in base64.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{8} << 20U;
+constexpr std::size_t kMaxResponseBytes = std::size_t{8} << 20U;
 
 // What is asked of a socket at once: enough for nearly all answers of VMs, and
 // for a large one as much as a socket holds.
@@ -104,7 +104,7 @@
 
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
-            late_answer_policy late,
+            late_response_policy late,
             reply_handler on_reply) {
     auto call = std::make_shared<pending_call>(context_);
     call->on_reply = std::move(on_reply);
@@ -112,7 +112,7 @@
     call->deadline = steady_clock::now() + timeout;
     call->text = SerializeRequest(request, host_);
     call->may_send = request.may_send;
-    call->max_deadline = call->deadline + options_.answer_timeout;
+    call->max_deadline = call->deadline + options_.response_timeout;
     queued_calls_.push_back(call);
     AwaitDeadline(call);
     StartNext();
@@ -141,7 +141,7 @@
     std::function<bool()> may_send;
     http::response_parser<http::string_body> parser;
     reply_handler on_reply;
-    late_answer_policy late;
+    late_response_policy late;
     steady_clock::time_point sent_at;
     steady_clock::time_point deadline;
     steady_clock::time_point max_deadline;
@@ -236,7 +236,7 @@
   }
 
   void Read(const call_ptr& call) {
-    call->parser.body_limit(kMaxAnswerBytes);
+    call->parser.body_limit(kMaxResponseBytes);
     call->parser.eager(true);
     ReadMore(call);
   }
@@ -345,13 +345,13 @@
       DropIdleSince(call->sent_at);
     }
     if (call->is_sent && call->late.extra_wait.count() > 0) {
-      AwaitLateAnswer(call);
+      AwaitLateResponse(call);
       return;
     }
     Finish(call, {outcome, 0, {}}, false);
   }
 
-  void AwaitLateAnswer(const call_ptr& call) {
+  void AwaitLateResponse(const call_ptr& call) {
     call->deadline += std::exchange(call->late.extra_wait, {});
     call->max_deadline = std::max(call->max_deadline, call->deadline);
     AwaitDeadline(call);
@@ -432,7 +432,7 @@
 
 void http_client::Send(const client_request& request,
                        std::chrono::milliseconds timeout,
-                       late_answer_policy late,
+                       late_response_policy late,
                        reply_handler on_reply) {
   impl_->Send(request, timeout, std::move(late), std::move(on_reply));
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -27,11 +27,11 @@
   /// ended then would be repeated and would never succeed.
   std::chrono::milliseconds stall_timeout = std::chrono::milliseconds(900);
   /// But all of it must have arrived within this time.
-  std::chrono::milliseconds answer_timeout = std::chrono::seconds(20);
+  std::chrono::milliseconds response_timeout = std::chrono::seconds(20);
 };
 
 /// What happens when an answer is late but may still come.
-struct late_answer_policy {
+struct late_response_policy {
   /// The answer is awaited this much longer. Zero: not at all.
   std::chrono::milliseconds extra_wait{0};
   /// Is called, once, when that begins.
@@ -68,7 +68,7 @@
   /// then.
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
-            late_answer_policy late,
+            late_response_policy late,
             reply_handler on_reply);
 
   /// Returns how many connections were opened so far.
--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -279,7 +279,7 @@
 
   SECTION("and not without end") {
     options.stall_timeout = std::chrono::seconds(30);
-    options.answer_timeout = milliseconds(0);
+    options.response_timeout = milliseconds(0);
     slow_server server(&context, {head + "ab"}, milliseconds(0));
     http_client client(&context, server.address(), options);
     client.Send(Post("/", ""), milliseconds(300), on_reply);
@@ -384,7 +384,7 @@
   http_client client(&context, address, {});
   std::optional<client_reply> reply;
   int late_notifications = 0;
-  late_answer_policy late;
+  late_response_policy late;
   late.extra_wait = milliseconds(200);
   late.on_late = [&] { ++late_notifications; };
 
