--- a/src/net/address.h
+++ b/src/net/address.h
@@ -6,11 +6,12 @@
 
 namespace plantainhead::net {
 
-/// Returns the endpoint of "IP:PORT". Throws `std::invalid_argument` when the
-/// text isn't one.
+/// Parses an address of the form "IP:PORT". Throws `std::invalid_argument` if
+/// the text has another form.
 boost::asio::ip::tcp::endpoint ParseAddress(const std::string& text);
 
-/// Returns whether the text is an "IP:PORT" that can be connected to.
+/// Returns whether the text is an address of the form "IP:PORT" with a non-zero
+/// port.
 /// Thread safety: safe from any thread.
 bool IsAddress(const std::string& text);
 
--- a/src/net/call_outcome.h
+++ b/src/net/call_outcome.h
@@ -5,13 +5,15 @@
 
 namespace plantainhead::net {
 
-/// How far a request got.
+/// Whether a request was sent and answered.
 enum class call_outcome {
-  /// No connection was made, so the request was not sent.
+  /// The request was not sent, for example because no connection was made.
   kNotSent,
-  /// It was sent, at least in part, and no whole answer came in time.
+  /// The request was sent, at least in part, but no complete response arrived
+  /// in
+  /// time.
   kUnanswered,
-  /// A whole answer came.
+  /// A complete response arrived.
   kAnswered,
 };
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -27,12 +27,13 @@
 using boost::system::error_code;
 using steady_clock = std::chrono::steady_clock;
 
-// Above the largest answer of the store: a read of 1 MiB with its frame, or a
-// page of records of 1 MB in base64.
+// Larger than the largest responses of the store: a read of 1 MiB plus framing,
+// and a page of 1 MB of records in base64.
 constexpr std::size_t kMaxResponseBytes = std::size_t{8} << 20U;
 
-// What is asked of a socket at once: enough for nearly all answers of VMs, and
-// for a large one as much as a socket holds.
+// Bounds of the number of bytes requested from a socket at once. The minimum is
+// enough for nearly all responses of VMs; the maximum is as much as the receive
+// buffer of a socket contains.
 constexpr std::size_t kMinReadBytes = std::size_t{4} << 10U;
 constexpr std::size_t kMaxReadBytes = std::size_t{256} << 10U;
 
@@ -53,10 +54,11 @@
   to->append(name).append(": ").append(value).append("\r\n");
 }
 
-// One text is sent with one copy. The library's serializer makes a list of
-// views of the fields and goes through it for each write, which an owner that
-// sends some thousand small requests a second has no processor time for.
-// Precondition: no name or value holds a line end.
+// Serializes a request into one string, which is sent with a single copy. The
+// library's serializer builds a list of views of the fields and traverses it
+// for each write, which takes too much processor time in a process that sends
+// several thousand small requests per second. Precondition: no name or value
+// contains a line break.
 std::string SerializeRequest(const client_request& request,
                              const std::string& host) {
   constexpr std::size_t kTypicalHeaderBytes = 256;
@@ -82,7 +84,8 @@
   return text;
 }
 
-// True when the peer hasn't closed the idle connection, nor sent anything.
+// Returns whether the peer has neither closed the idle connection nor sent any
+// data on it.
 bool IsUsable(beast::tcp_stream* stream) {
   char byte = 0;
   const auto count = ::recv(stream->socket().native_handle(), &byte, 1,
@@ -147,7 +150,7 @@
     steady_clock::time_point max_deadline;
     asio::steady_timer timer;
     connection_ptr active_connection;
-    /// How much of the answer had arrived at the last deadline.
+    /// The result of `ArrivedBytes` at the last deadline.
     std::size_t arrived_bytes = 0;
     bool is_sent = false;
     bool is_finished = false;
@@ -203,8 +206,8 @@
         });
   }
 
-  // A call that isn't sent ends later, so that a long queue of them doesn't
-  // nest as deep.
+  // A call that must not be sent ends in a separate handler: a long queue of
+  // such calls would otherwise cause deep recursion.
   void WriteIfAllowed(const call_ptr& call) {
     if (!call->may_send || call->may_send()) {
       Write(call);
@@ -241,9 +244,10 @@
     ReadMore(call);
   }
 
-  // The library's own loop asks for 512 bytes at a time of a buffer that is
-  // consumed as it fills. Each piece waits for its turn behind all else that is
-  // due, so that a busy process would take seconds to read some hundred KB.
+  // Reads with larger requests than the library's own loop, which requests 512
+  // bytes at a time from a buffer that is consumed as it is filled. Each read
+  // waits behind all other handlers that are ready, so that a busy process
+  // would take seconds to read several hundred KB.
   void ReadMore(const call_ptr& call) {
     call->active_connection->stream.async_read_some(
         call->active_connection->buffer.prepare(NextReadSize(call->parser)),
@@ -312,8 +316,8 @@
                                          : 0;
   }
 
-  // Returns whether more of the answer has arrived since the last deadline, so
-  // that there is a new one.
+  // Extends the deadline if more of the response has arrived since the last
+  // deadline. Returns whether it was extended.
   bool ExtendDeadline(const call_ptr& call) {
     const std::size_t arrived_bytes = ArrivedBytes(call.get());
     const bool is_arriving = call->is_sent &&
@@ -361,10 +365,12 @@
     }
   }
 
-  // When the path to the peer was lost for a while, all connections that were
-  // idle then may be silent for good. Each would cost another call its whole
-  // timeout, up to twenty in a row; a new connection costs a round trip. Those
-  // that have brought an answer since the call was sent are sound.
+  // Closes the idle connections that have not delivered a response since
+  // `sent_at`. After a temporary network failure, all connections that were
+  // idle at that time may be dead without a reset. Each would cost another call
+  // its whole timeout, up to twenty in a row, while a new connection costs one
+  // round trip. Connections that have delivered a response since then are
+  // usable.
   void DropIdleSince(steady_clock::time_point sent_at) {
     std::erase_if(idle_, [&](const connection_ptr& idle) {
       return idle->idle_since < sent_at;
@@ -377,20 +383,22 @@
     --in_use_;
     if (is_reusable && !is_closed_) {
       call->active_connection->idle_since = steady_clock::now();
-      // A large answer's buffer isn't kept for the next small one.
+      // Releases the memory of a large response, which the next small response
+      // does not need.
       call->active_connection->buffer.consume(
           call->active_connection->buffer.size());
       call->active_connection->buffer.shrink_to_fit();
       idle_.push_back(std::move(call->active_connection));
     } else {
       error_code ignored;
-      // What was sent of a call that is given up isn't sent again: it would be
-      // carried out when the path to the peer is back, long after its time.
+      // Resets the connection, so that the data of an abandoned call is not
+      // retransmitted: the peer would otherwise execute the call when the
+      // network recovers, long after its timeout.
       call->active_connection->stream.socket().set_option(
           asio::socket_base::linger(true, 0), ignored);
       call->active_connection->stream.socket().close(ignored);
-      // The handlers that are still due refer to the connection through the
-      // call, which they hold.
+      // The pending handlers reference the connection through the call, which
+      // they keep alive.
     }
     CallHandler(call, std::move(reply));
     StartNext();
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -16,62 +16,69 @@
 
 namespace plantainhead::net {
 
+/// Limits and timeouts of an HTTP client.
 struct http_client_options {
-  /// Calls beyond it wait for a connection, within their own timeout.
+  /// The maximum number of connections. Further calls wait for a connection,
+  /// within their own timeout.
   std::size_t max_connections = 4;
-  /// A connection unused for this time is closed.
+  /// A connection that has been idle for this time is closed instead of being
+  /// used again.
   std::chrono::milliseconds idle_timeout = std::chrono::seconds(20);
-  /// An answer that is still arriving when its call's timeout is over gets this
-  /// time for each further piece: a page of 1.3 MB takes 1.1 s over the slowest
-  /// link (10 Mbit/s), and several share it when a process starts. A call that
-  /// ended then would be repeated and would never succeed.
+  /// If a response is still arriving when the call's timeout expires, the
+  /// deadline is extended by this time as long as further data arrives. A page
+  /// of 1.3 MB takes 1.1 s over the slowest link (10 Mbit/s), and several calls
+  /// share the link when a process starts. If such calls ended by their
+  /// timeout, they would be retried and would never succeed.
   std::chrono::milliseconds stall_timeout = std::chrono::milliseconds(900);
-  /// But all of it must have arrived within this time.
+  /// The maximum time for such a response to arrive completely, counted from
+  /// the end of the call's timeout.
   std::chrono::milliseconds response_timeout = std::chrono::seconds(20);
 };
 
-/// What happens when an answer is late but may still come.
+/// Controls how long a call waits for a response after its timeout.
 struct late_response_policy {
-  /// The answer is awaited this much longer. Zero: not at all.
+  /// The additional time to wait for the response; zero disables the wait.
   std::chrono::milliseconds extra_wait{0};
-  /// Is called, once, when that begins.
+  /// Called once when the additional wait begins.
   std::function<void()> on_late;
 };
 
-/// Calls one server, over a few connections that are kept open.
+/// Asynchronous HTTP/1.1 client for one server, with a small pool of persistent
+/// connections.
 ///
-/// A connection whose call ended without a whole answer is closed, so that an
-/// answer after that meets nobody. No call is ever sent twice.
-/// Not thread-safe: used from the thread of its `io_context` only.
+/// If a call ends without a complete response, its connection is closed, so
+/// that a later response cannot be assigned to another call. A call is never
+/// sent twice. Not thread-safe: used from the thread of its `io_context` only.
 class http_client {
  public:
   using reply_handler = std::function<void(client_reply)>;
 
-  /// Precondition: `address` is "IP:PORT". Throws `std::invalid_argument`
-  /// otherwise.
+  /// Precondition: `address` has the form "IP:PORT". Throws
+  /// `std::invalid_argument` otherwise.
   http_client(boost::asio::io_context* context,
               const std::string& address,
               const http_client_options& options);
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
-  /// Calls in flight end without their handlers being called.
+  /// Drops the calls in flight without calling their handlers.
   ~http_client();
 
-  /// Sends the request. `on_reply` is called once, later, unless the client is
-  /// destroyed before. `timeout` covers waiting, connecting and the time until
-  /// the answer begins to arrive; see `http_client_options` for the rest of it.
+  /// Sends the request. `on_reply` is called exactly once, after this function
+  /// has returned, unless the client is destroyed before. `timeout` covers the
+  /// wait for a connection, connecting, and the time until the response begins
+  /// to arrive; see `http_client_options` for the rest of the response.
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
             reply_handler on_reply);
-  /// The same. A call that has been sent and has no answer in time isn't given
-  /// up before `late.patience` is over, too; its connection is taken until
-  /// then.
+  /// Sends the request as above. If the request was sent but not answered
+  /// within `timeout`, the call waits for `late.extra_wait` in addition and
+  /// occupies its connection for that time.
   void Send(const client_request& request,
             std::chrono::milliseconds timeout,
             late_response_policy late,
             reply_handler on_reply);
 
-  /// Returns how many connections were opened so far.
+  /// Returns the number of connections opened so far.
   std::uint64_t OpenedConnections() const;
 
  private:
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -21,11 +21,13 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-// After an accept failed for want of descriptors the next try waits this long.
+// The delay before the next attempt if an accept has failed because no file
+// descriptor was available.
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
-// Of a session's buffer: nearly all requests fit, so that each is read at once.
-// The library reads no more at a time than the buffer has room for.
+// The initial size of a session's read buffer. Nearly all requests fit, so that
+// each is read with one call; the library reads at most as many bytes at once
+// as the buffer has capacity for.
 constexpr std::size_t kInitialBufferBytes = std::size_t{4} << 10U;
 
 method ToMethod(http::verb verb) {
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -1,7 +1,7 @@
 #ifndef PLANTAINHEAD_SRC_NET_HTTP_STATUS_H_
 #define PLANTAINHEAD_SRC_NET_HTTP_STATUS_H_
 
-/// The HTTP statuses that the job scheduler gives and takes.
+/// The HTTP status codes that the job scheduler sends and interprets.
 namespace plantainhead::net {
 
 inline constexpr unsigned kOk = 200;
--- a/src/net/socket_options.h
+++ b/src/net/socket_options.h
@@ -5,16 +5,17 @@
 
 namespace plantainhead::net {
 
-/// A connection whose sent bytes stay unacknowledged this long is dead. Peers
-/// answer within milliseconds; packets that were lost are sent again after 0.2,
-/// 0.6 and 1.4 s, so three losses in a row pass.
+/// A connection is considered dead if sent data stays unacknowledged for this
+/// time. Peers acknowledge within milliseconds, and lost packets are
+/// retransmitted after 0.2, 0.6 and 1.4 s, so that three consecutive losses are
+/// tolerated.
 inline constexpr std::chrono::milliseconds kTcpUserTimeout =
     std::chrono::milliseconds(2500);
 
-/// Sets the options that each TCP connection needs: no delay of small packets,
-/// and `kTcpUserTimeout`. Without that a write to a peer that lost its power
-/// waits for many minutes. Failures are ignored: the calls have timeouts of
-/// their own.
+/// Sets the options of a TCP connection: TCP_NODELAY, and TCP_USER_TIMEOUT with
+/// `kTcpUserTimeout`. Without the latter, a write to a peer that has lost power
+/// blocks for many minutes. Failures are ignored, because calls have their own
+/// timeouts.
 void SetSocketOptions(int socket);
 
 }  // namespace plantainhead::net
--- a/tests/adapter/codec_test.cc
+++ b/tests/adapter/codec_test.cc
@@ -44,8 +44,8 @@
   CHECK(job.spec->schedule->interval == milliseconds(500));
 }
 
-TEST_CASE("A malformed job is refused with the field that is wrong") {
-  CHECK(DecodeJob("no json").fault == "the body is no JSON object");
+TEST_CASE("A malformed job is rejected with the path of the invalid field") {
+  CHECK(DecodeJob("no json").fault == "the body is not a JSON object");
   CHECK(DecodeJob(R"({"spec":"x"})").fault == "steps");
   CHECK(DecodeJob(R"({"steps":[{"cpu":1}]})").fault == "steps[0].count");
   CHECK(DecodeJob(R"({"steps":[{"count":1,"cpu":-1}]})").fault ==
@@ -61,7 +61,7 @@
             .fault == "spec");
 }
 
-TEST_CASE("Job ids, hosts and paths of requests") {
+TEST_CASE("Job ids, hosts and paths are decoded from requests") {
   CHECK(IsJobId("0123456789abcdef"));
   CHECK_FALSE(IsJobId("0123456789abcde"));
   CHECK_FALSE(IsJobId("0123456789abcdeg"));
@@ -69,7 +69,7 @@
   CHECK(DecodePath("/a/b?c=d") == "/a/b");
 }
 
-TEST_CASE("A task's name is read back") {
+TEST_CASE("A task name is decoded as it was encoded") {
   const core::jobs::task_name name{"0123456789abcdef", 1, 2, 17};
   CHECK(EncodeTaskName(name) == "0123456789abcdef.1.2.17");
   CHECK(DecodeTaskName("0123456789abcdef.1.2.17") == name);
@@ -78,7 +78,7 @@
   CHECK_FALSE(DecodeTaskName("0123456789abcdef.1.2.17.4"));
 }
 
-TEST_CASE("A VM's listing is decoded, or refused as a whole") {
+TEST_CASE("A VM's listing is decoded or rejected as a whole") {
   const auto listing = DecodeListing(
       R"({"clock_ms":5000,"running":[["j.0.0.1",2,"cp",41,7]],
           "finished":[[58,"j.0.0.9",1,"done",""],[59,"j.0.0.8",3,"lapsed","s"]]})");
@@ -98,8 +98,9 @@
   CHECK_FALSE(DecodeListing("not json"));
 }
 
-// Guards against VMs that are lost because of a mark that can't be used.
-TEST_CASE("A VM may tell when its life began") {
+// Guards against VMs being rejected as a whole because of an unusable
+// incarnation time.
+TEST_CASE("A VM's listing may contain the start time of its incarnation") {
   const auto born_in = [](const std::string& field) {
     const auto listing = DecodeListing(R"({"clock_ms":1)" + field + "}");
     REQUIRE(listing);
@@ -114,7 +115,7 @@
   CHECK(born_in(R"(,"born":18446744073709551615)") == std::nullopt);
 }
 
-TEST_CASE("Records are framed as the store takes and gives them") {
+TEST_CASE("Records are encoded and decoded in the binary format of the store") {
   const std::string raw =
       EncodeRecord({"key", "value"}) + EncodeRecord({"gone", std::nullopt});
   const std::string body =
@@ -136,7 +137,8 @@
   CHECK(part.records[0].key == "key");
 }
 
-TEST_CASE("A configuration, a wave and a VM's entry are decoded") {
+TEST_CASE(
+    "A configuration, a wave and the registry entry of a VM are decoded") {
   const auto configuration = DecodeConfiguration(
       R"({"version":7,"routes":[{"name":"q","host":"h","path_prefix":"/p/",
           "service":"s","priority":1,"max_attempts":4,"stretch":1.6,
--- a/tests/adapter/fleet_client_test.cc
+++ b/tests/adapter/fleet_client_test.cc
@@ -17,7 +17,7 @@
 
 constexpr int kServiceCalls = 200;
 
-/// Answers all calls but services.
+/// Platform that answers all calls except service orders.
 class stalled_service_platform {
  public:
   explicit stalled_service_platform(boost::asio::io_context* context)
@@ -41,9 +41,10 @@
   net::http_server server_;
 };
 
-// Guards against pools that get no VMs for seconds while a wave begins: their
-// moves waited for connections behind its services until they were too old.
-TEST_CASE("A service that waits for its answer holds up nothing else") {
+// Guards against pools that receive no VMs for seconds when a wave starts: if
+// moves shared connections with service orders, they would wait behind them
+// until they expired.
+TEST_CASE("Unanswered service orders do not delay other calls") {
   boost::asio::io_context context;
   stalled_service_platform platform(&context);
   fleet_client client(&context, platform.address, "p1");
@@ -62,7 +63,7 @@
     CHECK(moved == host_order_outcome::kAccepted);
   }
 
-  SECTION("the list is read") {
+  SECTION("the host list is read") {
     std::optional<fleet_page> page;
     client.ListHosts("", hours(1), [&](fleet_page read) { page = read; });
     REQUIRE(RunUntil(&context, [&] { return page.has_value(); }));
--- a/tests/adapter/malformed_records_test.cc
+++ b/tests/adapter/malformed_records_test.cc
@@ -8,9 +8,10 @@
 #include "platform/vm_client.h"
 #include "record_mutations.h"
 
-// Another writer has put a record where one of the platform is expected. It
-// gives a whole record or a fault with its place, and nothing is thrown: else
-// one record would end the reading of all that follow.
+// Records from other writers may appear where records of the platform are
+// expected. Decoding yields a valid record or a fault with the path of the
+// field, and never throws: an exception would stop the decoding of all later
+// records.
 namespace plantainhead::adapter {
 namespace {
 
@@ -40,7 +41,7 @@
         {"machine":"m2","pool":"p","state":"upkeep","labels":[],"id":null}],
         "next_token":"t"})";
 
-// Changes that make sense all the same, as "place: change".
+// Mutations that leave the record valid, as "path: change".
 using accepted_changes = std::set<std::string>;
 
 template <typename Decode>
@@ -57,7 +58,8 @@
       continue;
     }
     REQUIRE_FALSE(record);
-    // A value that is put into an object's place lacks the fields within.
+    // Only the prefix is compared: if a scalar replaces an object, the fault
+    // is reported for a field of that object.
     CHECK(record.fault().field.rfind(change.place, 0) == 0);
     CHECK((change.change != "missing" ||
            record.fault().kind == fault_kind::kMissing));
@@ -67,7 +69,7 @@
   }
 }
 
-TEST_CASE("A configuration of another writer is whole or a fault") {
+TEST_CASE("A configuration from another writer is valid or yields a fault") {
   CheckMutations(
       kConfiguration,
       {"routes[0].priority: negative",
@@ -93,7 +95,7 @@
       [](const std::string& text) { return DecodeConfiguration(text); });
 }
 
-TEST_CASE("A wave of another writer is whole or a fault") {
+TEST_CASE("A wave from another writer is valid or yields a fault") {
   CheckMutations(kWave, {"duration_s: float"}, [](const std::string& text) {
     return DecodeWave("wave/1", text);
   });
@@ -101,11 +103,11 @@
   CHECK_FALSE(DecodeWave("wave/01", kWave));
 }
 
-TEST_CASE("An entry of a VM of another writer is whole or a fault") {
+TEST_CASE("A VM's entry from another writer is valid or yields a fault") {
   CheckMutations(kVm, {"cold_left_ms: float", "remaining_ms: missing"},
                  [](const std::string& text) { return DecodeVm("i-1", text); });
 
-  SECTION("a state that isn't named here is no state") {
+  SECTION("an unknown state is invalid") {
     json vm = json::parse(kVm);
     vm["state"] = "retired";
     const auto decoded = DecodeVm("i-1", vm.dump());
@@ -113,7 +115,7 @@
     CHECK(decoded.fault() == record_fault{fault_kind::kUnknownName, "state"});
   }
 
-  SECTION("an address that can't be connected to is none") {
+  SECTION("an address that cannot be connected to is invalid") {
     for (const char* address : {"", "host:80", "10.0.0.1", "10.0.0.1:0",
                                 "10.0.0.1:99999", "10.0.0.1:80x"}) {
       json vm = json::parse(kVm);
@@ -122,8 +124,8 @@
     }
   }
 
-  // The id goes into headers of calls and into keys of the store.
-  SECTION("an id that can't be a part of a header or a key is none") {
+  // The id becomes part of request headers and of record keys.
+  SECTION("an id that cannot be part of a header or a key is invalid") {
     CHECK_FALSE(DecodeVm("", kVm));
     CHECK_FALSE(DecodeVm("i-1\r\nX-Other: 1", kVm));
     CHECK_FALSE(DecodeVm("i \xff", kVm));
@@ -131,13 +133,13 @@
   }
 }
 
-TEST_CASE("A field that stands twice makes no record") {
+TEST_CASE("A record with a duplicate field is invalid") {
   const auto vm = DecodeVm("i-1", R"({"state":"ready","state":"draining"})");
   REQUIRE_FALSE(vm);
   CHECK(vm.fault().kind == fault_kind::kDuplicate);
 }
 
-TEST_CASE("A record that is nested very deep doesn't take the stack") {
+TEST_CASE("A deeply nested record does not overflow the stack") {
   constexpr std::size_t kDeep = 1'000'000;
   std::string objects;
   for (std::size_t i = 0; i < kDeep; ++i) {
@@ -153,7 +155,7 @@
   }
 }
 
-TEST_CASE("A VM's listing with one bad row is refused as a whole") {
+TEST_CASE("A VM's listing with one invalid row is rejected as a whole") {
   CheckMutations(
       kListing,
       {"running: missing", "finished: missing", "running[0][2]: null",
@@ -163,7 +165,7 @@
       [](const std::string& text) { return DecodeListing(text); });
 }
 
-TEST_CASE("A bad row of the fleet's list hides no other") {
+TEST_CASE("An invalid row of the host list does not affect other rows") {
   const fleet_page valid = DecodeFleetPage(kFleetPage);
   REQUIRE(valid.is_read);
   REQUIRE(valid.hosts.size() == 2);
@@ -184,7 +186,7 @@
     CHECK(page.unreadable_hosts.empty() == is_optional);
   }
 
-  SECTION("a state that isn't named here is a fault of its row") {
+  SECTION("an unknown state is a fault of its row") {
     json list = json::parse(kFleetPage);
     list["machines"][0]["state"] = "melting";
     const fleet_page page = DecodeFleetPage(list.dump());
@@ -196,7 +198,7 @@
     CHECK(page.hosts.size() == 1);
   }
 
-  SECTION("a page whose rows can't be told apart isn't read") {
+  SECTION("a page whose rows cannot be parsed is unreadable") {
     for (const std::string& text : testing::BrokenTexts(kFleetPage)) {
       CHECK_FALSE(DecodeFleetPage(text).is_read);
     }
--- a/tests/adapter/store_codec_test.cc
+++ b/tests/adapter/store_codec_test.cc
@@ -23,10 +23,10 @@
   return std::string(7, '\0') + "\x0e" + std::string(8, '\0') + records;
 }
 
-// Another writer's record has a length for its key that it doesn't hold. If the
-// page counted as unread, it would be read again and again, and the records
-// behind it would never be seen.
-TEST_CASE("A record whose key can't be told hides none of its page") {
+// A record from another writer declares a key that is longer than the record.
+// If it made the whole page unreadable, the page would be read again and again,
+// and the records after it would never be reached.
+TEST_CASE("A record with an invalid key does not affect the rest of its page") {
   const std::string malformed = GENERATE(std::string(), std::string("\xff"),
                                          std::string("\x05"
                                                      "abc"));
@@ -44,7 +44,7 @@
   CHECK(reply.records[2].offset == kFrom + 2);
 }
 
-TEST_CASE("What a page doesn't hold wholly is left to the next read") {
+TEST_CASE("A truncated record is left to the next read") {
   const std::string first = EncodeRecord({"a", "1"});
   const std::string second = EncodeRecord({"b", "2"});
   for (std::size_t cut = 1; cut < second.size(); ++cut) {
@@ -60,7 +60,8 @@
         read_outcome::kFailed);
 }
 
-TEST_CASE("An item of the newest records that can't be read hides no other") {
+TEST_CASE(
+    "An unreadable item of the newest records does not affect other items") {
   const json valid = {{"key", "b"}, {"value", "Mg=="}, {"offset", 4}};
   const auto page = [&valid](const json& malformed) {
     return json{{"items", json::array({malformed, valid})},
@@ -77,12 +78,12 @@
     CHECK(reply.records[1].key == "b");
     CHECK(reply.records[1].value == "2");
     CHECK(reply.last_key == "b");
-    // Text of any length may be base64.
+    // A long value is valid base64.
     const bool is_value = change.place == "value" && change.change == "long";
     CHECK(reply.records[0].fault.has_value() == !is_value);
   }
 
-  SECTION("half a value is none") {
+  SECTION("a value that is not entirely valid base64 is a fault") {
     for (const char* value : {"MQ=", "M", "MQ*=", "====", "MQ==MQ==", "\n"}) {
       json malformed = item;
       malformed["value"] = value;
@@ -94,7 +95,7 @@
     }
   }
 
-  SECTION("a key whose bytes are no text") {
+  SECTION("a key that is not valid UTF-8") {
     const std::string body =
         "{\"items\":[{\"key\":\"\xff\xfe\",\"value\":\"MQ==\",\"offset\":3},"
         "{\"key\":\"b\",\"value\":\"Mg==\",\"offset\":4}],"
@@ -105,7 +106,7 @@
     CHECK(reply.records[1].value == "2");
   }
 
-  SECTION("a page that can't be gone on from isn't read") {
+  SECTION("a page without a key to continue after is unreadable") {
     CHECK_FALSE(DecodeNewest(R"({"items":[{"key":7}],"has_more":true,"end":6})")
                     .is_read);
     for (const std::string& text : testing::BrokenTexts(page(item).dump())) {
@@ -114,7 +115,7 @@
   }
 }
 
-TEST_CASE("A row of a group's table that can't be read deals nothing") {
+TEST_CASE("An unreadable row of a group's table assigns no partition") {
   const json table = {{"generation", 7}, {"parts", {{"t", 3, 0}, {"t", 4, 0}}}};
   CHECK(DecodeJoin(table.dump()).partitions ==
         std::vector<std::uint32_t>{3, 4});
@@ -129,9 +130,9 @@
   }
 }
 
-// A takeover asks whether its predecessor still holds a partition. A row that
-// can't be read may be the predecessor's.
-TEST_CASE("A list of members with a row that can't be read tells nobody gone") {
+// A takeover checks whether the previous owner still owns a partition. An
+// unreadable row may be that of the previous owner.
+TEST_CASE("A member list with an unreadable row is unreadable as a whole") {
   const json rows = {{"owners", {{"t", 3, "p1", 0}, {"t", 4, "p2", 0}}}};
   const members_reply valid = DecodeMembers(rows.dump());
   REQUIRE(valid.is_read);
@@ -143,7 +144,7 @@
   CHECK_FALSE(DecodeMembers("\xff").is_read);
   CHECK(DecodeMembers(R"([["t",3,"p1",0]])").members.count("p1") == 1);
 
-  SECTION("and where that row is") {
+  SECTION("the fault contains the path of the row") {
     const members_reply reply = DecodeMembers(malformed.dump());
     REQUIRE(reply.fault.has_value());
     CHECK(reply.fault->kind == core::jobs::fault_kind::kWrongType);
@@ -151,9 +152,9 @@
   }
 }
 
-// Guards against a group that never forms again: a list with a partition that
-// nobody holds passed for one that can't be read.
-TEST_CASE("A list of members tells of partitions that nobody holds") {
+// Guards against a group that never forms again because a list with an unowned
+// partition is treated as unreadable.
+TEST_CASE("A member list includes the number of unowned partitions") {
   const json rows = {{"owners", {{"t", 3, "", 0}, {"t", 4, "p2", 0}}}};
   const members_reply reply = DecodeMembers(rows.dump());
   REQUIRE(reply.is_read);
--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -37,7 +37,7 @@
   return request;
 }
 
-TEST_CASE("A client's calls are answered by the server") {
+TEST_CASE("The server answers the calls of a client") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   std::vector<server_request> requests;
@@ -70,15 +70,15 @@
   CHECK(requests[0].body == "body");
   CHECK(FindHeader(requests[0].headers, "content-type") == "application/json");
 
-  SECTION("over one connection while it stays open") {
+  SECTION("over one connection as long as it stays open") {
     call(std::chrono::seconds(10));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
     CHECK(client.OpenedConnections() == 1);
   }
 
-  // The server is silent. The call must end by its own timeout, and what the
-  // server answers later must reach nobody.
-  SECTION("a call without an answer ends, and its connection is given up") {
+  // The server does not answer. The call must end by its own timeout, and a
+  // later response must not be delivered to another call.
+  SECTION("an unanswered call ends, and its connection is closed") {
     answers = false;
     call(milliseconds(50));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
@@ -92,7 +92,7 @@
     CHECK(client.OpenedConnections() == 2);
   }
 
-  SECTION("a call that finds no free connection in time was not sent") {
+  SECTION("a call that gets no connection in time is not sent") {
     answers = false;
     std::optional<client_reply> first;
     client.Send(Post("/", ""), std::chrono::seconds(30),
@@ -103,9 +103,9 @@
     CHECK(requests.size() <= 2);
   }
 
-  // Guards against an order that is sent although it came to be too old while
-  // it waited for a connection.
-  SECTION("a call that may not be sent any more isn't") {
+  // Guards against an order being sent although it expired while it waited for
+  // a connection.
+  SECTION("a call that must no longer be sent is not sent") {
     answers = false;
     client.Send(Post("/first", ""), std::chrono::seconds(30),
                 [](const client_reply& /*reply*/) {});
@@ -123,7 +123,7 @@
     CHECK(reply->outcome == call_outcome::kNotSent);
     CHECK(requests.back().target == "/first");
 
-    SECTION("and its connection serves the next") {
+    SECTION("its connection is reused for the next call") {
       call(std::chrono::seconds(10));
       REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
       CHECK(reply->status == 201);
@@ -131,7 +131,7 @@
     }
   }
 
-  SECTION("a server that stops ends the connection with the answer") {
+  SECTION("a stopping server closes the connection after the response") {
     server.BeginStop();
     call(std::chrono::seconds(10));
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
@@ -143,11 +143,15 @@
   }
 }
 
-// Calls to a peer that is up go unanswered one after the other, each for its
-// whole timeout: the path was lost for a while, and all connections that were
-// idle then are silent for good without a reset. A member that renews so loses
-// its partitions. One timeout tells of all that weren't heard since the call.
-TEST_CASE("A call without an answer gives up the connections of its time") {
+// After a temporary network failure, all connections that were idle at that
+// time may be dead without a reset. If each of them were tried, calls to a
+// healthy peer would time out one after the other, and a group member that
+// renews its membership would lose its partitions. One timeout must therefore
+// close all connections that have not delivered a response since the call was
+// sent.
+TEST_CASE(
+    "An unanswered call closes the connections that were idle since it was "
+    "sent") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   std::vector<responder> pending;
@@ -177,7 +181,7 @@
   REQUIRE(RunUntil(&context, [&] { return answered == 3; }));
   REQUIRE(client.OpenedConnections() == 3);
 
-  SECTION("those that were idle when it was sent") {
+  SECTION("connections that were idle when it was sent") {
     call(milliseconds(50));
     REQUIRE(RunUntil(&context, [&] { return unanswered == 1; }));
     pending.clear();
@@ -187,7 +191,7 @@
     CHECK(client.OpenedConnections() == 4);
   }
 
-  SECTION("and none that has brought an answer since") {
+  SECTION("but not connections that delivered a response since") {
     call(milliseconds(200));
     REQUIRE(RunUntil(&context, [&] { return pending.size() == 1; }));
     const responder unanswered_call = std::move(pending.front());
@@ -202,7 +206,7 @@
   }
 }
 
-// Answers one call piece by piece, with a pause between them.
+// Server that answers one call in pieces, with a pause between them.
 class slow_server {
  public:
   slow_server(boost::asio::io_context* context,
@@ -248,17 +252,17 @@
   std::size_t sent_ = 0;
 };
 
-// A process that starts reads some MB of records over a slow link. If each call
-// ended by its timeout while its answer arrives, all would be repeated together
-// and none would ever succeed: the process would stay unready for good.
-TEST_CASE("An answer that is still arriving outlasts its call's timeout") {
+// A starting process reads several MB of records over a slow link. If calls
+// timed out while their responses arrive, all would be retried together and
+// none would ever succeed, so that the process would never become ready.
+TEST_CASE("A response that is still arriving extends its call's timeout") {
   boost::asio::io_context context;
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n";
   http_client_options options;
   std::optional<client_reply> reply;
   const auto on_reply = [&](client_reply got) { reply = std::move(got); };
 
-  SECTION("for as long as more of it comes") {
+  SECTION("as long as more data arrives") {
     options.stall_timeout = std::chrono::seconds(30);
     slow_server server(&context, {head + "ab", "cd", "ef"}, milliseconds(400));
     http_client client(&context, server.address(), options);
@@ -268,7 +272,7 @@
     CHECK(reply->body == "abcdef");
   }
 
-  SECTION("but not when it stops") {
+  SECTION("but not after it stalls") {
     options.stall_timeout = milliseconds(50);
     slow_server server(&context, {head + "ab"}, milliseconds(0));
     http_client client(&context, server.address(), options);
@@ -277,7 +281,7 @@
     CHECK(reply->outcome == call_outcome::kUnanswered);
   }
 
-  SECTION("and not without end") {
+  SECTION("but not beyond the response timeout") {
     options.stall_timeout = std::chrono::seconds(30);
     options.response_timeout = milliseconds(0);
     slow_server server(&context, {head + "ab"}, milliseconds(0));
@@ -288,11 +292,12 @@
   }
 }
 
-// A process is held up, by work or by a suspension, past the deadlines of all
-// its calls. The peers have answered in time, and the answers wait in the
-// sockets. Taken for silent, each peer would be called again, on a new
-// connection, by a process that is late already.
-TEST_CASE("An answer that came while the process was held up counts") {
+// A process is blocked, by work or by a suspension, until after the deadlines
+// of all its calls. The peers have answered in time, and the responses wait in
+// the sockets. If the calls were considered unanswered, the delayed process
+// would have to repeat each of them on a new connection.
+TEST_CASE(
+    "A response that arrived while the process was blocked is delivered") {
   boost::asio::io_context peers_context;
   const std::string address = FreeAddress();
   std::optional<responder> pending;
@@ -313,7 +318,7 @@
     peers_context.run_for(milliseconds(1));
   }
 
-  SECTION("when the peer has answered") {
+  SECTION("if the peer has answered") {
     (*pending)({200, {}, "in time"});
     peers_context.restart();
     peers_context.run_for(milliseconds(10));
@@ -323,16 +328,16 @@
     CHECK(reply->body == "in time");
   }
 
-  SECTION("and a peer that hasn't is given up all the same") {
+  SECTION("and a call that the peer has not answered times out") {
     std::this_thread::sleep_for(kTimeout);
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
     CHECK(reply->outcome == call_outcome::kUnanswered);
   }
 }
 
-// Guards against large answers that arrive for seconds because each KiB of them
-// waits for its turn behind all else that a busy process does.
-TEST_CASE("A large answer takes few turns of its reader's loop") {
+// Guards against large responses that take seconds to read because each KiB of
+// them waits behind the other handlers of a busy process.
+TEST_CASE("A large response is read in few iterations of the event loop") {
   constexpr std::size_t kBytes = std::size_t{128} << 10U;
   constexpr int kMaxIterations = 32;
   boost::asio::io_context peers_context;
@@ -352,7 +357,7 @@
                 [&](client_reply got) { reply = std::move(got); });
     int iterations = 0;
     while (!reply) {
-      // All that the peer can send is there before each turn.
+      // Lets the peer send as much as it can before each iteration.
       peers_context.restart();
       peers_context.run_for(milliseconds(2));
       context.restart();
@@ -366,14 +371,15 @@
   CHECK(reply->body.size() == kBytes);
   CHECK(large_iterations - small_iterations < kMaxIterations);
 
-  SECTION("also when the connection has brought little before") {
+  SECTION("also after a small response on the same connection") {
     iterations_for("/little");
     CHECK(iterations_for("/large") < kMaxIterations);
   }
 }
 
-// Guards against answers of value that are thrown away since the link is full.
-TEST_CASE("A late answer counts while it is awaited") {
+// Guards against useful responses being discarded because a saturated link
+// delays them.
+TEST_CASE("A late response is delivered within the additional wait") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   std::optional<responder> pending;
@@ -388,7 +394,7 @@
   late.extra_wait = milliseconds(200);
   late.on_late = [&] { ++late_notifications; };
 
-  SECTION("and its caller is told that it is late") {
+  SECTION("the caller is notified that the response is late") {
     late.extra_wait = std::chrono::seconds(60);
     client.Send(Post("/path", "body"), milliseconds(50), late,
                 [&](client_reply got) { reply = std::move(got); });
@@ -401,7 +407,7 @@
     CHECK(reply->body == "late");
   }
 
-  SECTION("and is given up after that") {
+  SECTION("the call times out after the additional wait") {
     client.Send(Post("/path", "body"), milliseconds(50), late,
                 [&](client_reply got) { reply = std::move(got); });
     REQUIRE(RunUntil(&context, [&] { return reply.has_value(); }));
@@ -409,7 +415,7 @@
     CHECK(late_notifications == 1);
   }
 
-  SECTION("but a call that was never sent isn't late") {
+  SECTION("a call that was never sent is not late") {
     http_client unreachable_client(&context, FreeAddress(), {});
     unreachable_client.Send(Post("/path", "body"), std::chrono::seconds(10),
                             late,
@@ -420,7 +426,7 @@
   }
 }
 
-TEST_CASE("A call to a port without a listener was not sent") {
+TEST_CASE("A call to a port without a listener is not sent") {
   boost::asio::io_context context;
   http_client client(&context, FreeAddress(), {});
   std::optional<client_reply> reply;
@@ -430,7 +436,7 @@
   CHECK(reply->outcome == call_outcome::kNotSent);
 }
 
-TEST_CASE("A server bounds what it reads") {
+TEST_CASE("A server rejects bodies above its size limit") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   http_server_options options;
