--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -62,26 +62,27 @@
 std::string SerializeRequest(const client_request& request,
                              const std::string& host) {
   constexpr std::size_t kTypicalHeaderBytes = 256;
-  std::string text;
-  text.reserve(kTypicalHeaderBytes + request.body.size());
-  text.append(RequestLinePrefix(request.verb))
+  std::string request_text;
+  request_text.reserve(kTypicalHeaderBytes + request.body.size());
+  request_text.append(RequestLinePrefix(request.verb))
       .append(request.target)
       .append(" HTTP/1.1\r\n");
   if (FindHeader(request.headers, "Host").empty()) {
-    AddHeader("Host", host, &text);
+    AddHeader("Host", host, &request_text);
   }
   for (const auto& [name, value] : request.headers) {
-    AddHeader(name, value, &text);
+    AddHeader(name, value, &request_text);
   }
   if (request.verb == method::kPost) {
-    AddHeader("Content-Type", request.content_type, &text);
-    AddHeader("Content-Length", std::to_string(request.body.size()), &text);
+    AddHeader("Content-Type", request.content_type, &request_text);
+    AddHeader("Content-Length", std::to_string(request.body.size()),
+              &request_text);
   }
-  text.append("\r\n");
+  request_text.append("\r\n");
   if (request.verb == method::kPost) {
-    text.append(request.body);
+    request_text.append(request.body);
   }
-  return text;
+  return request_text;
 }
 
 // Returns whether the peer has neither closed the idle connection nor sent any
@@ -113,7 +114,7 @@
     call->on_reply = std::move(on_reply);
     call->late = std::move(late);
     call->deadline = steady_clock::now() + timeout;
-    call->text = SerializeRequest(request, host_);
+    call->request_text = SerializeRequest(request, host_);
     call->may_send = request.may_send;
     call->max_deadline = call->deadline + options_.response_timeout;
     queued_calls_.push_back(call);
@@ -127,7 +128,7 @@
     idle_.clear();
   }
 
-  std::uint64_t opened() const { return opened_count_; }
+  std::uint64_t opened_connections() const { return opened_connections_; }
 
  private:
   struct connection {
@@ -140,7 +141,7 @@
 
   struct pending_call {
     explicit pending_call(asio::io_context& context) : timer(context) {}
-    std::string text;
+    std::string request_text;
     std::function<bool()> may_send;
     http::response_parser<http::string_body> parser;
     reply_handler on_reply;
@@ -160,12 +161,12 @@
   void StartNext() {
     while (!queued_calls_.empty() && !is_closed_) {
       connection_ptr free = TakeIdle();
-      if (!free && in_use_ >= options_.max_connections) {
+      if (!free && connections_in_use_ >= options_.max_connections) {
         return;
       }
       const call_ptr call = queued_calls_.front();
       queued_calls_.pop_front();
-      ++in_use_;
+      ++connections_in_use_;
       if (free) {
         call->active_connection = std::move(free);
         WriteIfAllowed(call);
@@ -189,7 +190,7 @@
   }
 
   void Connect(const call_ptr& call) {
-    ++opened_count_;
+    ++opened_connections_;
     call->active_connection = std::make_unique<connection>(context_);
     call->active_connection->stream.async_connect(
         endpoint_, [self = shared_from_this(), call](error_code error) {
@@ -225,7 +226,7 @@
     call->is_sent = true;
     call->sent_at = steady_clock::now();
     asio::async_write(
-        call->active_connection->stream, asio::buffer(call->text),
+        call->active_connection->stream, asio::buffer(call->request_text),
         [self = shared_from_this(), call](error_code error, std::size_t) {
           if (call->is_finished) {
             return;
@@ -336,8 +337,8 @@
     if (call->is_finished || ExtendDeadline(call)) {
       return;
     }
-    const bool is_waiting = call->active_connection == nullptr;
-    if (is_waiting) {
+    const bool is_queued = call->active_connection == nullptr;
+    if (is_queued) {
       std::erase(queued_calls_, call);
       call->is_finished = true;
       CallHandler(call, {call_outcome::kNotSent, 0, {}});
@@ -380,7 +381,7 @@
   void Finish(const call_ptr& call, client_reply reply, bool is_reusable) {
     call->is_finished = true;
     call->timer.cancel();
-    --in_use_;
+    --connections_in_use_;
     if (is_reusable && !is_closed_) {
       call->active_connection->idle_since = steady_clock::now();
       // Releases the memory of a large response, which the next small response
@@ -418,8 +419,8 @@
   http_client_options options_;
   std::deque<call_ptr> queued_calls_;
   std::vector<connection_ptr> idle_;
-  std::size_t in_use_ = 0;
-  std::uint64_t opened_count_ = 0;
+  std::size_t connections_in_use_ = 0;
+  std::uint64_t opened_connections_ = 0;
   bool is_closed_ = false;
 };
 
@@ -446,7 +447,7 @@
 }
 
 std::uint64_t http_client::OpenedConnections() const {
-  return impl_->opened();
+  return impl_->opened_connections();
 }
 
 }  // namespace plantainhead::net
