--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -149,9 +149,7 @@
 // renews its membership would lose its partitions. One timeout must therefore
 // close all connections that have not delivered a response since the call was
 // sent.
-TEST_CASE(
-    "An unanswered call closes the connections that were idle since it was "
-    "sent") {
+TEST_CASE("An unanswered call closes connections idle since it was sent") {
   boost::asio::io_context context;
   const std::string address = FreeAddress();
   std::vector<responder> pending;
