--- a/bench/fold_bench.cc
+++ b/bench/fold_bench.cc
@@ -85,7 +85,7 @@
       counted.who = kPlanner;
       counted.at = time_point() + std::chrono::hours(hour);
       for (const work_class& spec : targets_.classes) {
-        counted.classes[spec.name][request_fate::kServed] = 123456;
+        counted.classes[spec.name][slo_outcome::kServed] = 123456;
       }
       Write(counted);
     }
@@ -105,7 +105,7 @@
     }
     if (step % kStepsPerPhase == 0) {
       const vm_id vm(Name("vm", step / kStepsPerPhase % size_.vms));
-      const vm_state& known = state_.vms.at(vm);
+      const fleet_vm& known = state_.vms.at(vm);
       const vm_phase next = known.phase == vm_phase::kServing
                                 ? vm_phase::kDraining
                                 : vm_phase::kServing;
--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -99,11 +99,11 @@
   void UpdateLeaving(const std::set<vm_id>& leaving) {
     Replace(&leaving_, leaving);
   }
-  /// Handles the answer to a move order. `is_settled`: it is certain whether
+  /// Handles the answer to a move order. `is_reconciled`: it is certain whether
   /// the order was carried out.
   void OnMoveAnswer(const host_id& host,
                     bool is_accepted,
-                    bool is_settled,
+                    bool is_reconciled,
                     time_point now);
 
   /// Returns when the move of the host was last ordered; `nullopt` if no move
--- a/src/core/jobs/arrival_rate_monitor.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -21,7 +21,7 @@
   arrival noted;
   noted.at = now - age;
   for (const step_spec& step : job.steps) {
-    if (step.lasting) {
+    if (step.long_running) {
       continue;
     }
     const double time = Seconds(step.estimate) * step.task_count;
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -123,13 +123,13 @@
 
 void fleet_balancer::OnMoveAnswer(const host_id& host,
                                   bool is_accepted,
-                                  bool is_settled,
+                                  bool is_reconciled,
                                   time_point now) {
   const auto found = moves_.find(host);
   if (found == moves_.end()) {
     return;
   }
-  if (is_settled && !is_accepted) {
+  if (is_reconciled && !is_accepted) {
     moves_.erase(found);
   } else {
     found->second.is_in_flight = false;
--- a/src/core/jobs/maintenance_scheduler.cc
+++ b/src/core/jobs/maintenance_scheduler.cc
@@ -186,7 +186,7 @@
 // VM id. A list that was requested before the host went down shows it as up,
 // and a host of a spare pool has no incarnation to compare. Such a list must
 // not count as a return, since one host too many would be taken down.
-void maintenance_scheduler::NoteReturns(wave_progress* wave,
+void maintenance_scheduler::NoteReturns(fleet_wave* wave,
                                         std::vector<wave_action>* actions) {
   for (auto& [host, progress] : wave->hosts) {
     if (progress.phase != host_phase::kDown) {
@@ -226,9 +226,8 @@
 // Returns how many hosts of the pools must be drained or in service at the same
 // time for the wave to finish in time. If the wave's publication time is
 // unknown, returns the maximum.
-std::uint32_t maintenance_scheduler::RequiredConcurrency(
-    const wave_progress& wave,
-    time_point now) const {
+std::uint32_t maintenance_scheduler::RequiredConcurrency(const fleet_wave& wave,
+                                                         time_point now) const {
   const std::uint32_t most = wave.wave.max_concurrent + settings_.drained_ahead;
   if (!wave.wave.published_at) {
     return most;
@@ -250,7 +249,7 @@
 }
 
 std::vector<maintenance_scheduler::due_host> maintenance_scheduler::DueHosts(
-    wave_progress* wave,
+    fleet_wave* wave,
     std::map<pool_id, std::uint32_t>* busy) {
   std::vector<due_host> due;
   for (auto& [host, progress] : wave->hosts) {
@@ -305,7 +304,7 @@
 // are taken as the wave's time limit requires. The same limit always applies to
 // hosts of the pools, and hosts of a pool that lacks VMs are not taken before
 // the time limit requires the maximum that the wave allows.
-void maintenance_scheduler::CloseNext(wave_progress* wave,
+void maintenance_scheduler::CloseNext(fleet_wave* wave,
                                       time_point now,
                                       std::vector<wave_action>* actions) {
   const std::uint32_t most =
@@ -349,7 +348,7 @@
   }
 }
 
-void maintenance_scheduler::PlanWave(wave_progress* wave,
+void maintenance_scheduler::PlanWave(fleet_wave* wave,
                                      time_point now,
                                      std::vector<wave_action>* actions) {
   NoteReturns(wave, actions);
@@ -439,7 +438,7 @@
     return false;
   }
   return std::any_of(waves_.begin(), waves_.end(), [&](const auto& entry) {
-    const wave_progress& wave = entry.second;
+    const fleet_wave& wave = entry.second;
     const auto found = wave.hosts.find(host->second);
     if (found == wave.hosts.end() || found->second.phase == host_phase::kDone) {
       return false;
--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -175,7 +175,7 @@
   for (const core::jobs::wave_action& action : keeper_.Plan(now)) {
     std::visit([this](const auto& kind) { Do(kind); }, action);
   }
-  balancer_.UpdateLeaving(deps_.world->registry().Leaving());
+  balancer_.UpdateLeaving(deps_.world->registry().Draining());
   for (const core::jobs::move_host& move :
        balancer_.Plan(HostsNotToMove(now), now)) {
     queue_.Add(move);
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -82,7 +82,7 @@
     registry
         .Counter("plantain_task_lapses_total",
                  "Runs given up because their VM was silent.", labels)
-        .Add(counts.lapsed_runs);
+        .Add(counts.lease_expired_runs);
     registry
         .Counter("plantain_task_losses_total",
                  "Runs that were on a VM when it was lost.", labels)
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -74,7 +74,7 @@
         scheduler_->NoteReport(id, *until);
       }
     } else {
-      scheduler_->UnlistVm(id);
+      scheduler_->UnregisterVm(id);
     }
     SyncClosed(id);
   }
@@ -198,7 +198,7 @@
   const core::jobs::takeover_wait wait = scheduler_->TakeoverWait(now);
   if (!wait.is_over) {
     first_wait_ = first_wait_.value_or(wait);
-    if (wait.listed + wait.unlisted > 0) {
+    if (wait.registered + wait.unregistered > 0) {
       last_wait_ = wait;
     }
     return;
@@ -209,10 +209,10 @@
            {{"partition", std::to_string(partition_)},
             {"epoch", std::to_string(epoch_)},
             {"claimed_ms_ago", MillisOf(now - claimed_at_)},
-            {"first_listed", std::to_string(first.listed)},
-            {"first_unlisted", std::to_string(first.unlisted)},
-            {"last_listed", std::to_string(last_wait_.listed)},
-            {"last_unlisted", std::to_string(last_wait_.unlisted)},
+            {"first_listed", std::to_string(first.registered)},
+            {"first_unlisted", std::to_string(first.unregistered)},
+            {"last_listed", std::to_string(last_wait_.registered)},
+            {"last_unlisted", std::to_string(last_wait_.unregistered)},
             {"last_vm", last_wait_.vm}});
 }
 
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -120,14 +120,14 @@
   /// Logs a VM that is heard again, or for the first time in its life.
   void NoteHeard(const core::jobs::vm_id& vm,
                  vm_link* link,
-                 const core::jobs::life_mark& born);
+                 const core::jobs::vm_incarnation& incarnation);
   /// How long to wait before the next hold of a VM that listed this.
   std::chrono::milliseconds GapAfter(
-      const core::jobs::vm_listing& listing) const;
+      const core::jobs::run_listing& listing) const;
   void LogLosses();
   void LogNewEnds(const core::jobs::vm_id& vm,
                   const std::shared_ptr<vm_link>& link,
-                  const core::jobs::vm_listing& listing);
+                  const core::jobs::run_listing& listing);
   void Send(const core::jobs::start_order& order);
   /// Returns what tells whether a start of a task of the job may still be sent.
   std::function<bool()> StartGate(const core::jobs::job_id& job);
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -56,13 +56,13 @@
   add("sr", step.same_rack, false);
   add("rl", step.required_label, std::string());
   add("pr", step.preferred_rack, std::string());
-  add("mv", step.most_per_vm, 0U);
+  add("mv", step.max_per_vm, 0U);
   add("sp", step.speculative, false);
-  add("la", step.lasting, false);
+  add("la", step.long_running, false);
   add("i", step.image, std::string());
   add("lt", step.latency_target.count(), duration::rep{0});
-  add("f", step.fills, false);
-  add("mm", step.may_miss, 0U);
+  add("f", step.best_effort, false);
+  add("mm", step.max_unavailable, 0U);
   return row;
 }
 
@@ -70,8 +70,8 @@
   json rows = json::array();
   for (const core::jobs::run_loss& loss : losses) {
     json row = json::array({loss.run, core::NameOf(loss.kind), loss.vm});
-    if (loss.born) {
-      row.push_back(*loss.born);
+    if (loss.incarnation) {
+      row.push_back(*loss.incarnation);
     }
     rows.push_back(std::move(row));
   }
@@ -136,13 +136,13 @@
   step.same_rack = OptionalFlag(row.At("sr"));
   step.required_label = OptionalText(row.At("rl"));
   step.preferred_rack = OptionalText(row.At("pr"));
-  step.most_per_vm = OptionalCount(row.At("mv"));
+  step.max_per_vm = OptionalCount(row.At("mv"));
   step.speculative = OptionalFlag(row.At("sp"));
-  step.lasting = OptionalFlag(row.At("la"));
+  step.long_running = OptionalFlag(row.At("la"));
   step.image = OptionalText(row.At("i"));
   step.latency_target = Optional(row.At("lt"), duration::zero(), ReadDuration);
-  step.fills = OptionalFlag(row.At("f"));
-  step.may_miss = OptionalCount(row.At("mm"));
+  step.best_effort = OptionalFlag(row.At("f"));
+  step.max_unavailable = OptionalCount(row.At("mm"));
   return step;
 }
 
@@ -167,7 +167,7 @@
   }
   const value_reader handed_in = record.At("h");
   if (!handed_in.IsMissing()) {
-    spec.handed_in_at = core::time_point(handed_in.Millis());
+    spec.submitted_at = core::time_point(handed_in.Millis());
   }
   return spec;
 }
@@ -209,7 +209,7 @@
 core::jobs::job_progress ReadProgress(const value_reader& record) {
   core::jobs::job_progress progress;
   progress.phase = record.At("s").EnumValue<core::jobs::job_phase>();
-  progress.untold_runs = OptionalCount(record.At("u"));
+  progress.unreported_runs = OptionalCount(record.At("u"));
   const value_reader tasks = record.At("t");
   const std::size_t count = tasks.IsMissing() ? 0 : tasks.RowCount();
   for (std::size_t i = 0; i < count; ++i) {
@@ -287,9 +287,9 @@
         json::array({spec.schedule->first_due.time_since_epoch().count(),
                      spec.schedule->interval.count(), spec.schedule->count});
   }
-  if (spec.handed_in_at) {
+  if (spec.submitted_at) {
     value["h"] = std::chrono::duration_cast<std::chrono::milliseconds>(
-                     spec.handed_in_at->time_since_epoch())
+                     spec.submitted_at->time_since_epoch())
                      .count();
   }
   return {spec.id, value.dump()};
@@ -306,8 +306,8 @@
 
 adapter::keyed_record Encode(const progress_record& record) {
   json value = {{"s", core::NameOf(record.progress.phase)}};
-  if (record.progress.untold_runs > 0) {
-    value["u"] = record.progress.untold_runs;
+  if (record.progress.unreported_runs > 0) {
+    value["u"] = record.progress.unreported_runs;
   }
   if (!record.progress.tasks.empty()) {
     json rows = json::array();
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -198,7 +198,7 @@
     decoded.spec->id = asked.id;
     decoded.spec->queue = asked.route.queue;
     decoded.spec->pool = asked.route.pool;
-    decoded.spec->handed_in_at = asked.came_at;
+    decoded.spec->submitted_at = asked.came_at;
     Store(asked, Encode(submission_record{std::move(*decoded.spec)}),
           record_purpose::kJob);
   }
--- a/tests/adapter/malformed_records_test.cc
+++ b/tests/adapter/malformed_records_test.cc
@@ -64,7 +64,7 @@
     CHECK((change.change != "missing" ||
            record.fault().kind == fault_kind::kMissing));
   }
-  for (const std::string& text : testing::BrokenTexts(valid)) {
+  for (const std::string& text : testing::MalformedTexts(valid)) {
     CHECK_FALSE(decode(text));
   }
 }
@@ -199,7 +199,7 @@
   }
 
   SECTION("a page whose rows cannot be parsed is unreadable") {
-    for (const std::string& text : testing::BrokenTexts(kFleetPage)) {
+    for (const std::string& text : testing::MalformedTexts(kFleetPage)) {
       CHECK_FALSE(DecodeFleetPage(text).is_read);
     }
   }
--- a/tests/adapter/store_codec_test.cc
+++ b/tests/adapter/store_codec_test.cc
@@ -109,7 +109,7 @@
   SECTION("a page without a key to continue after is unreadable") {
     CHECK_FALSE(DecodeNewest(R"({"items":[{"key":7}],"has_more":true,"end":6})")
                     .is_read);
-    for (const std::string& text : testing::BrokenTexts(page(item).dump())) {
+    for (const std::string& text : testing::MalformedTexts(page(item).dump())) {
       CHECK_FALSE(DecodeNewest(text).is_read);
     }
   }
--- a/tests/core/jobs/arrival_rate_monitor_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -85,10 +85,10 @@
   }
 
   SECTION("Long-running steps do not count towards the rate") {
-    job_spec lasting = ShortJob();
-    lasting.steps[0].lasting = true;
+    job_spec long_running = ShortJob();
+    long_running.steps[0].long_running = true;
     for (int i = 0; i < 20; ++i) {
-      monitor.RecordArrival(lasting, now);
+      monitor.RecordArrival(long_running, now);
     }
     CHECK(monitor.RisingDemand(now) == resources());
   }
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -70,7 +70,7 @@
   scheduler_driver driver;
   step_spec second = Step(1, 8000);
   second.depends_on = {0};
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("a", {Step(1), second}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.Add(Job("b", {Step(1, 5000)}));
--- a/tests/core/jobs/record_faults_test.cc
+++ b/tests/core/jobs/record_faults_test.cc
@@ -94,9 +94,9 @@
     vm_description leaving = VmOf("b", "pool");
     leaving.draining = true;
     registry.Put(leaving);
-    CHECK(registry.Leaving() == std::set<vm_id>{"b"});
+    CHECK(registry.Draining() == std::set<vm_id>{"b"});
     registry.PutUnreadable("b");
-    CHECK(registry.Leaving().empty());
+    CHECK(registry.Draining().empty());
   }
 
   SECTION("until its key is deleted") {
--- a/tests/core/requests/golden_session_test.cc
+++ b/tests/core/requests/golden_session_test.cc
@@ -13,7 +13,7 @@
  public:
   void Title(const std::string& words) { text_.Title(words); }
 
-  void Happen(const event& what) {
+  void HandleEvent(const event& what) {
     text_.In(now_, Text(what));
     effects out;
     std::visit(
@@ -21,7 +21,7 @@
             [&](const request_arrived& item) {
               core_.OnArrival(item, Context(), now_, out);
             },
-            [&](const caller_gone& item) {
+            [&](const caller_disconnected& item) {
               core_.OnCallerGone(item, Context(), now_, out);
             },
             [&](const peer_disconnected& item) {
@@ -52,7 +52,7 @@
     Write(out);
   }
 
-  void Pass(duration time) { now_ += time; }
+  void AdvanceTime(duration time) { now_ += time; }
 
   /// Records come in as if read from the control stream.
   void Fold(std::vector<record_body> bodies) {
@@ -66,7 +66,7 @@
     }
     read.end = offset;
     read.begin = 1;
-    Happen(read);
+    HandleEvent(read);
   }
 
   void Arrive(std::uint64_t sequence,
@@ -84,20 +84,20 @@
     if (!key.empty()) {
       arrived.request.key = claim_key(key);
     }
-    Happen(arrived);
+    HandleEvent(arrived);
   }
 
   void Reply(std::uint64_t call, const std::string& body) {
-    Happen(endpoint_replied{static_cast<call_id>(call),
-                            200,
-                            {},
-                            std::make_shared<const std::string>(body)});
+    HandleEvent(endpoint_replied{static_cast<call_id>(call),
+                                 200,
+                                 {},
+                                 std::make_shared<const std::string>(body)});
   }
 
   const fleet_state& fleet() const { return fleet_; }
   bool idle() const { return core_.Idle(); }
   std::string str() const { return text_.str(); }
-  claim_question last_question;
+  claim_command last_command;
 
  private:
   routing_context Context() const {
@@ -131,9 +131,9 @@
     for (const action& item : out.actions) {
       text_.Out(Text(item));
     }
-    for (claim_question& question : core_.TakeClaimQuestions()) {
-      text_.Out(Text(question));
-      last_question = std::move(question);
+    for (claim_command& command : core_.TakeClaimCommands()) {
+      text_.Out(Text(command));
+      last_command = std::move(command);
     }
   }
 
@@ -179,7 +179,7 @@
   const lease_epoch epoch = session.fleet().lease.epoch;
   session.Fold({assign_vm{epoch, vm_id("near"), 0, pool_id("casework"), "new"},
                 assign_vm{epoch, vm_id("far"), 0, pool_id("casework"), "new"}});
-  session.Happen(
+  session.HandleEvent(
       vm_list_read{{Listing("near", "suwon"), Listing("far", "goyang")}, {}});
 }
 
@@ -187,7 +187,7 @@
   session.Title("A request is served here, the next by the other entry");
   session.Arrive(1, "GET", "/petitions/7");
   session.Arrive(2, "GET", "/petitions/8");
-  session.Pass(milliseconds(15));
+  session.AdvanceTime(milliseconds(15));
   session.Reply(1, "petition 7");
   forward_reply reply;
   reply.id = {kSelf, 1};
@@ -195,28 +195,28 @@
   reply.answer.result = outcome::kDone;
   reply.answer.body = std::make_shared<const std::string>("petition 8");
   reply.load = {{kIntake, 1, 0, 0}};
-  session.Happen(frame_received{{kPeer, 4, reply}});
+  session.HandleEvent(frame_received{{kPeer, 4, reply}});
 
   session.Title("An appeal with a key is claimed, then run once");
   session.Arrive(3, "POST", "/appeals", "ward-3/appeal-12");
   claim_decision granted;
-  granted.request = session.last_question.request;
+  granted.request = session.last_command.request;
   granted.verdict = claim_verdict::kGranted;
-  session.Pass(milliseconds(70));
+  session.AdvanceTime(milliseconds(70));
   session.Decide(granted);
-  session.Pass(milliseconds(15));
+  session.AdvanceTime(milliseconds(15));
   session.Reply(2, "appeal logged");
 
   session.Title("An endpoint is lost under an appeal without a key");
   session.Arrive(4, "POST", "/appeals");
-  session.Happen(endpoint_failed{static_cast<call_id>(3),
-                                 endpoint_failure::kMaybeSent, false, "reset"});
+  session.HandleEvent(endpoint_failed{
+      static_cast<call_id>(3), endpoint_failure::kMaybeSent, false, "reset"});
 }
 
 void Drain(request_session& session) {
   session.Title("The VM here drains: what runs ends, new work goes elsewhere");
   session.Arrive(5, "GET", "/petitions/9");
-  const vm_state near = session.fleet().vms.at(vm_id("near"));
+  const fleet_vm near = session.fleet().vms.at(vm_id("near"));
   set_vm_phase drain;
   drain.epoch = session.fleet().lease.epoch;
   drain.vm = vm_id("near");
@@ -226,11 +226,11 @@
   drain.reason = "wave";
   session.Fold({drain});
   session.Arrive(6, "GET", "/petitions/10");
-  session.Pass(milliseconds(10));
+  session.AdvanceTime(milliseconds(10));
   session.Reply(4, "petition 9");
 
   session.Title("The other entry is lost: idempotent work finds no one else");
-  session.Happen(peer_disconnected{kPeer});
+  session.HandleEvent(peer_disconnected{kPeer});
 }
 
 TEST_CASE("A session of one entry's requests is as it was agreed") {
@@ -240,7 +240,7 @@
   Drain(session);
 
   session.Title("The entry stops");
-  session.Happen(stop_requested{});
+  session.HandleEvent(stop_requested{});
   session.Arrive(7, "GET", "/petitions/11");
   CHECK(session.idle());
   const std::string current = session.str();
