--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -64,7 +64,7 @@
       CarryOut(*entry);
     }
     for (std::uint32_t i = 0; i < kClaimPartitions; ++i) {
-      homes_.push_back(HomeOf(i, state, {}));
+      homes_.push_back(CoordinatorOf(i, state, {}));
     }
   }
 
@@ -142,8 +142,8 @@
     asked_at_.push_back(now_);
     keys_.push_back(key);
     On(*at, [&] {
-      at->core.Ask(key, request, now_ + seconds(30), now_, at->out,
-                   at->decisions);
+      at->core.Acquire(key, request, now_ + seconds(30), now_, at->out,
+                       at->decisions);
     });
     std::exponential_distribution<double> gap(what_.claims_per_second);
     At(now_ + duration(static_cast<std::int64_t>(gap(random_) * 1e6)),
@@ -193,7 +193,7 @@
     answer.result = outcome::kDone;
     answer.body = body_;
     On(at, [&] {
-      at.core.Finished(keys_[request.sequence - 1], request, answer, now_);
+      at.core.Complete(keys_[request.sequence - 1], request, answer, now_);
     });
   }
 
@@ -379,7 +379,7 @@
   std::printf(
       "takeover: %zu claims read in %.1f ms, %.2f us and %.0f bytes "
       "of memory a claim\n",
-      core.figures(kStart).claims_held, spent * 1e3, spent * 1e6 / kClaims,
+      core.stats(kStart).claims_held, spent * 1e3, spent * 1e6 / kClaims,
       static_cast<double>(grown) / kClaims);
 }
 
--- a/bench/fold_bench.cc
+++ b/bench/fold_bench.cc
@@ -85,7 +85,7 @@
       counted.who = kPlanner;
       counted.at = time_point() + std::chrono::hours(hour);
       for (const work_class& spec : targets_.classes) {
-        counted.classes[spec.name][request_fate::kServed] = 123456;
+        counted.classes[spec.name][slo_outcome::kServed] = 123456;
       }
       Write(counted);
     }
--- a/include/plantainhead/core/claims/claim_home.h
+++ b/include/plantainhead/core/claims/claim_coordinator.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_CLAIMS_CLAIM_HOME_H_
-#define PLANTAINHEAD_CORE_CLAIMS_CLAIM_HOME_H_
+#ifndef PLANTAINHEAD_CORE_CLAIMS_CLAIM_COORDINATOR_H_
+#define PLANTAINHEAD_CORE_CLAIMS_CLAIM_COORDINATOR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -30,19 +30,19 @@
 /// none is left. Only an efficiency: two entries that take themselves for the
 /// home at once never both grant a key, since the log orders their claims.
 /// Thread safety: safe from any thread while nobody writes `state`.
-incarnation HomeOf(std::uint32_t partition,
-                   const fleet_state& state,
-                   const std::set<incarnation>& excluded);
+incarnation CoordinatorOf(std::uint32_t partition,
+                          const fleet_state& state,
+                          const std::set<incarnation>& excluded);
 
 /// Returns the members that may write the claims of `partition`, first choice
-/// first, at most `most`; the first is `HomeOf`. When it is excluded, the
-/// second is the home, and so on. Thread safety: safe from any thread while
+/// first, at most `most`; the first is `CoordinatorOf`. When it is excluded,
+/// the second is the home, and so on. Thread safety: safe from any thread while
 /// nobody writes `state`.
-std::vector<incarnation> HomesOf(std::uint32_t partition,
-                                 const fleet_state& state,
-                                 const std::set<incarnation>& excluded,
-                                 std::size_t most);
+std::vector<incarnation> CoordinatorsOf(std::uint32_t partition,
+                                        const fleet_state& state,
+                                        const std::set<incarnation>& excluded,
+                                        std::size_t most);
 
 }  // namespace plantainhead::core
 
-#endif  // PLANTAINHEAD_CORE_CLAIMS_CLAIM_HOME_H_
+#endif  // PLANTAINHEAD_CORE_CLAIMS_CLAIM_COORDINATOR_H_
--- a/include/plantainhead/core/claims/claims.h
+++ b/include/plantainhead/core/claims/claims.h
@@ -7,8 +7,8 @@
 #include <set>
 #include <vector>
 
+#include "plantainhead/core/claims/claim_coordinator.h"
 #include "plantainhead/core/claims/claim_decision.h"
-#include "plantainhead/core/claims/claim_home.h"
 #include "plantainhead/core/entry/effects.h"
 #include "plantainhead/core/entry/events.h"
 #include "plantainhead/core/ids.h"
@@ -32,27 +32,27 @@
   duration clock_skew = std::chrono::minutes(1);
   /// A claim that isn't settled after this time is given up: the log is taken
   /// for unavailable.
-  duration patience = std::chrono::seconds(2);
+  duration claim_timeout = std::chrono::seconds(2);
   /// What callers are told when the log is unavailable or the key in progress.
   duration retry_after = std::chrono::seconds(1);
   /// Least time between two appends to one stream. With `kClaimPartitions`
   /// streams the default keeps the claims under 300 appends a second.
   duration append_interval = std::chrono::milliseconds(60);
   /// First and longest wait after an append that failed; doubles in between.
-  duration first_backoff = std::chrono::milliseconds(50);
-  duration longest_backoff = std::chrono::seconds(1);
+  duration initial_backoff = std::chrono::milliseconds(50);
+  duration max_backoff = std::chrono::seconds(1);
   /// Most records in one append.
   std::size_t append_records = 1000;
   /// Claims kept in memory over all partitions. At the limit new claims are
   /// refused; forgetting a claim early could let its key run twice.
-  std::size_t most_claims = 250000;
+  std::size_t max_claims = 250000;
   /// Bytes of stored answers, and of the largest answer that is stored.
-  std::size_t stored_bytes = 8u << 20;
-  std::size_t largest_stored = 64u << 10;
+  std::size_t max_stored_bytes = 8u << 20;
+  std::size_t max_answer_bytes = 64u << 10;
 };
 
 /// What the claims have done and hold, for metrics. Counts since the start.
-struct claim_figures {
+struct claim_stats {
   std::uint64_t asked = 0;
   std::uint64_t granted = 0;
   std::uint64_t in_progress = 0;
@@ -64,13 +64,13 @@
   std::uint64_t appends = 0;
   std::uint64_t records = 0;
   /// Times that records of the claim window could not be read.
-  std::uint64_t cuts = 0;
+  std::uint64_t unreadable_gaps = 0;
   /// Now, not counts: claims in memory, bytes of answers, claims in the making.
   std::size_t claims_held = 0;
   std::size_t answer_bytes = 0;
-  std::size_t waiting = 0;
+  std::size_t pending = 0;
   /// Partitions whose home is here, and those of them that refuse claims.
-  std::size_t homes = 0;
+  std::size_t coordinated_partitions = 0;
   std::size_t refusing = 0;
 };
 
@@ -84,13 +84,13 @@
 ///
 /// A key stands for `claim_options::window` after its claim, at least. A grant
 /// is valid until the request's deadline; the user of this class must cap the
-/// deadline of a request with a key at its arrival plus `LongestPatience`, and
-/// check it again right before dispatch. A key that ends in a UUID of version 7
-/// tells its own age and is refused once older than the window; for other keys
-/// the callers must stop their retries in time.
+/// deadline of a request with a key at its arrival plus `MaxRequestTimeout`,
+/// and check it again right before dispatch. A key that ends in a UUID of
+/// version 7 tells its own age and is refused once older than the window; for
+/// other keys the callers must stop their retries in time.
 ///
-/// Each `Ask` gets exactly one decision, from the call itself or a later one.
-/// Thread safety: none; owned by the thread of the decisions.
+/// Each `Acquire` gets exactly one decision, from the call itself or a later
+/// one. Thread safety: none; owned by the thread of the decisions.
 class claims {
  public:
   /// `ids` must outlive this object. Precondition: `self` isn't `kNone`.
@@ -101,12 +101,12 @@
 
   /// Asks for leave to dispatch `request`. Preconditions: `key` isn't empty;
   /// a request is asked for once (again while it waits: ignored).
-  void Ask(const claim_key& key,
-           request_id request,
-           time_point deadline,
-           time_point now,
-           effects& out,
-           std::vector<claim_decision>& decisions);
+  void Acquire(const claim_key& key,
+               request_id request,
+               time_point deadline,
+               time_point now,
+               effects& out,
+               std::vector<claim_decision>& decisions);
 
   /// Gives a granted claim back, so that a retry may run. Precondition: the
   /// request was never dispatched and never will be. Ignored for a request that
@@ -118,7 +118,7 @@
 
   /// Keeps the final answer of a granted request for retries, if it isn't too
   /// large. Precondition: the answer isn't `kNotRun`; use `Release` for that.
-  void Finished(const claim_key& key,
+  void Complete(const claim_key& key,
                 request_id request,
                 const response& answer,
                 time_point now);
@@ -156,10 +156,10 @@
   /// Longest time to its deadline that a request with a key may have: half of
   /// the window, so that a caller that waited to its end and heard nothing has
   /// the other half for retries.
-  duration LongestPatience() const { return options_.window / 2; }
+  duration MaxRequestTimeout() const { return options_.window / 2; }
 
   /// Returns the figures at `now`. Looks at all partitions; cheap.
-  claim_figures figures(time_point now) const;
+  claim_stats stats(time_point now) const;
 
  private:
   void Count(const std::vector<claim_decision>& decisions, std::size_t from);
@@ -169,7 +169,7 @@
 
   const claim_options options_;
   const incarnation self_;
-  claim_figures figures_;
+  claim_stats stats_;
   std::unique_ptr<answer_store> answers_;
   std::vector<std::unique_ptr<claim_partition>> partitions_;
 };
--- a/include/plantainhead/core/requests/call_counts.h
+++ b/include/plantainhead/core/requests/call_counts.h
@@ -22,28 +22,28 @@
   /// Precondition: a call was added and not yet removed.
   void Remove(const vm_id& vm) { counts_.at(vm) -= 1; }
 
-  std::uint32_t Of(const vm_id& vm) const;
+  std::uint32_t CountOf(const vm_id& vm) const;
 
   /// Returns the counts of `routes.owned`, in that order. The places are valid
-  /// until the next `Tidy`.
-  const std::vector<const std::uint32_t*>& OwnedOf(
+  /// until the next `RemoveUnused`.
+  const std::vector<const std::uint32_t*>& OwnedCounts(
       const service_routes& routes) const;
 
   /// Returns the VMs with calls in flight, by name.
-  std::vector<vm_in_flight> All() const;
+  std::vector<vm_in_flight> NonZeroCounts() const;
 
   /// Forgets VMs without calls; to be called after the table was rebuilt.
-  void Tidy();
+  void RemoveUnused();
 
  private:
-  struct owned_counts {
+  struct owned_counters {
     std::uint64_t version = 0;
-    std::vector<const std::uint32_t*> places;
+    std::vector<const std::uint32_t*> counters;
   };
 
   /// Both change when counts are asked for that aren't there yet.
   mutable std::unordered_map<vm_id, std::uint32_t> counts_;
-  mutable std::unordered_map<service_name, owned_counts> owned_;
+  mutable std::unordered_map<service_name, owned_counters> owned_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/requests/endpoint_health.h
+++ b/include/plantainhead/core/requests/endpoint_health.h
@@ -16,23 +16,23 @@
   /// Failures in a row that eject an endpoint.
   static constexpr std::uint32_t kFailuresToEject = 5;
   /// The first ejection lasts this long, each further one twice as long.
-  static constexpr duration kFirstEjection = std::chrono::seconds(1);
-  static constexpr duration kLongestEjection = std::chrono::seconds(32);
+  static constexpr duration kInitialEjection = std::chrono::seconds(1);
+  static constexpr duration kMaxEjection = std::chrono::seconds(32);
   /// Never more than this share of a service's slots is ejected: when most
   /// endpoints fail, the fault isn't theirs, and ejecting them would put the
   /// whole load on the few that are left.
-  static constexpr double kMostEjected = 1.0 / 3;
+  static constexpr double kMaxEjectedShare = 1.0 / 3;
 
   /// An endpoint gave an answer that isn't an error of its own.
   void OnSuccess(const vm_id& vm);
 
   /// An endpoint failed or answered with an error of its own. `service_slots`
-  /// are all slots of its service, `lost_slots` those that any owner has
+  /// are all slots of its service, `ejected_slots` those that any owner has
   /// ejected, `slots` its own. Returns true if it is ejected by this failure.
   bool OnFailure(const vm_id& vm,
                  time_point now,
                  std::uint32_t service_slots,
-                 std::uint32_t lost_slots,
+                 std::uint32_t ejected_slots,
                  std::uint32_t slots);
 
   /// The endpoint refused since its slots are taken; none is tried before
@@ -44,9 +44,9 @@
 
   /// How many calls may be in flight at an endpoint with `slots`: 0 while
   /// ejected, 1 until it has answered again after that.
-  std::uint32_t Allowed(const vm_id& vm,
-                        time_point now,
-                        std::uint32_t slots) const;
+  std::uint32_t AllowedCalls(const vm_id& vm,
+                             time_point now,
+                             std::uint32_t slots) const;
 
  private:
   struct record {
@@ -55,7 +55,7 @@
     time_point ejected_until;
     time_point full_until;
     /// Ejected before and not yet proved well.
-    bool on_trial = false;
+    bool is_probing = false;
   };
 
   std::unordered_map<vm_id, record> records_;
--- a/include/plantainhead/core/requests/endpoint_table.h
+++ b/include/plantainhead/core/requests/endpoint_table.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "plantainhead/core/claims/claim_home.h"
+#include "plantainhead/core/claims/claim_coordinator.h"
 #include "plantainhead/core/configuration.h"
 #include "plantainhead/core/ids.h"
 #include "plantainhead/core/log/fleet_state.h"
@@ -80,18 +80,19 @@
   /// Returns the endpoint of a VM, or null.
   const endpoint_info* FindVm(const vm_id& vm) const;
 
-  /// Returns the entries that may claim the keys of `partition`: `HomeOf` that,
-  /// and then the homes were those before it gone. These are all members that
-  /// aren't stopping: without a majority the dead stay members, and any number
-  /// of them may stand first. Precondition: `partition` < `kClaimPartitions`.
-  const std::vector<incarnation>& HomesOf(std::uint32_t partition) const;
+  /// Returns the entries that may claim the keys of `partition`:
+  /// `CoordinatorOf` that, and then the homes were those before it gone. These
+  /// are all members that aren't stopping: without a majority the dead stay
+  /// members, and any number of them may stand first. Precondition: `partition`
+  /// < `kClaimPartitions`.
+  const std::vector<incarnation>& CoordinatorsOf(std::uint32_t partition) const;
 
   const std::unordered_map<service_name, service_routes>& services() const {
     return services_;
   }
 
  private:
-  struct place {
+  struct endpoint_position {
     const service_routes* routes = nullptr;
     std::size_t index = 0;
   };
@@ -103,8 +104,8 @@
 
   std::uint64_t version_ = 0;
   std::unordered_map<service_name, service_routes> services_;
-  std::unordered_map<vm_id, place> by_vm_;
-  std::array<std::vector<incarnation>, kClaimPartitions> homes_;
+  std::unordered_map<vm_id, endpoint_position> by_vm_;
+  std::array<std::vector<incarnation>, kClaimPartitions> coordinators_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/requests/owner_loads.h
+++ b/include/plantainhead/core/requests/owner_loads.h
@@ -28,8 +28,10 @@
   /// The connection to an owner was lost: it isn't chosen until it reports
   /// again. Otherwise each request sent to it would be lost too, and one that
   /// isn't idempotent would end as unknown, until the owner is suspected.
-  void OnLost(incarnation owner);
-  bool IsLost(incarnation owner) const { return lost_.contains(owner); }
+  void OnDisconnected(incarnation owner);
+  bool IsDisconnected(incarnation owner) const {
+    return disconnected_.contains(owner);
+  }
 
   /// Forgets all who are no members any more.
   void Prune(const fleet_state& fleet);
@@ -46,7 +48,7 @@
                                     random_source& random) const;
 
   /// Returns the slots of a service that owners report to be out of use.
-  std::uint32_t LostSlots(const service_routes& routes) const;
+  std::uint32_t UnavailableSlots(const service_routes& routes) const;
 
   /// Returns true if an owner is known or believed to have a free slot.
   bool HasFreeSlot(const owner_share& share, const service_name& service) const;
@@ -55,7 +57,7 @@
   struct known_load {
     service_load reported;
     /// Forwarded by this entry since the report.
-    std::uint32_t sent = 0;
+    std::uint32_t forwarded = 0;
     bool is_reported = false;
   };
   using load_by_service = std::unordered_map<service_name, known_load>;
@@ -66,14 +68,15 @@
                 const routing_context& context,
                 const std::vector<incarnation>& avoid) const;
   /// Returns one at random, each by its slots; null if there are none.
-  static const owner_share* Draw(const std::vector<const owner_share*>& shares,
-                                 random_source& random);
+  static const owner_share* PickWeighted(
+      const std::vector<const owner_share*>& shares,
+      random_source& random);
   /// Returns how many requests would wait for each slot, 0 when one is free.
-  static double ScoreOf(const service_load& load, std::uint32_t sent);
+  static double ScoreOf(const service_load& load, std::uint32_t forwarded);
   double WaitScore(const owner_share& share, const service_name& service) const;
 
   std::unordered_map<incarnation, load_by_service> loads_;
-  std::set<incarnation> lost_;
+  std::set<incarnation> disconnected_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/requests/pending_request.h
+++ b/include/plantainhead/core/requests/pending_request.h
@@ -15,17 +15,17 @@
 namespace plantainhead::core {
 
 /// The request came from a caller of this entry.
-struct from_caller {
+struct caller_origin {
   std::uint64_t sequence = 0;
 };
 
 /// The request was forwarded by another entry, under that entry's id.
-struct from_peer {
+struct peer_origin {
   incarnation peer = incarnation::kNone;
   request_id id;
 };
 
-using request_origin = std::variant<from_caller, from_peer>;
+using request_origin = std::variant<caller_origin, peer_origin>;
 
 enum class request_stage { kClaiming, kForwarded, kQueued, kDispatched };
 
@@ -37,11 +37,11 @@
   time_point arrival;
   /// Its place among the expiries.
   time_point expiry;
-  request_stage at = request_stage::kQueued;
+  request_stage current_stage = request_stage::kQueued;
   /// A claim was asked for here.
-  bool claim_asked = false;
+  bool is_claim_requested = false;
   /// A lost attempt may have run; from then on no answer says not-run.
-  bool maybe_run = false;
+  bool may_have_run = false;
   bool cancelled = false;
   /// False when another entry chose this one as the owner: then that entry
   /// looks for the next one.
@@ -54,7 +54,7 @@
   /// Where it was forwarded to, under which number, and what for.
   incarnation peer = incarnation::kNone;
   std::uint64_t forward = 0;
-  forward_stage wanted = forward_stage::kDispatch;
+  forward_stage requested_stage = forward_stage::kDispatch;
   /// The attempt in flight, while dispatched.
   call_id call = call_id::kNone;
 };
--- a/include/plantainhead/core/requests/request_core.h
+++ b/include/plantainhead/core/requests/request_core.h
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
+#include "plantainhead/core/claims/claim_command.h"
 #include "plantainhead/core/claims/claim_decision.h"
-#include "plantainhead/core/claims/claim_question.h"
 #include "plantainhead/core/entry/effects.h"
 #include "plantainhead/core/entry/events.h"
 #include "plantainhead/core/entry/messages.h"
@@ -120,7 +120,7 @@
 
   /// Takes what is to be handed to the claims, in order. To be called after
   /// each event.
-  std::vector<claim_question> TakeClaimQuestions();
+  std::vector<claim_command> TakeClaimCommands();
 
   /// Returns true once no request is at hand and no call is in flight.
   bool Idle() const { return requests_.empty() && calls_.empty(); }
@@ -131,7 +131,7 @@
 
   /// Returns the requests in flight at each VM, for the drain. VMs without any
   /// are left out.
-  std::vector<vm_in_flight> InFlight() const { return counts_.All(); }
+  std::vector<vm_in_flight> InFlight() const { return counts_.NonZeroCounts(); }
 
  private:
   using request = pending_request;
@@ -139,26 +139,26 @@
   using origin = request_origin;
   using stage = request_stage;
 
-  request& Begin(origin from, request_envelope envelope, time_point now);
+  request& AddRequest(origin from, request_envelope envelope, time_point now);
   request* Find(std::uint64_t number);
   /// Fills in a class that may be left out. Returns the answer to a request
   /// that can't be taken.
-  std::optional<response> Check(request_envelope& envelope,
-                                const routing_context& context,
-                                time_point now) const;
+  std::optional<response> Validate(request_envelope& envelope,
+                                   const routing_context& context,
+                                   time_point now) const;
 
-  void AskClaim(request& item, time_point now);
-  void Claim(request& item,
-             const routing_context& context,
-             time_point now,
-             effects& out);
+  void RequestLocalClaim(request& item, time_point now);
+  void AcquireClaim(request& item,
+                    const routing_context& context,
+                    time_point now,
+                    effects& out);
   void Route(request& item,
              const routing_context& context,
              time_point now,
              effects& out);
   void Forward(request& item,
                incarnation to,
-               forward_stage wanted,
+               forward_stage requested_stage,
                const routing_context& context,
                effects& out);
   void TryElsewhere(request& item,
@@ -173,17 +173,17 @@
                time_point now,
                effects& out);
   /// Finds out that the process stood still.
-  void NoticeFreeze(time_point now);
-  void Pump(const service_name& service,
-            const routing_context& context,
-            time_point now,
-            effects& out);
+  void DetectStall(time_point now);
+  void DispatchQueued(const service_name& service,
+                      const routing_context& context,
+                      time_point now,
+                      effects& out);
   /// Ends a request that the queue passed over.
-  void Refuse(request& item,
-              const service_routes& routes,
-              const routing_context& context,
-              time_point now,
-              effects& out);
+  void RejectQueued(request& item,
+                    const service_routes& routes,
+                    const routing_context& context,
+                    time_point now,
+                    effects& out);
   void Dispatch(request& item,
                 const endpoint_info& endpoint,
                 time_point now,
@@ -200,13 +200,13 @@
                        effects& out);
   /// An endpoint or owner may be tried once more.
   bool MayRetry(const request& item, time_point now) const;
-  bool ShouldAskAnother(const request& item,
-                        const response& answer,
-                        const routing_context& context,
-                        time_point now);
+  bool ShouldRetryElsewhere(const request& item,
+                            const response& answer,
+                            const routing_context& context,
+                            time_point now);
   bool OtherHasFreeSlot(const request& item,
                         const routing_context& context) const;
-  void LoseForwarded(request& item,
+  void OnForwardLost(request& item,
                      const routing_context& context,
                      time_point now,
                      effects& out);
@@ -226,12 +226,12 @@
               const routing_context& context,
               time_point now,
               effects& out);
-  claim_question& AddQuestion(claim_need need,
-                              const claim_key& key,
-                              std::uint64_t number);
+  claim_command& AddClaimCommand(claim_operation operation,
+                                 const claim_key& key,
+                                 std::uint64_t number);
   void SettleClaim(const request& item, const response& answer);
   void CountUnserved(const request& item, const routing_context& context);
-  void Detach(request& item);
+  void RemoveFromIndexes(request& item);
   void Deliver(const origin& to,
                const service_name& service,
                response answer,
@@ -246,12 +246,12 @@
 
   /// Takes a call out and frees its slot. Returns nothing if there is none.
   std::optional<call> EndCall(call_id id);
-  void TellHealth(const call& ended,
-                  bool success,
-                  const routing_context& context,
-                  time_point now);
+  void ReportHealth(const call& ended,
+                    bool success,
+                    const routing_context& context,
+                    time_point now);
   service_load OwnLoad(const service_routes& routes, time_point now) const;
-  bool MayUse(const endpoint_info& endpoint, time_point now) const;
+  bool CanDispatchTo(const endpoint_info& endpoint, time_point now) const;
   const work_class* ClassOf(const request_envelope& envelope,
                             const routing_context& context) const;
 
@@ -259,9 +259,9 @@
   random_source random_;
   bool stopping_ = false;
   /// When a tick or a forwarded request was last handled.
-  time_point last_seen_;
+  time_point last_activity_;
   /// Nothing is dispatched before; set after the process stood still.
-  time_point hold_until_;
+  time_point dispatch_hold_until_;
   std::uint64_t last_number_ = 0;
   std::uint64_t last_forward_ = 0;
   std::uint64_t last_call_ = 0;
@@ -283,9 +283,9 @@
   owner_loads loads_;
   retry_budget budget_;
   duration claim_window_;
-  std::vector<claim_question> questions_;
+  std::vector<claim_command> claim_commands_;
   /// Keys of requests that ended before their claim was decided.
-  std::unordered_map<std::uint64_t, claim_key> undecided_;
+  std::unordered_map<std::uint64_t, claim_key> abandoned_claims_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/requests/request_counts.h
+++ b/include/plantainhead/core/requests/request_counts.h
@@ -10,7 +10,7 @@
 namespace plantainhead::core {
 
 /// What became of a request in terms of its class's target.
-enum class request_fate {
+enum class slo_outcome {
   /// Answered whole and in time.
   kServed,
   /// Answered whole, but later than the class's `within`. It counts against the
@@ -24,25 +24,25 @@
   kFailure,
 };
 
-inline constexpr name_table<request_fate, 5> kRequestFateNames = {{
-    {request_fate::kServed, "served"},
-    {request_fate::kLate, "late"},
-    {request_fate::kOverload, "overload"},
-    {request_fate::kMaintenance, "maintenance"},
-    {request_fate::kFailure, "failure"},
+inline constexpr name_table<slo_outcome, 5> kSloOutcomeNames = {{
+    {slo_outcome::kServed, "served"},
+    {slo_outcome::kLate, "late"},
+    {slo_outcome::kOverload, "overload"},
+    {slo_outcome::kMaintenance, "maintenance"},
+    {slo_outcome::kFailure, "failure"},
 }};
-inline constexpr const auto& NamesOf(request_fate) {
-  return kRequestFateNames;
+inline constexpr const auto& NamesOf(slo_outcome) {
+  return kSloOutcomeNames;
 }
 
 /// Numbers of requests by their fate. Thread safety: none.
 struct request_counts {
-  std::array<std::uint64_t, kRequestFateNames.size()> by_fate{};
+  std::array<std::uint64_t, kSloOutcomeNames.size()> by_fate{};
 
-  std::uint64_t& operator[](request_fate fate) {
+  std::uint64_t& operator[](slo_outcome fate) {
     return by_fate[static_cast<std::size_t>(fate)];
   }
-  std::uint64_t operator[](request_fate fate) const {
+  std::uint64_t operator[](slo_outcome fate) const {
     return by_fate[static_cast<std::size_t>(fate)];
   }
 
@@ -56,8 +56,8 @@
   /// Returns the requests that went unserved: they spend the budget of
   /// unavailability.
   std::uint64_t Unserved() const {
-    return Total() - (*this)[request_fate::kServed] -
-           (*this)[request_fate::kLate];
+    return Total() - (*this)[slo_outcome::kServed] -
+           (*this)[slo_outcome::kLate];
   }
 
   request_counts& operator+=(const request_counts& other) {
--- a/include/plantainhead/core/requests/request_meter.h
+++ b/include/plantainhead/core/requests/request_meter.h
@@ -20,10 +20,10 @@
 /// class; nothing for an answer that says the caller's request was wrong.
 /// `in_maintenance` tells that maintenance keeps VMs of the service from work.
 /// Thread safety: safe from any thread.
-std::optional<request_fate> FateOf(const response& answer,
-                                   duration elapsed,
-                                   duration within,
-                                   bool in_maintenance);
+std::optional<slo_outcome> ClassifyAnswer(const response& answer,
+                                          duration elapsed,
+                                          duration within,
+                                          bool in_maintenance);
 
 /// Counts one entry's own callers' requests by class and fate, and how long its
 /// calls held slots of each service. The counts only grow, so that others can
--- a/include/plantainhead/core/requests/request_queue.h
+++ b/include/plantainhead/core/requests/request_queue.h
@@ -46,25 +46,25 @@
  public:
   /// Shares of the dispatches, while other classes wait, that classes that can
   /// wait get at least and at most.
-  static constexpr double kLeastWaitingShare = 1.0 / 32;
-  static constexpr double kMostWaitingShare = 1.0 / 8;
+  static constexpr double kMinDeferrableShare = 1.0 / 32;
+  static constexpr double kMaxDeferrableShare = 1.0 / 8;
   /// A request is admitted if its predicted wait takes at most this part of its
   /// time. With the whole of it the queue would be full of requests close to
   /// their limit, and those whose service takes longer than usual would end
   /// late.
-  static constexpr double kWaitPart = 0.5;
+  static constexpr double kMaxWaitFraction = 0.5;
   /// The same for classes that others go before. Their requests would go before
   /// new ones of a tighter class once they are close to their limit, and the
   /// tighter class would miss its target.
-  static constexpr double kLooseWaitPart = 0.3;
+  static constexpr double kLooseMaxWaitFraction = 0.3;
   /// How much of its time a class that burns its budget is moved forward at
   /// most. Bounded, since in an overload that no order can mend a class far
   /// behind would push aside those that still meet their targets.
-  static constexpr double kMostForward = 0.2;
+  static constexpr double kMaxBoost = 0.2;
   /// Bounds the memory; far above what admission lets in.
-  static constexpr std::size_t kMostQueued = 10000;
-  static constexpr duration kLeastRetryAfter = std::chrono::milliseconds(50);
-  static constexpr duration kMostRetryAfter = std::chrono::seconds(30);
+  static constexpr std::size_t kMaxQueued = 10000;
+  static constexpr duration kMinRetryAfter = std::chrono::milliseconds(50);
+  static constexpr duration kMaxRetryAfter = std::chrono::seconds(30);
 
   /// Puts a new request into the queue if it can be served in time by `slots`
   /// of which `free` are free. Precondition: no item has its id.
@@ -75,10 +75,10 @@
                   time_point now);
 
   /// A request of a class was dispatched at once, since nothing waited.
-  void CountDirect(const work_class& work);
+  void CountDirectDispatch(const work_class& work);
 
   /// Puts a request back that was taken out and surely not run.
-  void PutBack(const queue_item& item, const work_class& work);
+  void Requeue(const queue_item& item, const work_class& work);
 
   /// Takes out the request that goes next. Those passed over since they can't
   /// end in time are appended to `refused`; they are out of the queue too.
@@ -104,75 +104,75 @@
 
   /// Forgets what was learned of classes that the targets no longer have: as
   /// the tightest class of old, one would hold the others' waits down for ever.
-  void KeepClasses(const std::vector<work_class>& classes);
+  void RetainClasses(const std::vector<work_class>& classes);
 
-  std::size_t size() const { return places_.size(); }
+  std::size_t size() const { return positions_.size(); }
 
   /// Returns all ids, for a service whose endpoints went to other owners.
   std::vector<std::uint64_t> Ids() const;
 
  private:
-  struct waiting {
+  struct queued_request {
     /// Order within and between lanes.
     time_point key;
     std::uint64_t id = 0;
     /// Target of the class or deadline, whichever is earlier.
-    time_point limit;
+    time_point effective_deadline;
     time_point deadline;
   };
 
   /// The requests of one class, by key.
-  struct lane {
+  struct class_queue {
     bool can_wait = false;
     duration within{};
     /// Part of the recent dispatches that were of this class.
     double share = 0;
-    std::deque<waiting> items;
-    double mean_us = 0;
-    double deviation_us = 0;
+    std::deque<queued_request> items;
+    double mean_service_us = 0;
+    double service_deviation_us = 0;
     /// Share of requests that were not served in time, over that allowed.
-    double burn = 0;
+    double burn_rate = 0;
   };
 
-  struct place {
-    lane* in = nullptr;
+  struct queue_position {
+    class_queue* queue = nullptr;
     time_point key;
   };
 
-  lane& LaneOf(const work_class& work);
-  const lane* FindLane(const class_name& name) const;
-  waiting MakeWaiting(const queue_item& item,
-                      const work_class& work,
-                      const lane& into) const;
-  void Insert(lane& into, const waiting& item);
-  void CountOutcome(lane& in, const work_class& work, bool served);
+  class_queue& ClassQueueFor(const work_class& work);
+  const class_queue* FindClassQueue(const class_name& name) const;
+  queued_request MakeWaiting(const queue_item& item,
+                             const work_class& work,
+                             const class_queue& queue) const;
+  void Insert(class_queue& queue, const queued_request& item);
+  void CountOutcome(class_queue& queue, const work_class& work, bool served);
   /// How much a class that burns its budget is moved forward.
-  static duration Forward(const lane& in);
+  static duration Boost(const class_queue& queue);
   /// Precondition: something waits in the lane.
-  static time_point HeadOf(const lane& in);
-  lane* First(bool can_wait);
-  lane* Next();
-  std::size_t CountAhead(const lane& in, time_point key) const;
-  duration WaitOf(const lane& in,
-                  time_point key,
-                  std::uint32_t slots,
-                  std::uint32_t free) const;
-  double ShareLeftFor(const lane& in) const;
+  static time_point HeadKey(const class_queue& queue);
+  class_queue* EarliestQueue(bool can_wait);
+  class_queue* SelectNext();
+  std::size_t CountAhead(const class_queue& queue, time_point key) const;
+  duration PredictWait(const class_queue& queue,
+                       time_point key,
+                       std::uint32_t slots,
+                       std::uint32_t free) const;
+  double RemainingShare(const class_queue& queue) const;
   /// Returns whether new requests of one class overtake those of another.
-  static bool GoesFirst(const lane& first, const lane& second);
-  bool IsTightest(const lane& in) const;
-  void CountDispatch(const lane& in);
+  static bool HasPriority(const class_queue& first, const class_queue& second);
+  bool HasTightestTarget(const class_queue& queue) const;
+  void CountDispatch(const class_queue& queue);
   /// Returns how long a request with `left` of its time may wait.
-  duration MostWait(const lane& in, duration left) const;
-  static duration LikelyServiceTime(const lane& in);
+  duration MaxWait(const class_queue& queue, duration left) const;
+  static duration ExpectedServiceTime(const class_queue& queue);
 
-  std::map<class_name, lane> lanes_;
-  std::unordered_map<std::uint64_t, place> places_;
+  std::map<class_name, class_queue> class_queues_;
+  std::unordered_map<std::uint64_t, queue_position> positions_;
   /// Mean service time over all classes.
-  double mean_us_ = 0;
+  double mean_service_us_ = 0;
   /// Credit of the classes that can wait: rises with each dispatch, and one of
   /// theirs costs one.
-  double waiting_credit_ = 0;
+  double deferrable_credit_ = 0;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/requests/retry_budget.h
+++ b/include/plantainhead/core/requests/retry_budget.h
@@ -12,11 +12,11 @@
 class retry_budget {
  public:
   /// A new request adds this much of one retry.
-  static constexpr double kShare = 0.1;
+  static constexpr double kRetryRatio = 0.1;
   /// Most retries that can be saved up, for a burst.
-  static constexpr double kMost = 50;
+  static constexpr double kMaxTokens = 50;
 
-  void OnRequest() { tokens_ = std::min(kMost, tokens_ + kShare); }
+  void OnRequest() { tokens_ = std::min(kMaxTokens, tokens_ + kRetryRatio); }
 
   /// Takes one retry out. Returns false when there is none.
   bool Take() {
--- a/src/core/claims/claim_home.cc
+++ b/src/core/claims/claim_coordinator.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/claims/claim_home.h"
+#include "plantainhead/core/claims/claim_coordinator.h"
 
 #include <xxhash.h>
 
@@ -19,10 +19,10 @@
   return stream_name("claims-" + std::to_string(partition));
 }
 
-std::vector<incarnation> HomesOf(std::uint32_t partition,
-                                 const fleet_state& state,
-                                 const std::set<incarnation>& excluded,
-                                 std::size_t most) {
+std::vector<incarnation> CoordinatorsOf(std::uint32_t partition,
+                                        const fleet_state& state,
+                                        const std::set<incarnation>& excluded,
+                                        std::size_t most) {
   std::vector<std::pair<std::uint64_t, incarnation>> weighed;
   for (const auto& [who, member] : state.members) {
     if (excluded.contains(who)) {
@@ -33,18 +33,19 @@
     weighed.emplace_back(XXH3_64bits(parts.data(), sizeof(parts)), who);
   }
   std::sort(weighed.rbegin(), weighed.rend());
-  std::vector<incarnation> homes;
+  std::vector<incarnation> coordinators;
   for (std::size_t i = 0; i < std::min(most, weighed.size()); ++i) {
-    homes.push_back(weighed[i].second);
+    coordinators.push_back(weighed[i].second);
   }
-  return homes;
+  return coordinators;
 }
 
-incarnation HomeOf(std::uint32_t partition,
-                   const fleet_state& state,
-                   const std::set<incarnation>& excluded) {
-  const std::vector<incarnation> homes = HomesOf(partition, state, excluded, 1);
-  return homes.empty() ? incarnation::kNone : homes.front();
+incarnation CoordinatorOf(std::uint32_t partition,
+                          const fleet_state& state,
+                          const std::set<incarnation>& excluded) {
+  const std::vector<incarnation> coordinators =
+      CoordinatorsOf(partition, state, excluded, 1);
+  return coordinators.empty() ? incarnation::kNone : coordinators.front();
 }
 
 }  // namespace plantainhead::core
--- a/src/core/claims/claim_cursor.cc
+++ b/src/core/claims/claim_cursor.cc
@@ -14,25 +14,25 @@
 
 read_continuity claim_cursor::Begin(const log_read& read, time_point now) {
   if (read.end + 1 < next_) {
-    Bar(kAllRecords, now);
-    return read_continuity::kShorter;
+    Block(kAllRecords, now);
+    return read_continuity::kTruncated;
   }
   if (read.begin > next_) {
     // Only a reader that starts at the oldest record goes on behind a cut.
     const bool has_stopped = next_ > 1 && read.entries.empty();
-    Bar(read.begin, now);
+    Block(read.begin, now);
     next_ = read.begin;
     if (has_stopped) {
-      return read_continuity::kLeftOut;
+      return read_continuity::kGap;
     }
   }
   if (!read.entries.empty() && read.entries.front().offset > next_) {
-    return read_continuity::kLeftOut;
+    return read_continuity::kGap;
   }
-  return read_continuity::kFollows;
+  return read_continuity::kContiguous;
 }
 
-bool claim_cursor::Take(log_offset offset) {
+bool claim_cursor::AdvanceTo(log_offset offset) {
   if (offset < next_) {
     return false;
   }
@@ -51,35 +51,35 @@
 // Every record up to the offset in a mark was in the stream at the mark's time.
 // So if a mark is older than claims are kept, the records that it covers are
 // too, though they can't be read. This holds for late copies of a mark as well.
-void claim_cursor::OnMark(const claim_request& mark, time_point now) {
-  if (unread_ && mark.request.sequence + 1 >= unread_->begin &&
-      mark.at + kept_ <= now) {
-    unread_.reset();
+void claim_cursor::OnWatermark(const claim_request& watermark, time_point now) {
+  if (unread_range_ && watermark.request.sequence + 1 >= unread_range_->begin &&
+      watermark.at + retention_ <= now) {
+    unread_range_.reset();
   }
 }
 
-bool claim_cursor::IsBarred(time_point now) const {
-  return unread_ && now < unread_->until;
+bool claim_cursor::IsBlocked(time_point now) const {
+  return unread_range_ && now < unread_range_->until;
 }
 
-bool claim_cursor::Report() {
-  if (!unread_ || unread_->is_reported) {
+bool claim_cursor::TakeReport() {
+  if (!unread_range_ || unread_range_->is_reported) {
     return false;
   }
-  unread_->is_reported = true;
+  unread_range_->is_reported = true;
   return true;
 }
 
-log_offset claim_cursor::MarkOffset(time_point now) const {
-  const bool is_reset = IsBarred(now) && unread_->begin == kAllRecords;
+log_offset claim_cursor::WatermarkOffset(time_point now) const {
+  const bool is_reset = IsBlocked(now) && unread_range_->begin == kAllRecords;
   return is_reset ? 0 : last_read();
 }
 
-void claim_cursor::Bar(log_offset begin, time_point now) {
-  const bool was_barred = IsBarred(now);
-  const bool is_reported = was_barred && unread_->is_reported;
-  const log_offset before = was_barred ? unread_->begin : 0;
-  unread_ = {std::max(begin, before), now + kept_, is_reported};
+void claim_cursor::Block(log_offset begin, time_point now) {
+  const bool was_blocked = IsBlocked(now);
+  const bool is_reported = was_blocked && unread_range_->is_reported;
+  const log_offset before = was_blocked ? unread_range_->begin : 0;
+  unread_range_ = {std::max(begin, before), now + retention_, is_reported};
 }
 
 }  // namespace plantainhead::core
--- a/src/core/claims/claim_cursor.h
+++ b/src/core/claims/claim_cursor.h
@@ -12,11 +12,11 @@
 
 /// How a read goes on from what was read of a stream before.
 enum class read_continuity {
-  kFollows,
+  kContiguous,
   /// Reading must be started again after `last_read()`.
-  kLeftOut,
+  kGap,
   /// The stream has less than was read from it.
-  kShorter,
+  kTruncated,
 };
 
 /// How far a claim stream was read, and whether all was read that matters.
@@ -30,47 +30,49 @@
 /// Thread safety: none.
 class claim_cursor {
  public:
-  /// Claims stand for `kept`.
-  explicit claim_cursor(duration kept) : kept_(kept) {}
+  /// Claims stand for `retention`.
+  explicit claim_cursor(duration retention) : retention_(retention) {}
 
   /// Checks where `read` starts; to be called before its entries are taken.
   read_continuity Begin(const log_read& read, time_point now);
 
   /// Moves to `offset`. Returns false when it was read before.
-  bool Take(log_offset offset);
+  bool AdvanceTo(log_offset offset);
 
   /// Returns true once: when the stream was first read to its end.
   bool ReachEnd(log_offset end);
 
-  /// Ends a bar if `mark` shows that what was not read is old.
-  void OnMark(const claim_request& mark, time_point now);
+  /// Ends a bar if `watermark` shows that what was not read is old.
+  void OnWatermark(const claim_request& watermark, time_point now);
 
-  bool IsBarred(time_point now) const;
-  /// Precondition: `IsBarred(now)`.
-  duration BarredFor(time_point now) const { return unread_->until - now; }
+  bool IsBlocked(time_point now) const;
+  /// Precondition: `IsBlocked(now)`.
+  duration BlockedFor(time_point now) const {
+    return unread_range_->until - now;
+  }
   /// Returns true once for each bar.
-  bool Report();
+  bool TakeReport();
 
   /// Offset up to which a mark written now may speak for the stream.
-  log_offset MarkOffset(time_point now) const;
+  log_offset WatermarkOffset(time_point now) const;
 
   bool caught_up() const { return caught_up_; }
   log_offset last_read() const { return next_ - 1; }
 
  private:
   /// Records before `begin` can't be read.
-  struct unread_records {
+  struct unread_range {
     log_offset begin = 0;
     time_point until;
     bool is_reported = false;
   };
 
-  void Bar(log_offset begin, time_point now);
+  void Block(log_offset begin, time_point now);
 
-  duration kept_;
+  duration retention_;
   bool caught_up_ = false;
   log_offset next_ = 1;
-  std::optional<unread_records> unread_;
+  std::optional<unread_range> unread_range_;
 };
 
 }  // namespace plantainhead::core
--- a/src/core/claims/claim_index.cc
+++ b/src/core/claims/claim_index.cc
@@ -14,39 +14,39 @@
   return {hash.low64, hash.high64};
 }
 
-claim_standing claim_index::Add(const claim_request& claim, time_point now) {
+claim_status claim_index::Add(const claim_request& claim, time_point now) {
   Advance(claim.at);
   const claim_identity id{claim.claimant, claim.request};
   // A copy of a claim can land after its release: an append whose answer was
   // lost may take effect late. Taken for a new claim it would bar the key for a
   // window although nobody runs it.
   if (released_.count(id) > 0) {
-    return claim_standing::kReleased;
+    return claim_status::kReleased;
   }
   const key_hash key = HashOf(claim.key);
-  if (Stands(key, id)) {
-    return claim_standing::kCopy;
+  if (IsActive(key, id)) {
+    return claim_status::kDuplicate;
   }
-  const standing_claim standing{id, TimeOfNewest(now)};
-  by_age_.push_back({standing.at, key});
+  const active_claim added{id, ClampedNewest(now)};
+  by_age_.push_back({added.at, key});
   ++claims_;
-  auto [place, is_new] = keys_.try_emplace(key);
-  key_claims& claims = place->second;
+  auto [it, is_new] = keys_.try_emplace(key);
+  key_claims& claims = it->second;
   if (is_new) {
-    claims.first = standing;
-    return claim_standing::kFirst;
+    claims.first = added;
+    return claim_status::kFirst;
   }
   if (claims.later == nullptr) {
-    claims.later = std::make_unique<std::vector<standing_claim>>();
+    claims.later = std::make_unique<std::vector<active_claim>>();
   }
-  claims.later->push_back(standing);
-  return claim_standing::kLater;
+  claims.later->push_back(added);
+  return claim_status::kLater;
 }
 
 void claim_index::Release(const key_hash& key,
                           const claim_identity& id,
                           time_point now) {
-  RemoveIf(key, [&](const standing_claim& claim) { return claim.id == id; });
+  RemoveIf(key, [&](const active_claim& claim) { return claim.id == id; });
   if (released_.insert(id).second) {
     releases_by_age_.push_back({now, id});
   }
@@ -56,54 +56,54 @@
   newest_ = std::max(newest_, at);
 }
 
-void claim_index::Forget(time_point now) {
-  while (!by_age_.empty() && by_age_.front().at + keep_ <= now) {
-    RemoveIf(by_age_.front().key, [&](const standing_claim& claim) {
-      return claim.at + keep_ <= now;
+void claim_index::EvictExpired(time_point now) {
+  while (!by_age_.empty() && by_age_.front().at + retention_ <= now) {
+    RemoveIf(by_age_.front().key, [&](const active_claim& claim) {
+      return claim.at + retention_ <= now;
     });
     by_age_.pop_front();
   }
   while (!releases_by_age_.empty() &&
-         releases_by_age_.front().at + keep_ <= now) {
+         releases_by_age_.front().at + retention_ <= now) {
     released_.erase(releases_by_age_.front().id);
     releases_by_age_.pop_front();
   }
 }
 
 const claim_identity* claim_index::Find(const key_hash& key) const {
-  const auto place = keys_.find(key);
-  return place == keys_.end() ? nullptr : &place->second.first.id;
+  const auto it = keys_.find(key);
+  return it == keys_.end() ? nullptr : &it->second.first.id;
 }
 
-bool claim_index::Stands(const key_hash& key, const claim_identity& id) const {
-  const auto place = keys_.find(key);
-  if (place == keys_.end()) {
+bool claim_index::IsActive(const key_hash& key,
+                           const claim_identity& id) const {
+  const auto it = keys_.find(key);
+  if (it == keys_.end()) {
     return false;
   }
-  const key_claims& claims = place->second;
+  const key_claims& claims = it->second;
   if (claims.first.id == id) {
     return true;
   }
   return claims.later != nullptr &&
-         std::any_of(
-             claims.later->begin(), claims.later->end(),
-             [&](const standing_claim& claim) { return claim.id == id; });
+         std::any_of(claims.later->begin(), claims.later->end(),
+                     [&](const active_claim& claim) { return claim.id == id; });
 }
 
 template <typename Predicate>
 void claim_index::RemoveIf(const key_hash& key, Predicate predicate) {
-  const auto place = keys_.find(key);
-  if (place == keys_.end()) {
+  const auto it = keys_.find(key);
+  if (it == keys_.end()) {
     return;
   }
-  key_claims& claims = place->second;
+  key_claims& claims = it->second;
   if (claims.later != nullptr) {
     claims_ -= std::erase_if(*claims.later, predicate);
   }
   if (predicate(claims.first)) {
     --claims_;
     if (claims.later == nullptr || claims.later->empty()) {
-      keys_.erase(place);
+      keys_.erase(it);
       return;
     }
     claims.first = claims.later->front();
@@ -118,7 +118,7 @@
 // back, or its claims would be forgotten early and their keys run twice. It may
 // be fast: a claim isn't taken to be newer than its reading, or it would bar
 // its key for long.
-time_point claim_index::TimeOfNewest(time_point now) const {
+time_point claim_index::ClampedNewest(time_point now) const {
   return std::min(newest_, now);
 }
 
--- a/src/core/claims/claim_index.h
+++ b/src/core/claims/claim_index.h
@@ -49,13 +49,13 @@
 };
 
 /// How a claim record stands at its place in the stream.
-enum class claim_standing {
+enum class claim_status {
   /// No earlier claim of its key stands.
   kFirst,
   /// Another claim of its key stands.
   kLater,
   /// A copy of it was read before.
-  kCopy,
+  kDuplicate,
   /// Its claimant released it before this copy was read.
   kReleased,
 };
@@ -70,10 +70,10 @@
 /// Thread safety: none.
 class claim_index {
  public:
-  /// A claim is forgotten `keep` after its time.
-  explicit claim_index(duration keep) : keep_(keep) {}
+  /// A claim is forgotten `retention` after its time.
+  explicit claim_index(duration retention) : retention_(retention) {}
 
-  claim_standing Add(const claim_request& claim, time_point now);
+  claim_status Add(const claim_request& claim, time_point now);
 
   /// Ends the claim `id` on `key`, now and for copies of it that are still to
   /// come. Others' claims are untouched.
@@ -82,27 +82,27 @@
   /// Takes note of the time of a record.
   void Advance(time_point at);
 
-  void Forget(time_point now);
+  void EvictExpired(time_point now);
 
   /// Returns the first claim that stands on `key`, or null.
   const claim_identity* Find(const key_hash& key) const;
 
   /// Whether a claim of `id` stands on `key`.
-  bool Stands(const key_hash& key, const claim_identity& id) const;
+  bool IsActive(const key_hash& key, const claim_identity& id) const;
 
   /// Greatest time of a record read so far.
   time_point newest() const { return newest_; }
   std::size_t size() const { return claims_; }
 
  private:
-  struct standing_claim {
+  struct active_claim {
     claim_identity id;
     time_point at;
   };
   struct key_claims {
-    standing_claim first;
+    active_claim first;
     /// Nearly always null: claims that lost and aren't released yet.
-    std::unique_ptr<std::vector<standing_claim>> later;
+    std::unique_ptr<std::vector<active_claim>> later;
   };
   struct old_key {
     time_point at;
@@ -115,9 +115,9 @@
 
   template <typename Predicate>
   void RemoveIf(const key_hash& key, Predicate predicate);
-  time_point TimeOfNewest(time_point now) const;
+  time_point ClampedNewest(time_point now) const;
 
-  duration keep_;
+  duration retention_;
   time_point newest_;
   std::size_t claims_ = 0;
   std::unordered_map<key_hash, key_claims, key_hash_hasher> keys_;
--- a/src/core/claims/claim_key_time.cc
+++ b/src/core/claims/claim_key_time.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kUuidLength = 36;
-constexpr std::size_t kVersionPlace = 14;
+constexpr std::size_t kVersionPosition = 14;
 /// The first 12 digits are milliseconds since 1970.
 constexpr int kTimeDigits = 12;
 
@@ -26,8 +26,8 @@
   return std::nullopt;
 }
 
-bool IsDashPlace(std::size_t place) {
-  return place == 8 || place == 13 || place == 18 || place == 23;
+bool IsDashPosition(std::size_t position) {
+  return position == 8 || position == 13 || position == 18 || position == 23;
 }
 
 }  // namespace
@@ -38,19 +38,19 @@
     return std::nullopt;
   }
   text.remove_prefix(text.size() - kUuidLength);
-  if (text[kVersionPlace] != '7') {
+  if (text[kVersionPosition] != '7') {
     return std::nullopt;
   }
   std::uint64_t milliseconds = 0;
   int digits = 0;
-  for (std::size_t place = 0; place < kUuidLength; ++place) {
-    if (IsDashPlace(place)) {
-      if (text[place] != '-') {
+  for (std::size_t position = 0; position < kUuidLength; ++position) {
+    if (IsDashPosition(position)) {
+      if (text[position] != '-') {
         return std::nullopt;
       }
       continue;
     }
-    const std::optional<unsigned> digit = HexDigit(text[place]);
+    const std::optional<unsigned> digit = HexDigit(text[position]);
     if (!digit) {
       return std::nullopt;
     }
--- a/src/core/claims/claim_partition.h
+++ b/src/core/claims/claim_partition.h
@@ -11,7 +11,7 @@
 
 #include "core/claims/claim_cursor.h"
 #include "core/claims/claim_index.h"
-#include "core/claims/claim_marks.h"
+#include "core/claims/claim_watermarks.h"
 #include "core/claims/claim_writer.h"
 #include "core/requests/answer_store.h"
 #include "plantainhead/core/claims/claims.h"
@@ -19,12 +19,12 @@
 namespace plantainhead::core {
 
 /// What the partitions of one entry share.
-struct claim_shared {
+struct claim_partition_context {
   const claim_options* options = nullptr;
   incarnation self = incarnation::kNone;
   append_ids* ids = nullptr;
   answer_store* answers = nullptr;
-  claim_figures* figures = nullptr;
+  claim_stats* stats = nullptr;
 };
 
 /// The claims on the keys of one stream; see `claims`.
@@ -33,20 +33,20 @@
  public:
   using decision_list = std::vector<claim_decision>;
 
-  claim_partition(std::uint32_t number, const claim_shared& shared);
+  claim_partition(std::uint32_t number, const claim_partition_context& context);
 
-  void SetHome(bool is_home, effects& out);
-  void Ask(const claim_key& key,
-           request_id request,
-           time_point deadline,
-           time_point now,
-           effects& out,
-           decision_list& decisions);
+  void SetCoordinator(bool is_coordinator, effects& out);
+  void Acquire(const claim_key& key,
+               request_id request,
+               time_point deadline,
+               time_point now,
+               effects& out,
+               decision_list& decisions);
   void Release(const claim_key& key,
                request_id request,
                time_point now,
                effects& out);
-  void Finished(const claim_key& key,
+  void Complete(const claim_key& key,
                 request_id request,
                 const response& answer,
                 time_point now);
@@ -61,23 +61,23 @@
   void OnTick(time_point now, effects& out, decision_list& decisions);
 
   const stream_name& stream() const { return stream_; }
-  bool is_home() const { return is_home_; }
+  bool is_coordinator() const { return is_coordinator_; }
   std::size_t claims_held() const { return index_.size(); }
-  std::size_t waiting() const { return waiting_.size(); }
+  std::size_t pending() const { return pending_.size(); }
   /// Why a new claim can't be made now: how long until it may; else nothing.
-  std::optional<duration> Refusal(time_point now) const;
+  std::optional<duration> RefusalDelay(time_point now) const;
 
  private:
   /// A claim that was asked for and isn't settled.
-  struct waiting_claim {
+  struct pending_claim {
     claim_key key;
     request_id request;
     time_point deadline;
     time_point asked;
     std::uint64_t record_number = 0;
   };
-  using waiting_map =
-      std::unordered_map<key_hash, waiting_claim, key_hash_hasher>;
+  using pending_map =
+      std::unordered_map<key_hash, pending_claim, key_hash_hasher>;
   struct running_request {
     request_id request;
     time_point granted;
@@ -85,60 +85,60 @@
   using running_map =
       std::unordered_map<key_hash, running_request, key_hash_hasher>;
 
-  std::optional<claim_verdict> StandingVerdict(const key_hash& hash) const;
-  void Start(const key_hash& hash, waiting_claim claim);
-  void Settle(const claim_request& claim,
-              claim_standing standing,
-              time_point now,
-              time_point grant_time,
-              decision_list& decisions);
-  void GiveUp(waiting_map::iterator place,
+  std::optional<claim_verdict> ExistingVerdict(const key_hash& hash) const;
+  void Start(const key_hash& hash, pending_claim claim);
+  void Resolve(const claim_request& claim,
+               claim_status status,
+               time_point now,
+               time_point grant_time,
+               decision_list& decisions);
+  void Reject(pending_map::iterator it,
               claim_verdict verdict,
               duration retry_after,
               time_point now,
               decision_list& decisions);
-  void GiveUpAll(duration retry_after,
+  void RejectAll(duration retry_after,
                  time_point now,
                  decision_list& decisions);
-  void GiveUpLate(time_point now, decision_list& decisions);
-  void GiveUpStanding(time_point now, decision_list& decisions);
+  void RejectExpired(time_point now, decision_list& decisions);
+  void RejectAlreadyClaimed(time_point now, decision_list& decisions);
   void AppendRelease(const claim_key& key, request_id request, time_point now);
-  void Decide(request_id request,
-              claim_verdict verdict,
-              duration retry_after,
-              decision_list& decisions);
-
-  void TakeEntries(const log_read& read,
-                   time_point now,
+  void AddDecision(request_id request,
+                   claim_verdict verdict,
+                   duration retry_after,
                    decision_list& decisions);
-  void GiveUpIfBarred(time_point now, effects& out, decision_list& decisions);
+
+  void ApplyEntries(const log_read& read,
+                    time_point now,
+                    decision_list& decisions);
+  void RejectIfBlocked(time_point now, effects& out, decision_list& decisions);
   void Apply(const record_body& body,
              time_point now,
              time_point grant_time,
              decision_list& decisions);
-  void ForgetOld(time_point now);
+  void ExpireClaims(time_point now);
   void Follow(effects& out);
   void UnfollowIfDone(effects& out);
   void Flush(time_point now, effects& out);
   /// How long a claim is remembered. A retry that comes within the window is
   /// granted up to the patience later, by a clock that may differ.
-  duration Kept() const {
-    return options_.window + options_.clock_skew + options_.patience;
+  duration Retention() const {
+    return options_.window + options_.clock_skew + options_.claim_timeout;
   }
 
   const stream_name stream_;
-  const claim_shared shared_;
+  const claim_partition_context context_;
   const claim_options& options_;
   claim_writer writer_;
   claim_index index_;
   claim_cursor cursor_;
-  claim_marks marks_;
+  claim_watermarks watermarks_;
 
-  bool is_home_ = false;
+  bool is_coordinator_ = false;
   bool is_following_ = false;
-  waiting_map waiting_;
+  pending_map pending_;
   /// The first time at which a waiting claim must be given up.
-  time_point next_late_ = time_point::max();
+  time_point next_timeout_ = time_point::max();
   /// Keys granted here whose requests aren't finished.
   running_map running_;
   time_point next_running_check_;
--- a/src/core/claims/claim_partition_reading.cc
+++ b/src/core/claims/claim_partition_reading.cc
@@ -17,20 +17,20 @@
     return;
   }
   const read_continuity continuity = cursor_.Begin(read, now);
-  if (continuity == read_continuity::kLeftOut) {
+  if (continuity == read_continuity::kGap) {
     out.Do(follow_stream{stream_, cursor_.last_read()});
   }
-  if (continuity == read_continuity::kFollows) {
-    TakeEntries(read, now, decisions);
+  if (continuity == read_continuity::kContiguous) {
+    ApplyEntries(read, now, decisions);
   }
-  GiveUpIfBarred(now, out, decisions);
+  RejectIfBlocked(now, out, decisions);
   UnfollowIfDone(out);
   Flush(now, out);
 }
 
-void claim_partition::TakeEntries(const log_read& read,
-                                  time_point now,
-                                  decision_list& decisions) {
+void claim_partition::ApplyEntries(const log_read& read,
+                                   time_point now,
+                                   decision_list& decisions) {
   // A claimant that was frozen may come to read its claim long after the others
   // forgot it, with a clock that stood still meanwhile. Newer records in the
   // same read show how late it is at least.
@@ -42,13 +42,13 @@
   }
   const time_point grant_time = std::max(now, newest - options_.clock_skew);
   for (const log_entry& entry : read.entries) {
-    if (cursor_.Take(entry.offset)) {
+    if (cursor_.AdvanceTo(entry.offset)) {
       Apply(entry.content.body, now, grant_time, decisions);
     }
   }
   if (cursor_.ReachEnd(read.end)) {
-    index_.Forget(now);
-    GiveUpStanding(now, decisions);
+    index_.EvictExpired(now);
+    RejectAlreadyClaimed(now, decisions);
   }
 }
 
@@ -59,14 +59,14 @@
   const auto claim = [&](const claim_request& record) {
     if (record.key.empty()) {
       index_.Advance(record.at);
-      cursor_.OnMark(record, now);
-      marks_.OnMark(record, now);
+      cursor_.OnWatermark(record, now);
+      watermarks_.OnWatermark(record, now);
       return;
     }
-    index_.Forget(now);
-    const claim_standing standing = index_.Add(record, now);
-    if (record.claimant == shared_.self) {
-      Settle(record, standing, now, grant_time, decisions);
+    index_.EvictExpired(now);
+    const claim_status status = index_.Add(record, now);
+    if (record.claimant == context_.self) {
+      Resolve(record, status, now, grant_time, decisions);
     }
   };
   const auto release = [&](const release_claim& record) {
@@ -75,58 +75,59 @@
   std::visit(overloaded{claim, release, [](const auto&) {}}, body);
 }
 
-void claim_partition::Settle(const claim_request& claim,
-                             claim_standing standing,
-                             time_point now,
-                             time_point grant_time,
-                             decision_list& decisions) {
-  const auto place = waiting_.find(HashOf(claim.key));
-  if (place == waiting_.end() || place->second.request != claim.request) {
+void claim_partition::Resolve(const claim_request& claim,
+                              claim_status status,
+                              time_point now,
+                              time_point grant_time,
+                              decision_list& decisions) {
+  const auto it = pending_.find(HashOf(claim.key));
+  if (it == pending_.end() || it->second.request != claim.request) {
     return;
   }
-  if (standing == claim_standing::kLater) {
-    GiveUp(place, claim_verdict::kAlreadyRun, duration::zero(), now, decisions);
+  if (status == claim_status::kLater) {
+    Reject(it, claim_verdict::kAlreadyRun, duration::zero(), now, decisions);
     return;
   }
   // A frozen home must not grant what it asked for long ago: the claim that
   // stood in the way then may be forgotten by now.
-  const waiting_claim& waiting = place->second;
+  const pending_claim& pending = it->second;
   const time_point end =
-      std::min(waiting.deadline, waiting.asked + options_.patience);
-  if (standing != claim_standing::kFirst || cursor_.IsBarred(now) ||
+      std::min(pending.deadline, pending.asked + options_.claim_timeout);
+  if (status != claim_status::kFirst || cursor_.IsBlocked(now) ||
       grant_time >= end) {
-    GiveUp(place, claim_verdict::kLogUnavailable, options_.retry_after, now,
+    Reject(it, claim_verdict::kLogUnavailable, options_.retry_after, now,
            decisions);
     return;
   }
-  running_[place->first] = {claim.request, now};
-  waiting_.erase(place);
-  Decide(claim.request, claim_verdict::kGranted, duration::zero(), decisions);
+  running_[it->first] = {claim.request, now};
+  pending_.erase(it);
+  AddDecision(claim.request, claim_verdict::kGranted, duration::zero(),
+              decisions);
 }
 
 // Waits until the stream was read to its end, since a mark on the way may show
 // that what was not read is old.
-void claim_partition::GiveUpIfBarred(time_point now,
-                                     effects& out,
-                                     decision_list& decisions) {
-  if (!cursor_.caught_up() || !cursor_.IsBarred(now)) {
+void claim_partition::RejectIfBlocked(time_point now,
+                                      effects& out,
+                                      decision_list& decisions) {
+  if (!cursor_.caught_up() || !cursor_.IsBlocked(now)) {
     return;
   }
-  if (cursor_.Report()) {
-    ++shared_.figures->cuts;
+  if (cursor_.TakeReport()) {
+    ++context_.stats->unreadable_gaps;
     out.Note(note_level::kError,
              "claims of the window can't be read; the stream was cut or reset",
              {{"stream", stream_.value()},
               {"last_read", std::to_string(cursor_.last_read())}});
   }
-  GiveUpAll(cursor_.BarredFor(now), now, decisions);
+  RejectAll(cursor_.BlockedFor(now), now, decisions);
 }
 
 void claim_partition::OnLogUnavailable(time_point now,
                                        effects& out,
                                        decision_list& decisions) {
-  marks_.SetOut();
-  GiveUpAll(options_.retry_after, now, decisions);
+  watermarks_.SetUnavailable();
+  RejectAll(options_.retry_after, now, decisions);
   UnfollowIfDone(out);
   Flush(now, out);
 }
--- a/src/core/claims/claim_marks.h
+++ b/src/core/claims/claim_watermarks.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_MARKS_H_
-#define PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_MARKS_H_
+#ifndef PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_WATERMARKS_H_
+#define PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_WATERMARKS_H_
 
 #include <cstdint>
 
@@ -18,27 +18,27 @@
 /// writer had read the stream.
 ///
 /// Thread safety: none.
-class claim_marks {
+class claim_watermarks {
  public:
   /// `options` must outlive this object.
-  claim_marks(incarnation self, const claim_options* options)
+  claim_watermarks(incarnation self, const claim_options* options)
       : self_(self), options_(options) {}
 
   /// Writes a mark if one is needed.
   void Write(log_offset read_to, time_point now, claim_writer& writer);
 
   /// Takes note of a mark that was read, of any writer.
-  void OnMark(const claim_request& mark, time_point now);
+  void OnWatermark(const claim_request& watermark, time_point now);
 
-  void SetOut() { is_out_ = true; }
-  bool is_out() const { return is_out_; }
+  void SetUnavailable() { is_unavailable_ = true; }
+  bool is_unavailable() const { return is_unavailable_; }
 
  private:
   bool IsNeeded(time_point now) const;
 
   incarnation self_;
   const claim_options* options_;
-  bool is_out_ = false;
+  bool is_unavailable_ = false;
   /// The mark that was written last, by its record's number and its time.
   std::uint64_t record_ = 0;
   time_point written_;
@@ -49,4 +49,4 @@
 
 }  // namespace plantainhead::core
 
-#endif  // PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_MARKS_H_
+#endif  // PLANTAINHEAD_SRC_CORE_CLAIMS_CLAIM_WATERMARKS_H_
--- a/src/core/claims/claim_writer.cc
+++ b/src/core/claims/claim_writer.cc
@@ -20,13 +20,13 @@
 
 template <typename Items>
 auto* FindNumber(Items& items, std::uint64_t number) {
-  const auto place =
+  const auto it =
       std::lower_bound(items.begin(), items.end(), number,
-                       [](const auto& item, std::uint64_t wanted) {
-                         return item.number < wanted;
+                       [](const auto& queued_record, std::uint64_t wanted) {
+                         return queued_record.number < wanted;
                        });
-  const bool found = place != items.end() && place->number == number;
-  return found ? &*place : nullptr;
+  const bool found = it != items.end() && it->number == number;
+  return found ? &*it : nullptr;
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
 
 std::uint64_t claim_writer::Add(record_body body) {
   const std::uint64_t number = ++last_number_;
-  item added;
+  queued_record added;
   added.number = number;
   added.content.id =
       record_id(author_ + '.' + stream_.value() + '.' + std::to_string(number));
@@ -53,17 +53,17 @@
 }
 
 bool claim_writer::Withdraw(std::uint64_t number) {
-  if (item* queued = FindNumber(queue_, number)) {
+  if (queued_record* queued = FindNumber(queue_, number)) {
     queued->withdrawn = true;
-    return !queued->maybe_landed;
+    return !queued->may_be_appended;
   }
-  if (item* sent = FindNumber(in_flight_, number)) {
+  if (queued_record* sent = FindNumber(in_flight_, number)) {
     sent->withdrawn = true;
   }
   return false;
 }
 
-void claim_writer::Flush(time_point now, effects& out, claim_figures& figures) {
+void claim_writer::Flush(time_point now, effects& out, claim_stats& stats) {
   if (append_ != append_id::kNone || now < not_before_) {
     return;
   }
@@ -80,13 +80,13 @@
   append.append = ids_->Next();
   append.stream = stream_;
   append.records.reserve(in_flight_.size());
-  for (const item& sent : in_flight_) {
+  for (const queued_record& sent : in_flight_) {
     append.records.push_back(sent.content);
   }
   append_ = append.append;
   not_before_ = now + options_->append_interval;
-  ++figures.appends;
-  figures.records += append.records.size();
+  ++stats.appends;
+  stats.records += append.records.size();
   out.Do(std::move(append));
 }
 
@@ -101,17 +101,18 @@
     backoff_ = duration::zero();
     return true;
   }
-  backoff_ = std::clamp(backoff_ * 2, options_->first_backoff,
-                        options_->longest_backoff);
+  backoff_ = std::clamp(backoff_ * 2, options_->initial_backoff,
+                        options_->max_backoff);
   not_before_ = std::max(not_before_, now + backoff_);
   Requeue(result.result == append_result::kUnknown);
   return true;
 }
 
-void claim_writer::Requeue(bool maybe_landed) {
-  std::erase_if(in_flight_, [](const item& sent) { return sent.withdrawn; });
-  for (item& sent : in_flight_) {
-    sent.maybe_landed = sent.maybe_landed || maybe_landed;
+void claim_writer::Requeue(bool may_be_appended) {
+  std::erase_if(in_flight_,
+                [](const queued_record& sent) { return sent.withdrawn; });
+  for (queued_record& sent : in_flight_) {
+    sent.may_be_appended = sent.may_be_appended || may_be_appended;
   }
   queue_.insert(queue_.begin(), std::make_move_iterator(in_flight_.begin()),
                 std::make_move_iterator(in_flight_.end()));
--- a/src/core/claims/claim_writer.h
+++ b/src/core/claims/claim_writer.h
@@ -36,7 +36,7 @@
   bool Withdraw(std::uint64_t number);
 
   /// Appends what is queued, if it is time.
-  void Flush(time_point now, effects& out, claim_figures& figures);
+  void Flush(time_point now, effects& out, claim_stats& stats);
 
   /// Returns whether the append was one of this writer.
   bool OnAppendFinished(const append_finished& result, time_point now);
@@ -44,15 +44,15 @@
   bool idle() const { return queue_.empty() && in_flight_.empty(); }
 
  private:
-  struct item {
+  struct queued_record {
     std::uint64_t number = 0;
     /// An append with it ended unknown.
-    bool maybe_landed = false;
+    bool may_be_appended = false;
     bool withdrawn = false;
     record content;
   };
 
-  void Requeue(bool maybe_landed);
+  void Requeue(bool may_be_appended);
 
   const stream_name stream_;
   const std::string author_;
@@ -60,8 +60,8 @@
   append_ids* const ids_;
   std::uint64_t last_number_ = 0;
   /// Both in the order of their numbers.
-  std::deque<item> queue_;
-  std::vector<item> in_flight_;
+  std::deque<queued_record> queue_;
+  std::vector<queued_record> in_flight_;
   append_id append_ = append_id::kNone;
   time_point not_before_;
   duration backoff_{};
--- a/src/core/claims/claims.cc
+++ b/src/core/claims/claims.cc
@@ -11,23 +11,24 @@
 claims::claims(claim_options options, incarnation self, append_ids* ids)
     : options_(options),
       self_(self),
-      answers_(std::make_unique<answer_store>(options.stored_bytes,
-                                              options.largest_stored)) {
-  const claim_shared shared{&options_, self_, ids, answers_.get(), &figures_};
+      answers_(std::make_unique<answer_store>(options.max_stored_bytes,
+                                              options.max_answer_bytes)) {
+  const claim_partition_context context{&options_, self_, ids, answers_.get(),
+                                        &stats_};
   for (std::uint32_t number = 0; number < kClaimPartitions; ++number) {
-    partitions_.push_back(std::make_unique<claim_partition>(number, shared));
+    partitions_.push_back(std::make_unique<claim_partition>(number, context));
   }
 }
 
 claims::~claims() = default;
 
-void claims::Ask(const claim_key& key,
-                 request_id request,
-                 time_point deadline,
-                 time_point now,
-                 effects& out,
-                 std::vector<claim_decision>& decisions) {
-  ++figures_.asked;
+void claims::Acquire(const claim_key& key,
+                     request_id request,
+                     time_point deadline,
+                     time_point now,
+                     effects& out,
+                     std::vector<claim_decision>& decisions) {
+  ++stats_.asked;
   const std::size_t before = decisions.size();
   if (const response* stored = answers_->Find(HashOf(key))) {
     decisions.push_back({request, claim_verdict::kStoredAnswer, *stored, {}});
@@ -35,7 +36,7 @@
              made && *made + options_.window <= now) {
     decisions.push_back({request, claim_verdict::kTooOld, std::nullopt, {}});
   } else {
-    PartitionFor(key).Ask(key, request, deadline, now, out, decisions);
+    PartitionFor(key).Acquire(key, request, deadline, now, out, decisions);
   }
   Count(decisions, before);
 }
@@ -47,11 +48,11 @@
   PartitionFor(key).Release(key, request, now, out);
 }
 
-void claims::Finished(const claim_key& key,
+void claims::Complete(const claim_key& key,
                       request_id request,
                       const response& answer,
                       time_point now) {
-  PartitionFor(key).Finished(key, request, answer, now);
+  PartitionFor(key).Complete(key, request, answer, now);
 }
 
 void claims::OnViewChanged(const fleet_state& state,
@@ -59,7 +60,8 @@
                            time_point,
                            effects& out) {
   for (std::uint32_t number = 0; number < kClaimPartitions; ++number) {
-    partitions_[number]->SetHome(HomeOf(number, state, excluded) == self_, out);
+    partitions_[number]->SetCoordinator(
+        CoordinatorOf(number, state, excluded) == self_, out);
   }
 }
 
@@ -109,20 +111,21 @@
     partition->OnTick(now, out, decisions);
     held += partition->claims_held();
   }
-  figures_.claims_held = held;
-  answers_->Forget(now - options_.window);
+  stats_.claims_held = held;
+  answers_->EvictOlderThan(now - options_.window);
   Count(decisions, before);
 }
 
-claim_figures claims::figures(time_point now) const {
-  claim_figures result = figures_;
+claim_stats claims::stats(time_point now) const {
+  claim_stats result = stats_;
   result.claims_held = 0;
   result.answer_bytes = answers_->bytes();
   for (const auto& partition : partitions_) {
     result.claims_held += partition->claims_held();
-    result.waiting += partition->waiting();
-    result.homes += partition->is_home() ? 1 : 0;
-    const bool is_refusing = partition->is_home() && partition->Refusal(now);
+    result.pending += partition->pending();
+    result.coordinated_partitions += partition->is_coordinator() ? 1 : 0;
+    const bool is_refusing =
+        partition->is_coordinator() && partition->RefusalDelay(now);
     result.refusing += is_refusing ? 1 : 0;
   }
   return result;
@@ -138,19 +141,19 @@
 std::uint64_t& claims::CounterOf(claim_verdict verdict) {
   switch (verdict) {
     case claim_verdict::kGranted:
-      return figures_.granted;
+      return stats_.granted;
     case claim_verdict::kInProgress:
-      return figures_.in_progress;
+      return stats_.in_progress;
     case claim_verdict::kStoredAnswer:
-      return figures_.stored_answers;
+      return stats_.stored_answers;
     case claim_verdict::kAlreadyRun:
-      return figures_.already_run;
+      return stats_.already_run;
     case claim_verdict::kTooOld:
-      return figures_.too_old;
+      return stats_.too_old;
     case claim_verdict::kLogUnavailable:
       break;
   }
-  return figures_.unavailable;
+  return stats_.unavailable;
 }
 
 claim_partition& claims::PartitionFor(const claim_key& key) {
@@ -158,10 +161,10 @@
 }
 
 claim_partition* claims::FindStream(const stream_name& stream) {
-  const auto place = std::find_if(
+  const auto it = std::find_if(
       partitions_.begin(), partitions_.end(),
       [&](const auto& partition) { return partition->stream() == stream; });
-  return place == partitions_.end() ? nullptr : place->get();
+  return it == partitions_.end() ? nullptr : it->get();
 }
 
 }  // namespace plantainhead::core
--- a/src/core/entry/entry_core.cc
+++ b/src/core/entry/entry_core.cc
@@ -106,7 +106,7 @@
   // with at most half of the window to its deadline it has ended by then.
   request_arrived bounded = item;
   bounded.request.deadline =
-      std::min(item.request.deadline, now + claims_.LongestPatience());
+      std::min(item.request.deadline, now + claims_.MaxRequestTimeout());
   requests_.OnArrival(bounded, Context(), now, out);
 }
 
--- a/src/core/entry/entry_core_follow.cc
+++ b/src/core/entry/entry_core_follow.cc
@@ -133,17 +133,17 @@
   // A decision may make the requests ask again (another key, a release), so
   // this goes on until both are silent.
   while (true) {
-    for (const claim_question& question : requests_.TakeClaimQuestions()) {
-      switch (question.need) {
-        case claim_need::kAsk:
-          claims_.Ask(question.key, question.request, question.deadline, now,
-                      out, decisions_);
+    for (const claim_command& question : requests_.TakeClaimCommands()) {
+      switch (question.operation) {
+        case claim_operation::kAcquire:
+          claims_.Acquire(question.key, question.request, question.deadline,
+                          now, out, decisions_);
           break;
-        case claim_need::kRelease:
+        case claim_operation::kRelease:
           claims_.Release(question.key, question.request, now, out);
           break;
-        case claim_need::kFinished:
-          claims_.Finished(question.key, question.request, *question.answer,
+        case claim_operation::kComplete:
+          claims_.Complete(question.key, question.request, *question.answer,
                            now);
           break;
       }
--- a/src/core/requests/answer_store.cc
+++ b/src/core/requests/answer_store.cc
@@ -22,14 +22,14 @@
                        const response& answer,
                        time_point now) {
   const std::size_t bytes = BytesOf(answer);
-  if (bytes > largest_ || bytes > most_bytes_) {
+  if (bytes > max_answer_bytes_ || bytes > max_bytes_) {
     return;
   }
-  const auto place = by_key_.find(key);
-  if (place != by_key_.end()) {
-    Erase(place->second);
+  const auto it = by_key_.find(key);
+  if (it != by_key_.end()) {
+    Erase(it->second);
   }
-  while (bytes_ + bytes > most_bytes_) {
+  while (bytes_ + bytes > max_bytes_) {
     Erase(std::prev(answers_.end()));
   }
   answers_.push_front({key, answer, now, bytes});
@@ -38,24 +38,24 @@
 }
 
 const response* answer_store::Find(const key_hash& key) {
-  const auto place = by_key_.find(key);
-  if (place == by_key_.end()) {
+  const auto it = by_key_.find(key);
+  if (it == by_key_.end()) {
     return nullptr;
   }
-  answers_.splice(answers_.begin(), answers_, place->second);
+  answers_.splice(answers_.begin(), answers_, it->second);
   return &answers_.front().answer;
 }
 
-void answer_store::Forget(time_point oldest) {
+void answer_store::EvictOlderThan(time_point oldest) {
   while (!answers_.empty() && answers_.back().at < oldest) {
     Erase(std::prev(answers_.end()));
   }
 }
 
-void answer_store::Erase(answer_list::iterator place) {
-  bytes_ -= place->bytes;
-  by_key_.erase(place->key);
-  answers_.erase(place);
+void answer_store::Erase(answer_list::iterator it) {
+  bytes_ -= it->bytes;
+  by_key_.erase(it->key);
+  answers_.erase(it);
 }
 
 }  // namespace plantainhead::core
--- a/src/core/requests/answer_store.h
+++ b/src/core/requests/answer_store.h
@@ -16,8 +16,8 @@
 /// Thread safety: none.
 class answer_store {
  public:
-  answer_store(std::size_t most_bytes, std::size_t largest)
-      : most_bytes_(most_bytes), largest_(largest) {}
+  answer_store(std::size_t max_bytes, std::size_t max_answer_bytes)
+      : max_bytes_(max_bytes), max_answer_bytes_(max_answer_bytes) {}
 
   /// Keeps `answer` unless it is too large.
   void Put(const key_hash& key, const response& answer, time_point now);
@@ -26,7 +26,7 @@
   const response* Find(const key_hash& key);
 
   /// Drops answers that were put before `oldest`.
-  void Forget(time_point oldest);
+  void EvictOlderThan(time_point oldest);
 
   std::size_t bytes() const { return bytes_; }
 
@@ -39,10 +39,10 @@
   };
   using answer_list = std::list<stored_answer>;
 
-  void Erase(answer_list::iterator place);
+  void Erase(answer_list::iterator it);
 
-  const std::size_t most_bytes_;
-  const std::size_t largest_;
+  const std::size_t max_bytes_;
+  const std::size_t max_answer_bytes_;
   std::size_t bytes_ = 0;
   /// Those used last are in front.
   answer_list answers_;
--- a/src/core/requests/answers.cc
+++ b/src/core/requests/answers.cc
@@ -38,7 +38,7 @@
   return 503;
 }
 
-response Make(outcome result, answer_reason reason, std::string detail) {
+response MakeAnswer(outcome result, answer_reason reason, std::string detail) {
   response made;
   made.status = StatusOf(reason);
   made.result = result;
@@ -52,23 +52,23 @@
 response NotRun(answer_reason reason,
                 std::string detail,
                 duration retry_after) {
-  response made = Make(outcome::kNotRun, reason, std::move(detail));
+  response made = MakeAnswer(outcome::kNotRun, reason, std::move(detail));
   made.retry_after = retry_after;
   return made;
 }
 
 response Unknown(answer_reason reason, std::string detail) {
-  return Make(outcome::kUnknown, reason, std::move(detail));
+  return MakeAnswer(outcome::kUnknown, reason, std::move(detail));
 }
 
-response AnswerTo(const claim_decision& refused) {
+response AnswerForRefusedClaim(const claim_decision& refused) {
   // A request with the same key may have run, so these three don't say not-run
   // although this one was not.
   switch (refused.verdict) {
     case claim_verdict::kInProgress: {
       response made = Unknown(answer_reason::kKeyInProgress,
                               "a request with this key is being run");
-      made.retry_after = std::max(refused.retry_after, kUsualRetryAfter);
+      made.retry_after = std::max(refused.retry_after, kDefaultRetryAfter);
       return made;
     }
     case claim_verdict::kAlreadyRun:
@@ -88,7 +88,7 @@
   }
   return NotRun(answer_reason::kLogUnavailable,
                 "the key can't be claimed while the log is out",
-                std::max(refused.retry_after, kUsualRetryAfter));
+                std::max(refused.retry_after, kDefaultRetryAfter));
 }
 
 }  // namespace plantainhead::core
--- a/src/core/requests/answers.h
+++ b/src/core/requests/answers.h
@@ -10,19 +10,19 @@
 namespace plantainhead::core {
 
 /// When there is no better estimate of when asking again may help.
-inline constexpr duration kUsualRetryAfter = std::chrono::seconds(1);
+inline constexpr duration kDefaultRetryAfter = std::chrono::seconds(1);
 
 /// Returns an answer to a request that was not run and will not be.
 response NotRun(answer_reason reason,
                 std::string detail,
-                duration retry_after = kUsualRetryAfter);
+                duration retry_after = kDefaultRetryAfter);
 
 /// Returns an answer to a request that may have run.
 response Unknown(answer_reason reason, std::string detail);
 
 /// Returns the answer to a request whose claim wasn't granted.
 /// Precondition: the verdict isn't `kGranted`.
-response AnswerTo(const claim_decision& refused);
+response AnswerForRefusedClaim(const claim_decision& refused);
 
 }  // namespace plantainhead::core
 
--- a/src/core/requests/call_counts.cc
+++ b/src/core/requests/call_counts.cc
@@ -4,25 +4,25 @@
 
 namespace plantainhead::core {
 
-std::uint32_t call_counts::Of(const vm_id& vm) const {
+std::uint32_t call_counts::CountOf(const vm_id& vm) const {
   const auto found = counts_.find(vm);
   return found == counts_.end() ? 0 : found->second;
 }
 
-const std::vector<const std::uint32_t*>& call_counts::OwnedOf(
+const std::vector<const std::uint32_t*>& call_counts::OwnedCounts(
     const service_routes& routes) const {
-  owned_counts& known = owned_[routes.name];
+  owned_counters& known = owned_[routes.name];
   if (known.version != routes.version) {
     known.version = routes.version;
-    known.places.clear();
+    known.counters.clear();
     for (const std::size_t index : routes.owned) {
-      known.places.push_back(&counts_[routes.endpoints[index].vm]);
+      known.counters.push_back(&counts_[routes.endpoints[index].vm]);
     }
   }
-  return known.places;
+  return known.counters;
 }
 
-std::vector<vm_in_flight> call_counts::All() const {
+std::vector<vm_in_flight> call_counts::NonZeroCounts() const {
   std::vector<vm_in_flight> all;
   for (const auto& [vm, count] : counts_) {
     if (count > 0) {
@@ -36,7 +36,7 @@
   return all;
 }
 
-void call_counts::Tidy() {
+void call_counts::RemoveUnused() {
   owned_.clear();
   std::erase_if(counts_, [](const auto& count) { return count.second == 0; });
 }
--- a/src/core/requests/endpoint_health.cc
+++ b/src/core/requests/endpoint_health.cc
@@ -11,8 +11,8 @@
   }
   record& known = found->second;
   known.failures = 0;
-  if (known.on_trial) {
-    known.on_trial = false;
+  if (known.is_probing) {
+    known.is_probing = false;
     return;
   }
   // A second answer after the trial: the fault is over, and the next ejection
@@ -23,24 +23,24 @@
 bool endpoint_health::OnFailure(const vm_id& vm,
                                 time_point now,
                                 std::uint32_t service_slots,
-                                std::uint32_t lost_slots,
+                                std::uint32_t ejected_slots,
                                 std::uint32_t slots) {
   record& known = records_[vm];
   known.failures += 1;
-  const bool enough = known.on_trial || known.failures >= kFailuresToEject;
+  const bool enough = known.is_probing || known.failures >= kFailuresToEject;
   if (!enough || now < known.ejected_until) {
     return false;
   }
-  if (lost_slots + slots > service_slots * kMostEjected) {
+  if (ejected_slots + slots > service_slots * kMaxEjectedShare) {
     return false;
   }
   const std::uint32_t doublings = std::min<std::uint32_t>(known.ejections, 5);
   const duration length =
-      std::min(kLongestEjection, kFirstEjection * (1 << doublings));
+      std::min(kMaxEjection, kInitialEjection * (1 << doublings));
   known.ejected_until = now + length;
   known.ejections += 1;
   known.failures = 0;
-  known.on_trial = true;
+  known.is_probing = true;
   return true;
 }
 
@@ -48,9 +48,9 @@
   records_[vm].full_until = until;
 }
 
-std::uint32_t endpoint_health::Allowed(const vm_id& vm,
-                                       time_point now,
-                                       std::uint32_t slots) const {
+std::uint32_t endpoint_health::AllowedCalls(const vm_id& vm,
+                                            time_point now,
+                                            std::uint32_t slots) const {
   if (records_.empty()) {
     return slots;
   }
@@ -62,7 +62,7 @@
   if (now < known.ejected_until) {
     return 0;
   }
-  return known.on_trial ? std::min<std::uint32_t>(1, slots) : slots;
+  return known.is_probing ? std::min<std::uint32_t>(1, slots) : slots;
 }
 
 bool endpoint_health::IsFull(const vm_id& vm, time_point now) const {
--- a/src/core/requests/endpoint_table.cc
+++ b/src/core/requests/endpoint_table.cc
@@ -20,16 +20,17 @@
 }
 
 /// The weight of a member for a thing in rendezvous hashing.
-std::uint64_t WeightOf(std::uint64_t thing, incarnation member) {
-  const std::uint64_t pair[] = {thing, static_cast<std::uint64_t>(member)};
+std::uint64_t WeightOf(std::uint64_t item_hash, incarnation member) {
+  const std::uint64_t pair[] = {item_hash, static_cast<std::uint64_t>(member)};
   return XXH3_64bits(pair, sizeof(pair));
 }
 
-incarnation Heaviest(std::uint64_t thing, const candidate_list& members) {
+incarnation HighestWeight(std::uint64_t item_hash,
+                          const candidate_list& members) {
   incarnation best = incarnation::kNone;
   std::uint64_t best_weight = 0;
   for (const candidate& member : members) {
-    const std::uint64_t weight = WeightOf(thing, member.who);
+    const std::uint64_t weight = WeightOf(item_hash, member.who);
     if (best == incarnation::kNone || weight > best_weight) {
       best = member.who;
       best_weight = weight;
@@ -90,12 +91,15 @@
   }
   for (const vm_listing& listing : listings) {
     const auto zone = by_zone.find(listing.zone);
-    const candidate_list& near = zone == by_zone.end() ? members : zone->second;
-    AddEndpoint(fleet, listing, Heaviest(HashOf(listing.vm.value()), near));
+    const candidate_list& candidates =
+        zone == by_zone.end() ? members : zone->second;
+    AddEndpoint(fleet, listing,
+                HighestWeight(HashOf(listing.vm.value()), candidates));
   }
   CountShares(fleet, self);
   for (std::uint32_t part = 0; part < kClaimPartitions; ++part) {
-    homes_[part] = core::HomesOf(part, fleet, stopping, fleet.members.size());
+    coordinators_[part] =
+        core::CoordinatorsOf(part, fleet, stopping, fleet.members.size());
   }
 }
 
@@ -146,9 +150,9 @@
   return &found->second.routes->endpoints[found->second.index];
 }
 
-const std::vector<incarnation>& endpoint_table::HomesOf(
+const std::vector<incarnation>& endpoint_table::CoordinatorsOf(
     std::uint32_t partition) const {
-  return homes_[partition];
+  return coordinators_[partition];
 }
 
 }  // namespace plantainhead::core
--- a/src/core/requests/owner_loads.cc
+++ b/src/core/requests/owner_loads.cc
@@ -6,7 +6,7 @@
 
 void owner_loads::OnReport(incarnation owner,
                            const std::vector<service_load>& load) {
-  lost_.erase(owner);
+  disconnected_.erase(owner);
   load_by_service& known = loads_[owner];
   for (const service_load& item : load) {
     known[item.service] = {item, 0, true};
@@ -14,16 +14,16 @@
 }
 
 void owner_loads::OnForwarded(incarnation owner, const service_name& service) {
-  loads_[owner][service].sent += 1;
+  loads_[owner][service].forwarded += 1;
 }
 
-void owner_loads::OnLost(incarnation owner) {
+void owner_loads::OnDisconnected(incarnation owner) {
   loads_.erase(owner);
-  lost_.insert(owner);
+  disconnected_.insert(owner);
 }
 
 void owner_loads::Prune(const fleet_state& fleet) {
-  std::erase_if(lost_,
+  std::erase_if(disconnected_,
                 [&](incarnation who) { return !fleet.members.contains(who); });
   std::erase_if(loads_, [&](const auto& known) {
     return !fleet.members.contains(known.first);
@@ -41,8 +41,8 @@
   return load == found->second.end() ? nullptr : &load->second;
 }
 
-double owner_loads::ScoreOf(const service_load& load, std::uint32_t sent) {
-  const double taken = load.busy + load.queued + sent + 1.0;
+double owner_loads::ScoreOf(const service_load& load, std::uint32_t forwarded) {
+  const double taken = load.busy + load.queued + forwarded + 1.0;
   return load.slots == 0 ? taken
                          : std::max(0.0, (taken - load.slots) / load.slots);
 }
@@ -57,7 +57,7 @@
   if (!known->is_reported) {
     load.slots = share.slots;
   }
-  return ScoreOf(load, known->sent);
+  return ScoreOf(load, known->forwarded);
 }
 
 bool owner_loads::HasFreeSlot(const owner_share& share,
@@ -65,7 +65,8 @@
   return WaitScore(share, service) == 0;
 }
 
-std::uint32_t owner_loads::LostSlots(const service_routes& routes) const {
+std::uint32_t owner_loads::UnavailableSlots(
+    const service_routes& routes) const {
   std::uint32_t lost = 0;
   for (const owner_share& share : routes.owners) {
     const known_load* known = Find(share.owner, routes.name);
@@ -87,7 +88,8 @@
   if (share.owner == context.self) {
     return own_load.slots > 0;
   }
-  return !context.suspects.contains(share.owner) && !IsLost(share.owner);
+  return !context.suspects.contains(share.owner) &&
+         !IsDisconnected(share.owner);
 }
 
 std::optional<incarnation> owner_loads::Choose(
@@ -108,12 +110,12 @@
     }
     usable.push_back(&share);
   }
-  const owner_share* first = Draw(usable, random);
+  const owner_share* first = PickWeighted(usable, random);
   if (first == nullptr) {
     return std::nullopt;
   }
   std::erase(usable, first);
-  const owner_share* second = Draw(usable, random);
+  const owner_share* second = PickWeighted(usable, random);
   if (second == nullptr) {
     return first->owner;
   }
@@ -131,7 +133,7 @@
   return second_is_near ? second->owner : first->owner;
 }
 
-const owner_share* owner_loads::Draw(
+const owner_share* owner_loads::PickWeighted(
     const std::vector<const owner_share*>& shares,
     random_source& random) {
   std::uint64_t total = 0;
--- a/src/core/requests/request_core.cc
+++ b/src/core/requests/request_core.cc
@@ -15,14 +15,14 @@
 /// say unknown where the owner knows that it was not run.
 constexpr duration kHopMargin = std::chrono::milliseconds(60);
 /// The margin is at most this part of the time that is left.
-constexpr int kHopMarginPart = 8;
+constexpr int kHopMarginDivisor = 8;
 /// Ticks come every `kTickInterval`; without one for this long the process
 /// stood still.
-constexpr duration kStoodStill = std::chrono::milliseconds(500);
+constexpr duration kStallThreshold = std::chrono::milliseconds(500);
 /// How long what piled up meanwhile may take to be read.
-constexpr duration kHoldAfterFreeze = std::chrono::milliseconds(100);
+constexpr duration kHoldAfterStall = std::chrono::milliseconds(100);
 /// Above this many incarnations those that are no members are forgotten.
-constexpr std::size_t kMostSeen = 1024;
+constexpr std::size_t kMaxSeenPeers = 1024;
 
 std::string KnownClasses(const service_routes& routes) {
   std::string names;
@@ -40,19 +40,19 @@
                            duration claim_window)
     : self_(self), random_(seed), claim_window_(claim_window) {}
 
-request_core::request& request_core::Begin(origin from,
-                                           request_envelope envelope,
-                                           time_point now) {
+request_core::request& request_core::AddRequest(origin from,
+                                                request_envelope envelope,
+                                                time_point now) {
   last_number_ += 1;
   request& item = requests_[last_number_];
   item.number = last_number_;
   item.from = from;
   item.envelope = std::move(envelope);
   item.arrival = now;
-  std::visit(overloaded{[&](const from_caller& caller) {
+  std::visit(overloaded{[&](const caller_origin& caller) {
                           by_caller_[caller.sequence] = item.number;
                         },
-                        [&](const from_peer& peer) {
+                        [&](const peer_origin& peer) {
                           by_peer_[peer.id] = item.number;
                         }},
              item.from);
@@ -68,19 +68,19 @@
 
 time_point request_core::ExpiryOf(const request& item) const {
   const time_point deadline = item.envelope.deadline;
-  if (std::holds_alternative<from_caller>(item.from) ||
-      item.at == stage::kDispatched) {
+  if (std::holds_alternative<caller_origin>(item.from) ||
+      item.current_stage == stage::kDispatched) {
     return deadline;
   }
   const duration margin =
-      std::min(kHopMargin, (deadline - item.arrival) / kHopMarginPart);
-  return item.at == stage::kForwarded ? deadline - margin / 2
-                                      : deadline - margin;
+      std::min(kHopMargin, (deadline - item.arrival) / kHopMarginDivisor);
+  return item.current_stage == stage::kForwarded ? deadline - margin / 2
+                                                 : deadline - margin;
 }
 
-std::optional<response> request_core::Check(request_envelope& envelope,
-                                            const routing_context& context,
-                                            time_point now) const {
+std::optional<response> request_core::Validate(request_envelope& envelope,
+                                               const routing_context& context,
+                                               time_point now) const {
   if (stopping_) {
     return NotRun(answer_reason::kStopping, "this entry is stopping");
   }
@@ -112,15 +112,16 @@
                              time_point now,
                              effects& out) {
   request_envelope envelope = event.request;
-  std::optional<response> refused = Check(envelope, context, now);
+  std::optional<response> refused = Validate(envelope, context, now);
   if (refused.has_value()) {
     out.Do(answer_caller{event.sequence, *std::move(refused)});
     return;
   }
   budget_.OnRequest();
-  request& item = Begin(from_caller{event.sequence}, std::move(envelope), now);
+  request& item =
+      AddRequest(caller_origin{event.sequence}, std::move(envelope), now);
   if (!item.envelope.idempotent && item.envelope.key.has_value()) {
-    Claim(item, context, now, out);
+    AcquireClaim(item, context, now, out);
     return;
   }
   Route(item, context, now, out);
@@ -141,7 +142,7 @@
                           time_point now,
                           effects& out) {
   item.cancelled = true;
-  switch (item.at) {
+  switch (item.current_stage) {
     case stage::kClaiming:
     case stage::kQueued:
       Finish(item, NotRun(answer_reason::kNone, "the caller hung up"), context,
@@ -163,26 +164,26 @@
     return;
   }
   const std::uint64_t number = decision.request.sequence;
-  const auto ended = undecided_.find(number);
-  if (ended != undecided_.end()) {
+  const auto ended = abandoned_claims_.find(number);
+  if (ended != abandoned_claims_.end()) {
     // Its caller was told that it was not run. Without the release a retry
     // would be refused although nobody ran the key.
     if (decision.verdict == claim_verdict::kGranted) {
-      AddQuestion(claim_need::kRelease, ended->second, number);
+      AddClaimCommand(claim_operation::kRelease, ended->second, number);
     }
-    undecided_.erase(ended);
+    abandoned_claims_.erase(ended);
     return;
   }
   request* item = Find(number);
-  if (item == nullptr || item->at != stage::kClaiming) {
+  if (item == nullptr || item->current_stage != stage::kClaiming) {
     return;
   }
   if (decision.verdict != claim_verdict::kGranted) {
-    item->claim_asked = false;
-    Finish(*item, AnswerTo(decision), context, now, out);
+    item->is_claim_requested = false;
+    Finish(*item, AnswerForRefusedClaim(decision), context, now, out);
     return;
   }
-  item->at = stage::kQueued;
+  item->current_stage = stage::kQueued;
   if (ExpiryOf(*item) <= now) {
     Expire(*item, context, now, out);
     return;
@@ -195,19 +196,19 @@
 // caller was told unknown long ago and may have asked for it anew: running it
 // now would do it twice. The sender's `cancel_forward` stands right behind it
 // on the connection, so waiting until all that has piled up was read is enough.
-void request_core::NoticeFreeze(time_point now) {
-  const bool stood_still =
-      last_seen_ != time_point() && now - last_seen_ > kStoodStill;
-  if (stood_still) {
-    hold_until_ = now + kHoldAfterFreeze;
+void request_core::DetectStall(time_point now) {
+  const bool stalled =
+      last_activity_ != time_point() && now - last_activity_ > kStallThreshold;
+  if (stalled) {
+    dispatch_hold_until_ = now + kHoldAfterStall;
   }
-  last_seen_ = now;
+  last_activity_ = now;
 }
 
 void request_core::OnTick(const routing_context& context,
                           time_point now,
                           effects& out) {
-  NoticeFreeze(now);
+  DetectStall(now);
   // First what has expired, so that an entry that was frozen starts nothing
   // whose caller has given up.
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
@@ -224,7 +225,7 @@
   }
   for (auto& [name, queue] : queues_) {
     if (queue.size() > 0) {
-      Pump(name, context, now, out);
+      DispatchQueued(name, context, now, out);
     }
   }
 }
@@ -233,7 +234,7 @@
                           const routing_context& context,
                           time_point now,
                           effects& out) {
-  switch (item.at) {
+  switch (item.current_stage) {
     case stage::kClaiming:
     case stage::kQueued:
       CountUnserved(item, context);
@@ -262,14 +263,14 @@
 void request_core::OnEndpointsChanged(const routing_context& context,
                                       time_point now,
                                       effects& out) {
-  for (auto at = leaving_.begin(); at != leaving_.end();) {
-    const endpoint_info* endpoint = context.endpoints.FindVm(at->first);
+  for (auto it = leaving_.begin(); it != leaving_.end();) {
+    const endpoint_info* endpoint = context.endpoints.FindVm(it->first);
     const bool known = endpoint == nullptr || !endpoint->takes_new;
-    at = known ? leaving_.erase(at) : std::next(at);
+    it = known ? leaving_.erase(it) : std::next(it);
   }
-  counts_.Tidy();
+  counts_.RemoveUnused();
   loads_.Prune(context.fleet);
-  if (seen_forwards_.size() > kMostSeen) {
+  if (seen_forwards_.size() > kMaxSeenPeers) {
     std::erase_if(seen_forwards_, [&](const auto& seen) {
       return context.fleet.members.count(seen.first) == 0;
     });
@@ -281,10 +282,10 @@
   for (const service_name& name : names) {
     const service_routes* routes = context.endpoints.Find(name);
     if (routes != nullptr) {
-      queues_[name].KeepClasses(routes->classes);
+      queues_[name].RetainClasses(routes->classes);
     }
     if (routes != nullptr && OwnLoad(*routes, now).slots > 0) {
-      Pump(name, context, now, out);
+      DispatchQueued(name, context, now, out);
       continue;
     }
     for (const std::uint64_t number : queues_[name].Ids()) {
@@ -301,8 +302,8 @@
   stopping_ = true;
 }
 
-std::vector<claim_question> request_core::TakeClaimQuestions() {
-  return std::exchange(questions_, {});
+std::vector<claim_command> request_core::TakeClaimCommands() {
+  return std::exchange(claim_commands_, {});
 }
 
 }  // namespace plantainhead::core
--- a/src/core/requests/request_core_calls.cc
+++ b/src/core/requests/request_core_calls.cc
@@ -9,10 +9,10 @@
 namespace {
 
 /// How long an endpoint that is full is left alone.
-constexpr duration kFullPause = std::chrono::milliseconds(50);
+constexpr duration kFullBackoff = std::chrono::milliseconds(50);
 /// How long an endpoint's own word that it leaves holds if neither the list nor
 /// the fold ever shows it, e.g. since only its process was restarted.
-constexpr duration kLeavingHolds = std::chrono::minutes(5);
+constexpr duration kLeavingTtl = std::chrono::minutes(5);
 /// Answers with this status or a greater one are errors of the endpoint.
 constexpr int kFirstServerError = 500;
 
@@ -23,7 +23,7 @@
                             time_point now,
                             effects& out) {
   last_call_ += 1;
-  item.at = stage::kDispatched;
+  item.current_stage = stage::kDispatched;
   item.attempts += 1;
   item.call = static_cast<call_id>(last_call_);
   counts_.Add(endpoint.vm);
@@ -41,15 +41,15 @@
                                                 time_point now) const {
   const endpoint_info* best = nullptr;
   std::uint32_t best_load = 0;
-  const std::vector<const std::uint32_t*>& counts = counts_.OwnedOf(routes);
+  const std::vector<const std::uint32_t*>& counts = counts_.OwnedCounts(routes);
   for (std::size_t i = 0; i < counts.size(); ++i) {
     const endpoint_info& endpoint = routes.endpoints[routes.owned[i]];
-    if (!MayUse(endpoint, now) || health_.IsFull(endpoint.vm, now) ||
+    if (!CanDispatchTo(endpoint, now) || health_.IsFull(endpoint.vm, now) ||
         Contains(avoid, endpoint.vm)) {
       continue;
     }
     const std::uint32_t load = *counts[i];
-    if (load < health_.Allowed(endpoint.vm, now, endpoint.slots) &&
+    if (load < health_.AllowedCalls(endpoint.vm, now, endpoint.slots) &&
         (best == nullptr || load < best_load)) {
       best = &endpoint;
       best_load = load;
@@ -69,10 +69,10 @@
   return ended;
 }
 
-void request_core::TellHealth(const call& ended,
-                              bool success,
-                              const routing_context& context,
-                              time_point now) {
+void request_core::ReportHealth(const call& ended,
+                                bool success,
+                                const routing_context& context,
+                                time_point now) {
   if (success) {
     health_.OnSuccess(ended.vm);
     return;
@@ -88,10 +88,11 @@
   }
   // What this endpoint lacks itself, while it proves itself, isn't lost at
   // others: counted in, it would keep it from being ejected again.
-  const std::uint32_t usable = OwnLoad(*routes, now).slots + endpoint->slots -
-                               health_.Allowed(ended.vm, now, endpoint->slots);
+  const std::uint32_t usable =
+      OwnLoad(*routes, now).slots + endpoint->slots -
+      health_.AllowedCalls(ended.vm, now, endpoint->slots);
   const std::uint32_t lost =
-      loads_.LostSlots(*routes) + (own - std::min(own, usable));
+      loads_.UnavailableSlots(*routes) + (own - std::min(own, usable));
   health_.OnFailure(ended.vm, now, routes->slots, lost, endpoint->slots);
 }
 
@@ -103,14 +104,14 @@
   if (!ended.has_value()) {
     return;
   }
-  TellHealth(*ended, event.status < kFirstServerError, context, now);
+  ReportHealth(*ended, event.status < kFirstServerError, context, now);
   if (request* item = Find(ended->request)) {
     const work_class* work = ClassOf(item->envelope, context);
     if (work != nullptr) {
       queues_[ended->service].OnServed(*work, now - ended->started,
                                        now - item->arrival <= work->within);
     }
-    item->maybe_run = false;
+    item->may_have_run = false;
     response answer;
     answer.status = event.status;
     answer.headers = event.headers;
@@ -118,7 +119,7 @@
     answer.result = outcome::kDone;
     Finish(*item, std::move(answer), context, now, out);
   }
-  Pump(ended->service, context, now, out);
+  DispatchQueued(ended->service, context, now, out);
 }
 
 void request_core::OnEndpointFailed(const endpoint_failed& event,
@@ -131,18 +132,18 @@
   }
   const bool full = event.failure == endpoint_failure::kRefused;
   if (event.leaving) {
-    leaving_[ended->vm] = now + kLeavingHolds;
+    leaving_[ended->vm] = now + kLeavingTtl;
   } else if (full) {
-    health_.OnFull(ended->vm, now + kFullPause);
+    health_.OnFull(ended->vm, now + kFullBackoff);
   }
   // An endpoint that refuses although nothing runs there isn't full but broken.
-  if (!full || (!event.leaving && counts_.Of(ended->vm) == 0)) {
-    TellHealth(*ended, false, context, now);
+  if (!full || (!event.leaving && counts_.CountOf(ended->vm) == 0)) {
+    ReportHealth(*ended, false, context, now);
   }
   if (request* item = Find(ended->request)) {
     OnAttemptFailed(*item, event, ended->vm, context, now, out);
   }
-  Pump(ended->service, context, now, out);
+  DispatchQueued(ended->service, context, now, out);
 }
 
 void request_core::OnAttemptFailed(request& item,
@@ -154,9 +155,9 @@
   const bool unsent = event.failure != endpoint_failure::kMaybeSent;
   const bool again = !item.cancelled && MayRetry(item, now) &&
                      (unsent || (item.envelope.idempotent && budget_.Take()));
-  item.maybe_run = item.maybe_run || !unsent;
+  item.may_have_run = item.may_have_run || !unsent;
   item.call = call_id::kNone;
-  item.at = stage::kQueued;
+  item.current_stage = stage::kQueued;
   response refusal =
       unsent ? NotRun(answer_reason::kEndpointRefused,
                       "the endpoint didn't take it: " + event.detail)
@@ -173,14 +174,15 @@
   if (routes != nullptr && work != nullptr &&
       PickEndpoint(*routes, item.avoid_vms, now) != nullptr) {
     item.refusal = std::move(refusal);
-    queues_[item.envelope.service].PutBack(
+    queues_[item.envelope.service].Requeue(
         {item.number, item.arrival, ExpiryOf(item)}, *work);
     return;
   }
   TryElsewhere(item, std::move(refusal), context, now, out);
 }
 
-bool request_core::MayUse(const endpoint_info& endpoint, time_point now) const {
+bool request_core::CanDispatchTo(const endpoint_info& endpoint,
+                                 time_point now) const {
   if (!endpoint.takes_new || leaving_.empty()) {
     return endpoint.takes_new;
   }
@@ -192,14 +194,14 @@
                                    time_point now) const {
   service_load load;
   load.service = routes.name;
-  const std::vector<const std::uint32_t*>& counts = counts_.OwnedOf(routes);
+  const std::vector<const std::uint32_t*>& counts = counts_.OwnedCounts(routes);
   for (std::size_t i = 0; i < counts.size(); ++i) {
     const endpoint_info& endpoint = routes.endpoints[routes.owned[i]];
-    if (!MayUse(endpoint, now)) {
+    if (!CanDispatchTo(endpoint, now)) {
       continue;
     }
     const std::uint32_t allowed =
-        health_.Allowed(endpoint.vm, now, endpoint.slots);
+        health_.AllowedCalls(endpoint.vm, now, endpoint.slots);
     load.slots += allowed;
     load.busy += health_.IsFull(endpoint.vm, now)
                      ? allowed
--- a/src/core/requests/request_core_finish.cc
+++ b/src/core/requests/request_core_finish.cc
@@ -12,54 +12,56 @@
                           const routing_context& context,
                           time_point now,
                           effects& out) {
-  if (answer.result == outcome::kNotRun && item.maybe_run) {
+  if (answer.result == outcome::kNotRun && item.may_have_run) {
     // An earlier attempt was lost after it may have reached an endpoint; the
     // later one alone was not run.
     answer.result = outcome::kUnknown;
     answer.detail += "; an earlier attempt may have run";
   }
   if (answer.result == outcome::kNotRun && !answer.retry_after.has_value()) {
-    answer.retry_after = kUsualRetryAfter;
+    answer.retry_after = kDefaultRetryAfter;
   }
   SettleClaim(item, answer);
-  Detach(item);
+  RemoveFromIndexes(item);
   const origin to = item.from;
   const service_name service = item.envelope.service;
   requests_.erase(item.number);
   Deliver(to, service, std::move(answer), context, now, out);
 }
 
-claim_question& request_core::AddQuestion(claim_need need,
-                                          const claim_key& key,
-                                          std::uint64_t number) {
-  claim_question& question = questions_.emplace_back();
-  question.need = need;
-  question.key = key;
-  question.request = {self_, number};
-  return question;
+claim_command& request_core::AddClaimCommand(claim_operation operation,
+                                             const claim_key& key,
+                                             std::uint64_t number) {
+  claim_command& command = claim_commands_.emplace_back();
+  command.operation = operation;
+  command.key = key;
+  command.request = {self_, number};
+  return command;
 }
 
 void request_core::SettleClaim(const request& item, const response& answer) {
-  if (!item.claim_asked) {
+  if (!item.is_claim_requested) {
     return;
   }
   const claim_key& key = *item.envelope.key;
-  if (item.at == stage::kClaiming) {
-    undecided_[item.number] = key;
+  if (item.current_stage == stage::kClaiming) {
+    abandoned_claims_[item.number] = key;
   } else if (answer.result == outcome::kNotRun) {
-    AddQuestion(claim_need::kRelease, key, item.number);
+    AddClaimCommand(claim_operation::kRelease, key, item.number);
   } else {
-    AddQuestion(claim_need::kFinished, key, item.number).answer = answer;
+    AddClaimCommand(claim_operation::kComplete, key, item.number).answer =
+        answer;
   }
 }
 
-void request_core::Detach(request& item) {
+void request_core::RemoveFromIndexes(request& item) {
   std::visit(
-      overloaded{
-          [&](const from_caller& caller) { by_caller_.erase(caller.sequence); },
-          [&](const from_peer& peer) { by_peer_.erase(peer.id); }},
+      overloaded{[&](const caller_origin& caller) {
+                   by_caller_.erase(caller.sequence);
+                 },
+                 [&](const peer_origin& peer) { by_peer_.erase(peer.id); }},
       item.from);
-  switch (item.at) {
+  switch (item.current_stage) {
     case stage::kClaiming:
       break;
     case stage::kQueued: {
@@ -97,11 +99,11 @@
                            const routing_context& context,
                            time_point now,
                            effects& out) {
-  if (const auto* caller = std::get_if<from_caller>(&to)) {
+  if (const auto* caller = std::get_if<caller_origin>(&to)) {
     out.Do(answer_caller{caller->sequence, std::move(answer)});
     return;
   }
-  const auto& peer = std::get<from_peer>(to);
+  const auto& peer = std::get<peer_origin>(to);
   forward_reply reply;
   reply.id = peer.id;
   reply.answer = std::move(answer);
--- a/src/core/requests/request_core_peers.cc
+++ b/src/core/requests/request_core_peers.cc
@@ -16,18 +16,18 @@
     return;
   }
   seen = message.id.sequence;
-  const from_peer peer{from, message.id};
+  const peer_origin peer{from, message.id};
   if (stopping_) {
     Deliver(peer, message.request.service,
             NotRun(answer_reason::kStopping, "the owner is stopping"), context,
             now, out);
     return;
   }
-  NoticeFreeze(now);
+  DetectStall(now);
   budget_.OnRequest();
-  request& item = Begin(peer, message.request, now);
+  request& item = AddRequest(peer, message.request, now);
   if (message.stage == forward_stage::kClaim) {
-    AskClaim(item, now);
+    RequestLocalClaim(item, now);
     return;
   }
   item.may_forward = false;
@@ -52,15 +52,16 @@
     return;
   }
   by_forward_.erase(found);
-  if (!ShouldAskAnother(item, message.answer, context, now)) {
+  if (!ShouldRetryElsewhere(item, message.answer, context, now)) {
     Finish(item, message.answer, context, now, out);
     return;
   }
-  item.maybe_run = item.maybe_run || message.answer.result == outcome::kUnknown;
+  item.may_have_run =
+      item.may_have_run || message.answer.result == outcome::kUnknown;
   item.avoid_owners.push_back(from);
   item.refusal = message.answer;
-  if (item.wanted == forward_stage::kClaim) {
-    Claim(item, context, now, out);
+  if (item.requested_stage == forward_stage::kClaim) {
+    AcquireClaim(item, context, now, out);
   } else {
     Route(item, context, now, out);
   }
@@ -86,15 +87,15 @@
                                       const routing_context& context,
                                       time_point now,
                                       effects& out) {
-  loads_.OnLost(peer);
+  loads_.OnDisconnected(peer);
   std::vector<std::uint64_t> waiting_for;
   std::vector<std::uint64_t> came_from;
   for (const auto& [number, item] : requests_) {
-    const auto* origin = std::get_if<from_peer>(&item.from);
+    const auto* origin = std::get_if<peer_origin>(&item.from);
     if (origin != nullptr && origin->peer == peer) {
       came_from.push_back(number);
     }
-    if (item.at == stage::kForwarded && item.peer == peer) {
+    if (item.current_stage == stage::kForwarded && item.peer == peer) {
       waiting_for.push_back(number);
     }
   }
@@ -108,7 +109,7 @@
   }
   for (const std::uint64_t number : waiting_for) {
     if (request* item = Find(number)) {
-      LoseForwarded(*item, context, now, out);
+      OnForwardLost(*item, context, now, out);
     }
   }
 }
@@ -119,7 +120,7 @@
                                    effects& out) {
   std::vector<std::uint64_t> movable;
   for (const auto& [number, item] : requests_) {
-    if (item.at == stage::kForwarded && item.peer == peer &&
+    if (item.current_stage == stage::kForwarded && item.peer == peer &&
         item.envelope.idempotent && !item.cancelled) {
       movable.push_back(number);
     }
@@ -132,7 +133,7 @@
     }
     SendTo(peer, cancel_forward{{self_, item.forward}}, context, out);
     by_forward_.erase(item.forward);
-    item.maybe_run = true;
+    item.may_have_run = true;
     item.avoid_owners.push_back(peer);
     Route(item, context, now, out);
   }
--- a/src/core/requests/request_core_routing.cc
+++ b/src/core/requests/request_core_routing.cc
@@ -9,23 +9,23 @@
 namespace {
 
 /// Owners and endpoints that one request is offered to at most.
-constexpr std::uint32_t kMostAttempts = 3;
+constexpr std::uint32_t kMaxAttempts = 3;
 
 }  // namespace
 
-void request_core::AskClaim(request& item, time_point now) {
-  item.at = stage::kClaiming;
-  item.claim_asked = true;
+void request_core::RequestLocalClaim(request& item, time_point now) {
+  item.current_stage = stage::kClaiming;
+  item.is_claim_requested = true;
   item.envelope.deadline =
       std::min(item.envelope.deadline, now + claim_window_);
-  AddQuestion(claim_need::kAsk, *item.envelope.key, item.number).deadline =
-      item.envelope.deadline;
+  AddClaimCommand(claim_operation::kAcquire, *item.envelope.key, item.number)
+      .deadline = item.envelope.deadline;
 }
 
-void request_core::Claim(request& item,
-                         const routing_context& context,
-                         time_point now,
-                         effects& out) {
+void request_core::AcquireClaim(request& item,
+                                const routing_context& context,
+                                time_point now,
+                                effects& out) {
   if (item.cancelled || !MayRetry(item, now)) {
     Finish(item,
            item.refusal.value_or(Unknown(answer_reason::kPeerLost,
@@ -34,19 +34,21 @@
     return;
   }
   const std::uint32_t partition = PartitionOf(*item.envelope.key);
-  for (const incarnation home : context.endpoints.HomesOf(partition)) {
-    if (home == self_) {
+  for (const incarnation coordinator :
+       context.endpoints.CoordinatorsOf(partition)) {
+    if (coordinator == self_) {
       break;
     }
-    if (!context.suspects.contains(home) && !loads_.IsLost(home) &&
-        !Contains(item.avoid_owners, home)) {
-      Forward(item, home, forward_stage::kClaim, context, out);
+    if (!context.suspects.contains(coordinator) &&
+        !loads_.IsDisconnected(coordinator) &&
+        !Contains(item.avoid_owners, coordinator)) {
+      Forward(item, coordinator, forward_stage::kClaim, context, out);
       return;
     }
   }
   // The log decides who is first, so any entry may claim; the home only saves
   // appends and holds the answers.
-  AskClaim(item, now);
+  RequestLocalClaim(item, now);
 }
 
 void request_core::Route(request& item,
@@ -78,20 +80,21 @@
 
 void request_core::Forward(request& item,
                            incarnation to,
-                           forward_stage wanted,
+                           forward_stage requested_stage,
                            const routing_context& context,
                            effects& out) {
   last_forward_ += 1;
-  item.at = stage::kForwarded;
+  item.current_stage = stage::kForwarded;
   item.attempts += 1;
   item.peer = to;
   item.forward = last_forward_;
-  item.wanted = wanted;
+  item.requested_stage = requested_stage;
   by_forward_[item.forward] = item.number;
-  if (wanted == forward_stage::kDispatch) {
+  if (requested_stage == forward_stage::kDispatch) {
     loads_.OnForwarded(to, item.envelope.service);
   }
-  SendTo(to, forward_request{{self_, item.forward}, wanted, item.envelope},
+  SendTo(to,
+         forward_request{{self_, item.forward}, requested_stage, item.envelope},
          context, out);
 }
 
@@ -100,7 +103,7 @@
                            const routing_context& context,
                            time_point now,
                            effects& out) {
-  item.at = stage::kQueued;
+  item.current_stage = stage::kQueued;
   if (ExpiryOf(item) <= now) {
     Expire(item, context, now, out);
     return;
@@ -115,12 +118,12 @@
   }
   request_queue& queue = queues_[item.envelope.service];
   const endpoint_info* endpoint =
-      queue.size() == 0 && now >= hold_until_
+      queue.size() == 0 && now >= dispatch_hold_until_
           ? PickEndpoint(*context.endpoints.Find(item.envelope.service),
                          item.avoid_vms, now)
           : nullptr;
   if (endpoint != nullptr) {
-    queue.CountDirect(*work);
+    queue.CountDirectDispatch(*work);
     Dispatch(item, *endpoint, now, out);
     return;
   }
@@ -134,18 +137,18 @@
            context, now, out);
     return;
   }
-  Pump(item.envelope.service, context, now, out);
+  DispatchQueued(item.envelope.service, context, now, out);
 }
 
-void request_core::Pump(const service_name& service,
-                        const routing_context& context,
-                        time_point now,
-                        effects& out) {
+void request_core::DispatchQueued(const service_name& service,
+                                  const routing_context& context,
+                                  time_point now,
+                                  effects& out) {
   const service_routes* routes = context.endpoints.Find(service);
   const auto queue = queues_.find(service);
   // While this entry lags behind the log it may not know which VMs drain; what
   // waits is answered at its deadline at the latest.
-  const bool is_held = now < hold_until_ || !context.ready;
+  const bool is_held = now < dispatch_hold_until_ || !context.ready;
   if (routes == nullptr || queue == queues_.end() || is_held) {
     return;
   }
@@ -173,15 +176,15 @@
     Dispatch(item, *endpoint, now, out);
   }
   for (const std::uint64_t number : refused) {
-    Refuse(*Find(number), *routes, context, now, out);
+    RejectQueued(*Find(number), *routes, context, now, out);
   }
 }
 
-void request_core::Refuse(request& item,
-                          const service_routes& routes,
-                          const routing_context& context,
-                          time_point now,
-                          effects& out) {
+void request_core::RejectQueued(request& item,
+                                const service_routes& routes,
+                                const routing_context& context,
+                                time_point now,
+                                effects& out) {
   const work_class* work = routes.FindClass(item.envelope.work);
   if (work == nullptr || ExpiryOf(item) <= now) {
     Expire(item, context, now, out);
@@ -198,7 +201,7 @@
 }
 
 bool request_core::MayRetry(const request& item, time_point now) const {
-  return item.attempts < kMostAttempts && now < item.envelope.deadline;
+  return item.attempts < kMaxAttempts && now < item.envelope.deadline;
 }
 
 void request_core::TryElsewhere(request& item,
@@ -215,10 +218,10 @@
   Route(item, context, now, out);
 }
 
-bool request_core::ShouldAskAnother(const request& item,
-                                    const response& answer,
-                                    const routing_context& context,
-                                    time_point now) {
+bool request_core::ShouldRetryElsewhere(const request& item,
+                                        const response& answer,
+                                        const routing_context& context,
+                                        time_point now) {
   if (answer.result == outcome::kDone || item.cancelled ||
       !MayRetry(item, now)) {
     return false;
@@ -233,9 +236,9 @@
       return true;
     case answer_reason::kNoEndpoint:
     case answer_reason::kEndpointRefused:
-      return item.wanted == forward_stage::kDispatch;
+      return item.requested_stage == forward_stage::kDispatch;
     case answer_reason::kOverload:
-      return item.wanted == forward_stage::kDispatch &&
+      return item.requested_stage == forward_stage::kDispatch &&
              OtherHasFreeSlot(item, context) && budget_.Take();
     default:
       return false;
@@ -251,7 +254,7 @@
   for (const owner_share& share : routes->owners) {
     if (share.owner != item.peer && share.owner != self_ &&
         !context.suspects.contains(share.owner) &&
-        !loads_.IsLost(share.owner) &&
+        !loads_.IsDisconnected(share.owner) &&
         !Contains(item.avoid_owners, share.owner) &&
         loads_.HasFreeSlot(share, routes->name)) {
       return true;
@@ -260,20 +263,20 @@
   return false;
 }
 
-void request_core::LoseForwarded(request& item,
+void request_core::OnForwardLost(request& item,
                                  const routing_context& context,
                                  time_point now,
                                  effects& out) {
   by_forward_.erase(item.forward);
   const response lost =
       Unknown(answer_reason::kPeerLost, "the entry that had it was lost");
-  item.maybe_run = true;
+  item.may_have_run = true;
   item.refusal = lost;
   item.avoid_owners.push_back(item.peer);
-  if (item.wanted == forward_stage::kClaim) {
+  if (item.requested_stage == forward_stage::kClaim) {
     // The log lets only one claim of the key through, so asking the next home
     // can't run it twice.
-    Claim(item, context, now, out);
+    AcquireClaim(item, context, now, out);
     return;
   }
   if (item.envelope.idempotent && !item.cancelled && MayRetry(item, now) &&
--- a/src/core/requests/request_meter.cc
+++ b/src/core/requests/request_meter.cc
@@ -5,7 +5,7 @@
 namespace plantainhead::core {
 namespace {
 
-bool IsCallersMistake(answer_reason reason) {
+bool IsCallerError(answer_reason reason) {
   switch (reason) {
     case answer_reason::kUnknownService:
     case answer_reason::kUnknownClass:
@@ -20,7 +20,7 @@
   }
 }
 
-bool IsForLackOfCapacity(answer_reason reason) {
+bool IsCapacityShortage(answer_reason reason) {
   return reason == answer_reason::kOverload ||
          reason == answer_reason::kDeadline ||
          reason == answer_reason::kNoEndpoint;
@@ -28,20 +28,20 @@
 
 }  // namespace
 
-std::optional<request_fate> FateOf(const response& answer,
-                                   duration elapsed,
-                                   duration within,
-                                   bool in_maintenance) {
-  if (answer.result != outcome::kDone && IsCallersMistake(answer.reason)) {
+std::optional<slo_outcome> ClassifyAnswer(const response& answer,
+                                          duration elapsed,
+                                          duration within,
+                                          bool in_maintenance) {
+  if (answer.result != outcome::kDone && IsCallerError(answer.reason)) {
     return std::nullopt;
   }
   if (answer.result == outcome::kDone) {
-    return elapsed <= within ? request_fate::kServed : request_fate::kLate;
+    return elapsed <= within ? slo_outcome::kServed : slo_outcome::kLate;
   }
-  if (!IsForLackOfCapacity(answer.reason)) {
-    return request_fate::kFailure;
+  if (!IsCapacityShortage(answer.reason)) {
+    return slo_outcome::kFailure;
   }
-  return in_maintenance ? request_fate::kMaintenance : request_fate::kOverload;
+  return in_maintenance ? slo_outcome::kMaintenance : slo_outcome::kOverload;
 }
 
 void request_meter::OnArrival(std::uint64_t sequence,
@@ -58,10 +58,10 @@
     return;
   }
   const open_request& request = found->second;
-  const std::optional<request_fate> fate = FateOf(
+  const std::optional<slo_outcome> outcome_kind = ClassifyAnswer(
       item.answer, now - request.arrived, request.within, in_maintenance);
-  if (fate) {
-    ++classes_[request.work][*fate];
+  if (outcome_kind) {
+    ++classes_[request.work][*outcome_kind];
   }
   requests_.erase(found);
 }
--- a/src/observe/burn.cc
+++ b/src/observe/burn.cc
@@ -18,7 +18,7 @@
 
 std::uint64_t FailedOf(const core::request_counts& counts, burn_target target) {
   return target == burn_target::kInTime
-             ? counts.Total() - counts[core::request_fate::kServed]
+             ? counts.Total() - counts[core::slo_outcome::kServed]
              : counts.Unserved();
 }
 
--- a/src/observe/burn_html.cc
+++ b/src/observe/burn_html.cc
@@ -69,8 +69,8 @@
 
 std::string Legend() {
   std::string html = "<p>Missed by cause:";
-  for (const auto& [fate, name] : core::kRequestFateNames) {
-    if (fate == core::request_fate::kServed) {
+  for (const auto& [fate, name] : core::kSloOutcomeNames) {
+    if (fate == core::slo_outcome::kServed) {
       continue;
     }
     html += "<span class=\"key " + std::string(name) + "\"></span>" +
--- a/src/observe/burn_json.cc
+++ b/src/observe/burn_json.cc
@@ -16,7 +16,7 @@
 
 json CountsToJson(const core::request_counts& counts) {
   json value = {{"total", counts.Total()}};
-  for (const auto& [fate, name] : core::kRequestFateNames) {
+  for (const auto& [fate, name] : core::kSloOutcomeNames) {
     value[std::string(name)] = counts[fate];
   }
   return value;
--- a/src/observe/burn_plot.cc
+++ b/src/observe/burn_plot.cc
@@ -41,9 +41,9 @@
 double ScaleOf(const class_report& report) {
   double most = std::max(2 * (1 - report.target.served), kLeastScale);
   for (const core::request_counts& counts : report.hours) {
-    most = std::max(
-        most, ShareOf(counts.Total() - counts[core::request_fate::kServed],
-                      counts.Total()));
+    most = std::max(most,
+                    ShareOf(counts.Total() - counts[core::slo_outcome::kServed],
+                            counts.Total()));
   }
   return most;
 }
@@ -73,9 +73,9 @@
 std::string Bars(const core::request_counts& counts, double x, double scale) {
   std::string svg;
   double top = kTop + kPlotHeight;
-  for (const auto& [fate, fate_name] : core::kRequestFateNames) {
+  for (const auto& [fate, fate_name] : core::kSloOutcomeNames) {
     const std::uint64_t count = counts[fate];
-    if (fate == core::request_fate::kServed || count == 0) {
+    if (fate == core::slo_outcome::kServed || count == 0) {
       continue;
     }
     const double share = ShareOf(count, counts.Total());
--- a/src/observe/burn_text.cc
+++ b/src/observe/burn_text.cc
@@ -46,8 +46,8 @@
 
 std::string CausesText(const core::request_counts& counts) {
   std::string text;
-  for (const auto& [fate, name] : core::kRequestFateNames) {
-    if (fate != core::request_fate::kServed && counts[fate] > 0) {
+  for (const auto& [fate, name] : core::kSloOutcomeNames) {
+    if (fate != core::slo_outcome::kServed && counts[fate] > 0) {
       text += (text.empty() ? "" : ", ") + std::string(name) + " " +
               std::to_string(counts[fate]);
     }
--- a/src/platform/record_fields.h
+++ b/src/platform/record_fields.h
@@ -207,11 +207,11 @@
 template <typename Archive>
 void Fields(Archive& a,
             typename Archive::template ref<core::request_counts> x) {
-  a("served", x[core::request_fate::kServed]);
-  a("late", x[core::request_fate::kLate]);
-  a("overload", x[core::request_fate::kOverload]);
-  a("maintenance", x[core::request_fate::kMaintenance]);
-  a("failure", x[core::request_fate::kFailure]);
+  a("served", x[core::slo_outcome::kServed]);
+  a("late", x[core::slo_outcome::kLate]);
+  a("overload", x[core::slo_outcome::kOverload]);
+  a("maintenance", x[core::slo_outcome::kMaintenance]);
+  a("failure", x[core::slo_outcome::kFailure]);
 }
 
 template <typename Archive>
--- a/src/runtime/entry_observer.cc
+++ b/src/runtime/entry_observer.cc
@@ -19,7 +19,7 @@
     metrics_.Gauge(name, help).Set(value);
   };
   const core::fleet_state& fleet = core.fleet();
-  const core::claim_figures claims = core.claim_ledger().figures(now);
+  const core::claim_stats claims = core.claim_ledger().stats(now);
   set("plantainhead_log_offset", "Offset of the control stream applied",
       static_cast<double>(fleet.offset));
   set("plantainhead_log_end", "Greatest offset heard of",
--- a/tests/core/claims/claims_fixture.h
+++ b/tests/core/claims/claims_fixture.h
@@ -14,7 +14,7 @@
 namespace plantainhead::core {
 
 /// Options without a pause between appends, so that tests need no ticks.
-inline claim_options UnpacedOptions() {
+inline claim_options UnthrottledOptions() {
   claim_options options;
   options.append_interval = duration::zero();
   return options;
@@ -26,28 +26,29 @@
  public:
   claims_entry(std::uint64_t self,
                model_log* log,
-               claim_options options = UnpacedOptions())
+               claim_options options = UnthrottledOptions())
       : self_(static_cast<incarnation>(self)),
         log_(log),
         claims_(options, self_, &ids_) {}
 
   /// Makes this entry the home of all partitions, or of none.
-  void SetHome(bool is_home, time_point now) {
+  void SetCoordinator(bool is_coordinator, time_point now) {
     fleet_state state;
     state.members[self_].who = self_;
     std::set<incarnation> excluded;
-    if (!is_home) {
+    if (!is_coordinator) {
       excluded.insert(self_);
     }
     claims_.OnViewChanged(state, excluded, now, out_);
     Collect();
   }
 
-  void Ask(const claim_key& key,
-           std::uint64_t sequence,
-           time_point now,
-           duration patience = std::chrono::seconds(30)) {
-    claims_.Ask(key, Request(sequence), now + patience, now, out_, decisions_);
+  void Acquire(const claim_key& key,
+               std::uint64_t sequence,
+               time_point now,
+               duration timeout = std::chrono::seconds(30)) {
+    claims_.Acquire(key, Request(sequence), now + timeout, now, out_,
+                    decisions_);
     Collect();
   }
 
@@ -60,7 +61,7 @@
     response answer;
     answer.status = 201;
     answer.result = outcome::kDone;
-    claims_.Finished(key, Request(sequence), answer, now);
+    claims_.Complete(key, Request(sequence), answer, now);
   }
 
   void Tick(time_point now) {
@@ -69,19 +70,21 @@
   }
 
   /// Takes the oldest append to the log, and tells its end as `result`.
-  void Land(time_point now, append_result result = append_result::kAppended) {
+  void CompleteAppend(time_point now,
+                      append_result result = append_result::kAppended) {
     const append_records append = TakeAppend();
     const log_offset first = log_->Append(append.stream, append.records);
     End(append, result, first, now);
   }
 
   /// Ends the oldest append without effect on the log.
-  void Lose(time_point now, append_result result = append_result::kUnknown) {
+  void FailAppend(time_point now,
+                  append_result result = append_result::kUnknown) {
     End(TakeAppend(), result, 0, now);
   }
 
   /// Lands all appends to other streams than `stream`.
-  void LandAllBut(const stream_name& stream, time_point now) {
+  void CompleteAppendsExcept(const stream_name& stream, time_point now) {
     const std::vector<append_records> pending = std::exchange(appends_, {});
     for (const append_records& append : pending) {
       if (append.stream == stream) {
@@ -120,10 +123,10 @@
     if (!read.entries.empty()) {
       followed_[stream] = read.entries.back().offset;
     }
-    Hand(read, now);
+    ApplyRead(read, now);
   }
 
-  void Hand(const log_read& read, time_point now) {
+  void ApplyRead(const log_read& read, time_point now) {
     claims_.OnLogRead(read, now, out_, decisions_);
     Collect();
   }
@@ -139,7 +142,7 @@
   void Settle(time_point now) {
     do {
       while (!appends_.empty()) {
-        Land(now);
+        CompleteAppend(now);
       }
       Read(now);
     } while (!appends_.empty());
--- a/tests/core/claims/claims_property_test.cc
+++ b/tests/core/claims/claims_property_test.cc
@@ -36,7 +36,7 @@
 const stream_name kStream = ClaimStream(PartitionOf(kKeys.front()));
 
 claim_options ShortWindow() {
-  claim_options options = UnpacedOptions();
+  claim_options options = UnthrottledOptions();
   options.window = seconds(60);
   options.clock_skew = seconds(4);
   return options;
@@ -49,7 +49,7 @@
 }
 
 // A request as its caller sees it.
-struct asked_request {
+struct client_request {
   std::size_t key = 0;
   time_point asked;
   bool is_decided = false;
@@ -59,30 +59,30 @@
 };
 
 // One life of an entry, with its own clock.
-struct entry_life {
-  entry_life(std::uint64_t self, model_log* log, duration ahead)
+struct entry_instance {
+  entry_instance(std::uint64_t self, model_log* log, duration ahead)
       : entry(self, log, ShortWindow()), clock_ahead(ahead) {}
 
   claims_entry entry;
   duration clock_ahead{};
   bool is_frozen = false;
-  std::map<std::uint64_t, asked_request> requests;
+  std::map<std::uint64_t, client_request> requests;
 };
 
 // What a run may meet.
-struct hazards {
+struct fault_options {
   bool kills = true;
   bool cuts = true;
   /// Longest step of the time.
-  duration longest_step = seconds(40);
+  duration max_step = seconds(40);
 };
 
 // Several entries over one log, driven by random steps.
 class claims_run {
  public:
-  explicit claims_run(hazards allowed) : allowed_(allowed) {
+  explicit claims_run(fault_options allowed) : allowed_(allowed) {
     for (std::size_t i = 0; i < kEntries; ++i) {
-      lives_.push_back(NewLife());
+      instances_.push_back(NewInstance());
     }
   }
 
@@ -100,45 +100,45 @@
                                                      {1, 9},
                                                      {1, 10},
                                                      {1, 11}});
-    entry_life& life = *lives_[Below(kEntries)];
-    if (life.is_frozen) {
-      life.is_frozen = Below(10) > 0;
+    entry_instance& instance = *instances_[Below(kEntries)];
+    if (instance.is_frozen) {
+      instance.is_frozen = Below(10) > 0;
       return;
     }
-    const time_point now = now_ + life.clock_ahead;
+    const time_point now = now_ + instance.clock_ahead;
     switch (what) {
       case 0:
-        Ask(life, now);
+        Acquire(instance, now);
         break;
       case 1:
-        EndAppend(life, now);
+        EndAppend(instance, now);
         break;
       case 2:
-        Read(life, now);
+        Read(instance, now);
         break;
       case 3:
-        life.entry.Tick(now);
+        instance.entry.Tick(now);
         break;
       case 4:
-        Pass();
+        AdvanceTime();
         break;
       case 5:
-        EndRequest(life, now);
+        EndRequest(instance, now);
         break;
       case 6:
-        life.entry.SetHome(Below(3) > 0, now);
+        instance.entry.SetCoordinator(Below(3) > 0, now);
         break;
       case 7:
-        life.entry.LogUnavailable(now);
+        instance.entry.LogUnavailable(now);
         break;
       case 8:
-        life.is_frozen = true;
+        instance.is_frozen = true;
         break;
       case 9:
-        Kill(life);
+        Kill(instance);
         break;
       case 10:
-        LandLate();
+        CompleteDelayedAppend();
         break;
       default:
         Cut();
@@ -148,26 +148,26 @@
 
   /// All faults end; then each key that nobody runs can be run.
   void CheckFreeKeys() {
-    for (auto& [stream, records] : std::exchange(limbo_, {})) {
+    for (auto& [stream, records] : std::exchange(delayed_appends_, {})) {
       log_.Append(stream, records);
     }
     for (int round = 0; round < 4; ++round) {
-      for (const auto& life : lives_) {
-        life->entry.SetHome(true, now_ + life->clock_ahead);
-        life->entry.Settle(now_ + life->clock_ahead);
-        life->entry.Tick(now_ + life->clock_ahead);
-        life->entry.Settle(now_ + life->clock_ahead);
+      for (const auto& instance : instances_) {
+        instance->entry.SetCoordinator(true, now_ + instance->clock_ahead);
+        instance->entry.Settle(now_ + instance->clock_ahead);
+        instance->entry.Tick(now_ + instance->clock_ahead);
+        instance->entry.Settle(now_ + instance->clock_ahead);
       }
       now_ += seconds(1);
     }
     CheckDecisions();
     for (std::size_t key = 0; key < kKeys.size(); ++key) {
       const bool is_run = !unreleased_[key].empty();
-      entry_life& life = *lives_[key % kEntries];
-      AskFor(life, key, now_ + life.clock_ahead);
-      life.entry.Settle(now_ + life.clock_ahead);
+      entry_instance& instance = *instances_[key % kEntries];
+      AcquireFor(instance, key, now_ + instance.clock_ahead);
+      instance.entry.Settle(now_ + instance.clock_ahead);
       CheckDecisions();
-      const asked_request& request = life.requests.at(last_sequence_);
+      const client_request& request = instance.requests.at(last_sequence_);
       RC_ASSERT(request.is_decided);
       RC_ASSERT(request.is_granted != is_run);
     }
@@ -181,101 +181,103 @@
   }
 
   // Clocks differ by up to the skew.
-  std::unique_ptr<entry_life> NewLife() {
+  std::unique_ptr<entry_instance> NewInstance() {
     const auto half = ShortWindow().clock_skew.count() / 2;
     const duration ahead(AnyIn(-half, half));
-    auto life = std::make_unique<entry_life>(++last_incarnation_, &log_, ahead);
-    life->entry.SetHome(true, now_ + ahead);
-    return life;
+    auto instance =
+        std::make_unique<entry_instance>(++last_incarnation_, &log_, ahead);
+    instance->entry.SetCoordinator(true, now_ + ahead);
+    return instance;
   }
 
-  void Ask(entry_life& life, time_point now) {
-    AskFor(life, Below(kKeys.size()), now);
+  void Acquire(entry_instance& instance, time_point now) {
+    AcquireFor(instance, Below(kKeys.size()), now);
   }
 
-  void AskFor(entry_life& life, std::size_t key, time_point now) {
-    life.requests[++last_sequence_] = {key, now_};
-    life.entry.Ask(kKeys[key], last_sequence_, now);
+  void AcquireFor(entry_instance& instance, std::size_t key, time_point now) {
+    instance.requests[++last_sequence_] = {key, now_};
+    instance.entry.Acquire(kKeys[key], last_sequence_, now);
   }
 
   // An append ends in one of five ways; two of them lie about the stream.
-  void EndAppend(entry_life& life, time_point now) {
-    life.entry.LandAllBut(kStream, now);
-    if (life.entry.appends().empty()) {
+  void EndAppend(entry_instance& instance, time_point now) {
+    instance.entry.CompleteAppendsExcept(kStream, now);
+    if (instance.entry.appends().empty()) {
       return;
     }
     switch (Below(6)) {
       case 0:
-        life.entry.Land(now, append_result::kUnknown);
+        instance.entry.CompleteAppend(now, append_result::kUnknown);
         break;
       case 1:
-        life.entry.Lose(now, append_result::kRejected);
+        instance.entry.FailAppend(now, append_result::kRejected);
         break;
       case 2: {
-        const append_records lost = life.entry.TakeAppend();
-        limbo_.emplace_back(lost.stream, lost.records);
-        life.entry.End(lost, append_result::kUnknown, 0, now);
+        const append_records lost = instance.entry.TakeAppend();
+        delayed_appends_.emplace_back(lost.stream, lost.records);
+        instance.entry.End(lost, append_result::kUnknown, 0, now);
         break;
       }
       default:
-        life.entry.Land(now);
+        instance.entry.CompleteAppend(now);
     }
   }
 
-  void Read(entry_life& life, time_point now) {
-    const auto place = life.entry.followed().find(kStream);
-    if (place != life.entry.followed().end()) {
-      life.entry.ReadSome(kStream, 1 + Below(5), now);
+  void Read(entry_instance& instance, time_point now) {
+    const auto place = instance.entry.followed().find(kStream);
+    if (place != instance.entry.followed().end()) {
+      instance.entry.ReadSome(kStream, 1 + Below(5), now);
     }
   }
 
-  void Pass() {
+  void AdvanceTime() {
     ends_.emplace_back(now_, log_.End(kStream));
     const bool is_long = Below(6) == 0;
-    const duration most = is_long ? allowed_.longest_step : milliseconds(900);
+    const duration most = is_long ? allowed_.max_step : milliseconds(900);
     now_ += duration(AnyIn<std::int64_t>(0, most.count()));
   }
 
   // Runs a granted request to its end, or gives it back undispatched.
-  void EndRequest(entry_life& life, time_point now) {
-    for (auto& [sequence, request] : life.requests) {
+  void EndRequest(entry_instance& instance, time_point now) {
+    for (auto& [sequence, request] : instance.requests) {
       if (!request.is_granted || request.is_released || request.is_finished) {
         continue;
       }
       if (Below(2) == 0) {
         request.is_released = true;
         std::erase(unreleased_[request.key], request.asked);
-        life.entry.Release(kKeys[request.key], sequence, now);
+        instance.entry.Release(kKeys[request.key], sequence, now);
       } else {
         request.is_finished = true;
-        life.entry.Finish(kKeys[request.key], sequence, now);
+        instance.entry.Finish(kKeys[request.key], sequence, now);
       }
       return;
     }
   }
 
-  void Kill(entry_life& life) {
+  void Kill(entry_instance& instance) {
     if (!allowed_.kills) {
       return;
     }
-    for (append_records& append : life.entry.appends()) {
-      limbo_.emplace_back(append.stream, append.records);
+    for (append_records& append : instance.entry.appends()) {
+      delayed_appends_.emplace_back(append.stream, append.records);
     }
     const auto place = std::find_if(
-        lives_.begin(), lives_.end(),
-        [&](const auto& candidate) { return candidate.get() == &life; });
-    *place = NewLife();
+        instances_.begin(), instances_.end(),
+        [&](const auto& candidate) { return candidate.get() == &instance; });
+    *place = NewInstance();
   }
 
-  void LandLate() {
-    if (limbo_.empty()) {
+  void CompleteDelayedAppend() {
+    if (delayed_appends_.empty()) {
       return;
     }
-    const std::size_t which = Below(limbo_.size());
-    log_.Append(limbo_[which].first, limbo_[which].second);
+    const std::size_t which = Below(delayed_appends_.size());
+    log_.Append(delayed_appends_[which].first, delayed_appends_[which].second);
     // It may land more than once.
     if (Below(2) == 0) {
-      limbo_.erase(limbo_.begin() + static_cast<std::ptrdiff_t>(which));
+      delayed_appends_.erase(delayed_appends_.begin() +
+                             static_cast<std::ptrdiff_t>(which));
     }
   }
 
@@ -296,10 +298,11 @@
   }
 
   void CheckDecisions() {
-    for (const auto& life : lives_) {
+    for (const auto& instance : instances_) {
       for (const claim_decision& decision :
-           std::exchange(life->entry.decisions(), {})) {
-        asked_request& request = life->requests.at(decision.request.sequence);
+           std::exchange(instance->entry.decisions(), {})) {
+        client_request& request =
+            instance->requests.at(decision.request.sequence);
         // Each request is decided once: one that was told "not run" is never
         // granted, one that was granted is never told "not run".
         RC_ASSERT(!request.is_decided);
@@ -314,7 +317,7 @@
 
   // Another grant that wasn't released is older than the window, so that this
   // request was no retry of it.
-  void CheckGrant(const asked_request& request) {
+  void CheckGrant(const client_request& request) {
     ++grants_;
     for (const time_point& other : unreleased_[request.key]) {
       const duration apart =
@@ -324,14 +327,14 @@
     unreleased_[request.key].push_back(request.asked);
   }
 
-  const hazards allowed_;
+  const fault_options allowed_;
   model_log log_;
   time_point now_ = kStart;
   std::uint64_t last_incarnation_ = 0;
   std::uint64_t last_sequence_ = 0;
   std::size_t grants_ = 0;
-  std::vector<std::unique_ptr<entry_life>> lives_;
-  std::vector<std::pair<stream_name, std::vector<record>>> limbo_;
+  std::vector<std::unique_ptr<entry_instance>> instances_;
+  std::vector<std::pair<stream_name, std::vector<record>>> delayed_appends_;
   /// The stream's end at some times, for retention.
   std::vector<std::pair<time_point, log_offset>> ends_;
   /// When the grants that stand were asked for, by key.
@@ -344,7 +347,7 @@
 // a key's retry never runs beside a run that stands.
 TEST_CASE("Random faults never let a key run twice") {
   const bool holds = rc::check([] {
-    claims_run run((hazards()));
+    claims_run run((fault_options()));
     const int steps = AnyIn(300, 1000);
     for (int i = 0; i < steps; ++i) {
       run.Step();
@@ -358,10 +361,10 @@
 // granted or was given back ends, and a later request runs.
 TEST_CASE("After random faults a key that nobody ran can be run") {
   const bool holds = rc::check([] {
-    hazards mild;
+    fault_options mild;
     mild.kills = false;
     mild.cuts = false;
-    mild.longest_step = milliseconds(900);
+    mild.max_step = milliseconds(900);
     claims_run run(mild);
     const int steps = AnyIn(20, 200);
     for (int i = 0; i < steps; ++i) {
--- a/tests/core/claims/claims_test.cc
+++ b/tests/core/claims/claims_test.cc
@@ -19,9 +19,9 @@
 const stream_name kStream = ClaimStream(PartitionOf(kKey));
 constexpr duration kWindow = claim_options().window;
 constexpr duration kSkew = claim_options().clock_skew;
-constexpr duration kPatience = claim_options().patience;
+constexpr duration kClaimTimeout = claim_options().claim_timeout;
 /// How long a claim stands.
-constexpr duration kKept = kWindow + kSkew + kPatience;
+constexpr duration kKept = kWindow + kSkew + kClaimTimeout;
 
 std::optional<claim_verdict> VerdictOf(claims_entry& entry,
                                        std::uint64_t sequence) {
@@ -31,16 +31,16 @@
 
 // Returns the verdict on a new request once all that it needs of the log is
 // done.
-std::optional<claim_verdict> AskAndSettle(claims_entry& entry,
-                                          std::uint64_t sequence,
-                                          time_point now) {
-  entry.Ask(kKey, sequence, now);
+std::optional<claim_verdict> AcquireAndSettle(claims_entry& entry,
+                                              std::uint64_t sequence,
+                                              time_point now) {
+  entry.Acquire(kKey, sequence, now);
   entry.Settle(now);
   return VerdictOf(entry, sequence);
 }
 
 // Returns another key of the same partition.
-claim_key KeyBeside(const claim_key& key) {
+claim_key KeyInSamePartition(const claim_key& key) {
   for (int i = 0;; ++i) {
     claim_key other("other-" + std::to_string(i));
     if (PartitionOf(other) == PartitionOf(key)) {
@@ -49,8 +49,8 @@
   }
 }
 
-claims_entry& MakeHome(claims_entry& entry, time_point now) {
-  entry.SetHome(true, now);
+claims_entry& MakeCoordinator(claims_entry& entry, time_point now) {
+  entry.SetCoordinator(true, now);
   entry.Read(now);
   entry.Tick(now);
   entry.Settle(now);
@@ -59,29 +59,29 @@
 
 TEST_CASE("A request with a key is claimed before it may run") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  home.Ask(kKey, 1, kStart);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  coordinator.Acquire(kKey, 1, kStart);
 
   SECTION("and granted only once its record was read back") {
-    REQUIRE(home.appends().size() == 1);
-    home.Land(kStart);
-    CHECK_FALSE(home.Take(1));
-    home.Read(kStart);
-    CHECK(VerdictOf(home, 1) == claim_verdict::kGranted);
+    REQUIRE(coordinator.appends().size() == 1);
+    coordinator.CompleteAppend(kStart);
+    CHECK_FALSE(coordinator.Take(1));
+    coordinator.Read(kStart);
+    CHECK(VerdictOf(coordinator, 1) == claim_verdict::kGranted);
 
     SECTION("a second request is told that the key is in progress") {
-      home.Ask(kKey, 2, kStart);
-      const auto decision = home.Take(2);
+      coordinator.Acquire(kKey, 2, kStart);
+      const auto decision = coordinator.Take(2);
       REQUIRE(decision);
       CHECK(decision->verdict == claim_verdict::kInProgress);
       CHECK(decision->retry_after > duration::zero());
     }
 
     SECTION("a retry after its end gets the stored answer") {
-      home.Finish(kKey, 1, kStart);
-      home.Ask(kKey, 2, kStart + seconds(1));
-      const auto decision = home.Take(2);
+      coordinator.Finish(kKey, 1, kStart);
+      coordinator.Acquire(kKey, 2, kStart + seconds(1));
+      const auto decision = coordinator.Take(2);
       REQUIRE(decision);
       CHECK(decision->verdict == claim_verdict::kStoredAnswer);
       REQUIRE(decision->stored);
@@ -90,15 +90,15 @@
 
     SECTION("a retry at another home is told that it may have run") {
       claims_entry other(2, &log);
-      MakeHome(other, kStart);
-      CHECK(AskAndSettle(other, 1, kStart) == claim_verdict::kAlreadyRun);
+      MakeCoordinator(other, kStart);
+      CHECK(AcquireAndSettle(other, 1, kStart) == claim_verdict::kAlreadyRun);
     }
   }
 
   SECTION("with at least the interval between two appends to a stream") {
     claims_entry paced(2, &log, claim_options());
-    MakeHome(paced, kStart);
-    paced.Ask(kKey, 1, kStart);
+    MakeCoordinator(paced, kStart);
+    paced.Acquire(kKey, 1, kStart);
     paced.Settle(kStart);
     paced.Release(kKey, 1, kStart);
     CHECK(paced.appends().empty());
@@ -108,13 +108,13 @@
 
   SECTION("with all that wait in one append, and one append in flight") {
     for (std::uint64_t i = 2; i <= 400; ++i) {
-      home.Ask(claim_key("other-" + std::to_string(i)), i, kStart);
+      coordinator.Acquire(claim_key("other-" + std::to_string(i)), i, kStart);
     }
-    CHECK(home.appends().size() == kClaimPartitions);
-    home.Settle(kStart);
-    CHECK(home.core().figures(kStart).granted == 400);
+    CHECK(coordinator.appends().size() == kClaimPartitions);
+    coordinator.Settle(kStart);
+    CHECK(coordinator.core().stats(kStart).granted == 400);
     const std::uint64_t marks = kClaimPartitions;
-    CHECK(home.core().figures(kStart).appends == marks + 2 * marks);
+    CHECK(coordinator.core().stats(kStart).appends == marks + 2 * marks);
   }
 }
 
@@ -125,12 +125,12 @@
   model_log log;
   claims_entry first(1, &log);
   claims_entry second(2, &log);
-  MakeHome(first, kStart);
-  MakeHome(second, kStart);
-  first.Ask(kKey, 1, kStart);
-  second.Ask(kKey, 1, kStart);
-  second.Land(kStart);
-  first.Land(kStart);
+  MakeCoordinator(first, kStart);
+  MakeCoordinator(second, kStart);
+  first.Acquire(kKey, 1, kStart);
+  second.Acquire(kKey, 1, kStart);
+  second.CompleteAppend(kStart);
+  first.CompleteAppend(kStart);
   first.Read(kStart);
   second.Read(kStart);
 
@@ -146,7 +146,7 @@
     second.Release(kKey, 1, later);
     second.Settle(later);
     first.Read(later);
-    CHECK(AskAndSettle(first, 2, later) == claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(first, 2, later) == claim_verdict::kGranted);
   }
 }
 
@@ -156,70 +156,70 @@
 TEST_CASE("Two homes forget an old claim at different times") {
   model_log log;
   claims_entry dead(1, &log);
-  MakeHome(dead, kStart);
-  REQUIRE(AskAndSettle(dead, 1, kStart) == claim_verdict::kGranted);
+  MakeCoordinator(dead, kStart);
+  REQUIRE(AcquireAndSettle(dead, 1, kStart) == claim_verdict::kGranted);
 
   const duration lag = kSkew / 2;
   const time_point later = kStart + kKept;
   claims_entry quick(2, &log);
   claims_entry slow(3, &log);
-  MakeHome(slow, later - lag);
-  MakeHome(quick, later);
-  REQUIRE(AskAndSettle(quick, 1, later) == claim_verdict::kGranted);
+  MakeCoordinator(slow, later - lag);
+  MakeCoordinator(quick, later);
+  REQUIRE(AcquireAndSettle(quick, 1, later) == claim_verdict::kGranted);
   slow.Read(later - lag);
   slow.Tick(later);
 
-  CHECK(AskAndSettle(slow, 1, later) == claim_verdict::kAlreadyRun);
+  CHECK(AcquireAndSettle(slow, 1, later) == claim_verdict::kAlreadyRun);
 }
 
 // The platform's store took an append, but its answer was lost. The home can't
 // know, and appends the same record again; the stream may hold it twice.
 TEST_CASE("The answer to the append of a claim is lost") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  home.Ask(kKey, 1, kStart);
-  const record_id first_id = home.appends().at(0).records.at(0).id;
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  coordinator.Acquire(kKey, 1, kStart);
+  const record_id first_id = coordinator.appends().at(0).records.at(0).id;
   const time_point later = kStart + milliseconds(500);
 
   SECTION("after it took effect: one grant, the copy changes nothing") {
-    home.Land(kStart, append_result::kUnknown);
-    home.Tick(later);
-    REQUIRE_FALSE(home.appends().empty());
-    CHECK(home.appends().at(0).records.at(0).id == first_id);
-    home.Settle(later);
-    CHECK(VerdictOf(home, 1) == claim_verdict::kGranted);
-    CHECK(home.decisions().empty());
-    CHECK(home.core().figures(later).claims_held == 1);
+    coordinator.CompleteAppend(kStart, append_result::kUnknown);
+    coordinator.Tick(later);
+    REQUIRE_FALSE(coordinator.appends().empty());
+    CHECK(coordinator.appends().at(0).records.at(0).id == first_id);
+    coordinator.Settle(later);
+    CHECK(VerdictOf(coordinator, 1) == claim_verdict::kGranted);
+    CHECK(coordinator.decisions().empty());
+    CHECK(coordinator.core().stats(later).claims_held == 1);
   }
 
   SECTION("and it had no effect: the copy is the claim, ahead of later ones") {
-    const claim_key other = KeyBeside(kKey);
-    home.Ask(other, 2, kStart);
-    home.Lose(kStart);
-    home.Tick(later);
-    const std::vector<record>& records = home.appends().at(0).records;
+    const claim_key other = KeyInSamePartition(kKey);
+    coordinator.Acquire(other, 2, kStart);
+    coordinator.FailAppend(kStart);
+    coordinator.Tick(later);
+    const std::vector<record>& records = coordinator.appends().at(0).records;
     REQUIRE(records.size() == 2);
     CHECK(records[0].id == first_id);
-    home.Settle(later);
-    CHECK(VerdictOf(home, 1) == claim_verdict::kGranted);
-    CHECK(VerdictOf(home, 2) == claim_verdict::kGranted);
+    coordinator.Settle(later);
+    CHECK(VerdictOf(coordinator, 1) == claim_verdict::kGranted);
+    CHECK(VerdictOf(coordinator, 2) == claim_verdict::kGranted);
   }
 
   SECTION("and it takes effect after its release: the key stays free") {
-    const append_records lost = home.TakeAppend();
-    home.End(lost, append_result::kUnknown, 0, kStart);
-    const time_point given_up = kStart + kPatience;
-    home.Tick(given_up);
-    CHECK(VerdictOf(home, 1) == claim_verdict::kLogUnavailable);
-    home.Settle(given_up);
+    const append_records lost = coordinator.TakeAppend();
+    coordinator.End(lost, append_result::kUnknown, 0, kStart);
+    const time_point given_up = kStart + kClaimTimeout;
+    coordinator.Tick(given_up);
+    CHECK(VerdictOf(coordinator, 1) == claim_verdict::kLogUnavailable);
+    coordinator.Settle(given_up);
     log.Append(kStream, lost.records);
-    home.Read(given_up);
-    CHECK(home.decisions().empty());
+    coordinator.Read(given_up);
+    CHECK(coordinator.decisions().empty());
 
     claims_entry other(2, &log);
-    MakeHome(other, given_up);
-    CHECK(AskAndSettle(other, 1, given_up) == claim_verdict::kGranted);
+    MakeCoordinator(other, given_up);
+    CHECK(AcquireAndSettle(other, 1, given_up) == claim_verdict::kGranted);
   }
 }
 
@@ -229,9 +229,9 @@
 TEST_CASE("A claimant is frozen while its claim lands") {
   model_log log;
   claims_entry frozen(1, &log);
-  MakeHome(frozen, kStart);
-  frozen.Ask(kKey, 1, kStart);
-  frozen.Land(kStart);
+  MakeCoordinator(frozen, kStart);
+  frozen.Acquire(kKey, 1, kStart);
+  frozen.CompleteAppend(kStart);
 
   SECTION("and wakes up after the deadline: no grant, and a release") {
     const time_point later = kStart + seconds(31);
@@ -240,23 +240,23 @@
     frozen.Settle(later);
 
     claims_entry other(2, &log);
-    MakeHome(other, later);
-    CHECK(AskAndSettle(other, 1, later) == claim_verdict::kGranted);
+    MakeCoordinator(other, later);
+    CHECK(AcquireAndSettle(other, 1, later) == claim_verdict::kGranted);
   }
 
   SECTION("and wakes up before a far deadline: its patience ends the claim") {
     const claim_key key("appeal-with-a-patient-caller");
-    frozen.Ask(key, 2, kStart, kWindow * 3);
-    frozen.Land(kStart);
-    frozen.Read(kStart + kPatience);
+    frozen.Acquire(key, 2, kStart, kWindow * 3);
+    frozen.CompleteAppend(kStart);
+    frozen.Read(kStart + kClaimTimeout);
     CHECK(VerdictOf(frozen, 2) == claim_verdict::kLogUnavailable);
   }
 
   SECTION("and its clock stood still: newer records show that it is late") {
     claims_entry other(2, &log);
     const time_point later = kStart + kKept;
-    MakeHome(other, later);
-    REQUIRE(AskAndSettle(other, 1, later) == claim_verdict::kGranted);
+    MakeCoordinator(other, later);
+    REQUIRE(AcquireAndSettle(other, 1, later) == claim_verdict::kGranted);
 
     frozen.Read(kStart);
     CHECK(VerdictOf(frozen, 1) == claim_verdict::kLogUnavailable);
@@ -270,9 +270,9 @@
   model_log log;
   {
     claims_entry killed(1, &log);
-    MakeHome(killed, kStart);
-    killed.Ask(kKey, 1, kStart);
-    killed.Land(kStart);
+    MakeCoordinator(killed, kStart);
+    killed.Acquire(kKey, 1, kStart);
+    killed.CompleteAppend(kStart);
 
     SECTION("before it read its claim back") {}
     SECTION("after it was granted and dispatched") {
@@ -281,15 +281,15 @@
     }
   }
   claims_entry next(2, &log);
-  MakeHome(next, kStart + seconds(5));
-  CHECK(AskAndSettle(next, 1, kStart + seconds(5)) ==
+  MakeCoordinator(next, kStart + seconds(5));
+  CHECK(AcquireAndSettle(next, 1, kStart + seconds(5)) ==
         claim_verdict::kAlreadyRun);
 
   // The last retry within the window, by a clock that is ahead.
   const time_point last = kStart + kWindow + kSkew;
-  CHECK(AskAndSettle(next, 2, last) == claim_verdict::kAlreadyRun);
+  CHECK(AcquireAndSettle(next, 2, last) == claim_verdict::kAlreadyRun);
   const time_point forgotten = kStart + kKept + seconds(5);
-  CHECK(AskAndSettle(next, 3, forgotten) == claim_verdict::kGranted);
+  CHECK(AcquireAndSettle(next, 3, forgotten) == claim_verdict::kGranted);
 }
 
 // The log goes down. Callers are told at once that their requests weren't run,
@@ -297,42 +297,43 @@
 // outage must be able to run.
 TEST_CASE("The log goes down") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  home.Ask(kKey, 1, kStart);
-  const append_records pending = home.TakeAppend();
-  home.LogUnavailable(kStart);
-  const auto decision = home.Take(1);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  coordinator.Acquire(kKey, 1, kStart);
+  const append_records pending = coordinator.TakeAppend();
+  coordinator.LogUnavailable(kStart);
+  const auto decision = coordinator.Take(1);
   REQUIRE(decision);
   CHECK(decision->verdict == claim_verdict::kLogUnavailable);
   CHECK(decision->retry_after > duration::zero());
 
   SECTION("while it is known to be down claims are refused without an append") {
-    home.Ask(claim_key("another"), 2, kStart);
-    home.Ask(kKey, 3, kStart);
-    CHECK(VerdictOf(home, 2) == claim_verdict::kLogUnavailable);
-    CHECK(VerdictOf(home, 3) == claim_verdict::kLogUnavailable);
-    CHECK(home.appends().empty());
-    CHECK(home.core().figures(kStart).refusing == kClaimPartitions);
+    coordinator.Acquire(claim_key("another"), 2, kStart);
+    coordinator.Acquire(kKey, 3, kStart);
+    CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
+    CHECK(VerdictOf(coordinator, 3) == claim_verdict::kLogUnavailable);
+    CHECK(coordinator.appends().empty());
+    CHECK(coordinator.core().stats(kStart).refusing == kClaimPartitions);
   }
 
   SECTION("and the claim landed late: never granted, released, retry runs") {
     const log_offset first = log.Append(kStream, pending.records);
     const time_point back = kStart + seconds(60);
-    home.End(pending, append_result::kAppended, first, back);
-    home.Read(back);
-    CHECK_FALSE(home.Take(1));
-    home.Tick(back);
-    home.Settle(back);
-    CHECK(AskAndSettle(home, 2, back) == claim_verdict::kGranted);
+    coordinator.End(pending, append_result::kAppended, first, back);
+    coordinator.Read(back);
+    CHECK_FALSE(coordinator.Take(1));
+    coordinator.Tick(back);
+    coordinator.Settle(back);
+    CHECK(AcquireAndSettle(coordinator, 2, back) == claim_verdict::kGranted);
   }
 
   SECTION("and the append was refused: a retry runs after the outage") {
     const time_point back = kStart + seconds(60);
-    home.End(pending, append_result::kRejected, 0, back);
-    home.Tick(back + seconds(1));
-    home.Settle(back + seconds(1));
-    CHECK(AskAndSettle(home, 2, back + seconds(1)) == claim_verdict::kGranted);
+    coordinator.End(pending, append_result::kRejected, 0, back);
+    coordinator.Tick(back + seconds(1));
+    coordinator.Settle(back + seconds(1));
+    CHECK(AcquireAndSettle(coordinator, 2, back + seconds(1)) ==
+          claim_verdict::kGranted);
   }
 }
 
@@ -340,33 +341,34 @@
 // without bound, nor must every later caller wait as long again.
 TEST_CASE("The log is slow") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  home.Ask(kKey, 1, kStart);
-  home.Tick(kStart + kPatience - milliseconds(1));
-  CHECK_FALSE(home.Take(1));
-  const time_point late = kStart + kPatience;
-  home.Tick(late);
-  CHECK(VerdictOf(home, 1) == claim_verdict::kLogUnavailable);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  coordinator.Acquire(kKey, 1, kStart);
+  coordinator.Tick(kStart + kClaimTimeout - milliseconds(1));
+  CHECK_FALSE(coordinator.Take(1));
+  const time_point late = kStart + kClaimTimeout;
+  coordinator.Tick(late);
+  CHECK(VerdictOf(coordinator, 1) == claim_verdict::kLogUnavailable);
 
   SECTION("the next caller is refused at once") {
-    home.Ask(kKey, 2, late);
-    CHECK(VerdictOf(home, 2) == claim_verdict::kLogUnavailable);
+    coordinator.Acquire(kKey, 2, late);
+    CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
   }
 
   SECTION("a mark that comes back late doesn't end the refusal") {
-    home.Settle(late + kPatience);
-    home.Ask(kKey, 2, late + kPatience);
-    CHECK(VerdictOf(home, 2) == claim_verdict::kLogUnavailable);
+    coordinator.Settle(late + kClaimTimeout);
+    coordinator.Acquire(kKey, 2, late + kClaimTimeout);
+    CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
   }
 
   SECTION("a mark that comes back in time does, and a retry runs once") {
-    home.Settle(late + seconds(1));
-    const time_point again = late + kPatience;
-    home.Tick(again);
-    home.Settle(again + seconds(1));
-    CHECK(AskAndSettle(home, 2, again + seconds(1)) == claim_verdict::kGranted);
-    CHECK(AskAndSettle(home, 3, again + seconds(1)) ==
+    coordinator.Settle(late + seconds(1));
+    const time_point again = late + kClaimTimeout;
+    coordinator.Tick(again);
+    coordinator.Settle(again + seconds(1));
+    CHECK(AcquireAndSettle(coordinator, 2, again + seconds(1)) ==
+          claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(coordinator, 3, again + seconds(1)) ==
           claim_verdict::kInProgress);
   }
 }
@@ -378,56 +380,56 @@
 TEST_CASE("A claim stream was cut by retention") {
   model_log log;
   claims_entry old_home(1, &log);
-  MakeHome(old_home, kStart);
+  MakeCoordinator(old_home, kStart);
   const claim_key& lost = kKey;
-  REQUIRE(AskAndSettle(old_home, 1, kStart) == claim_verdict::kGranted);
+  REQUIRE(AcquireAndSettle(old_home, 1, kStart) == claim_verdict::kGranted);
   const time_point later = kStart + seconds(30);
 
   SECTION("before a new home has read it: it waits for a window") {
     log.Cut(kStream, log.End(kStream) + 1);
-    claims_entry home(2, &log);
-    MakeHome(home, later);
-    home.Ask(lost, 1, later);
-    const auto decision = home.Take(1);
+    claims_entry coordinator(2, &log);
+    MakeCoordinator(coordinator, later);
+    coordinator.Acquire(lost, 1, later);
+    const auto decision = coordinator.Take(1);
     REQUIRE(decision);
     CHECK(decision->verdict == claim_verdict::kLogUnavailable);
     CHECK(decision->retry_after == kKept);
 
     const time_point end = later + kKept;
-    CHECK(AskAndSettle(home, 2, end - seconds(1)) ==
+    CHECK(AcquireAndSettle(coordinator, 2, end - seconds(1)) ==
           claim_verdict::kLogUnavailable);
-    home.Tick(end);
-    home.Settle(end);
-    CHECK(AskAndSettle(home, 3, end) == claim_verdict::kGranted);
+    coordinator.Tick(end);
+    coordinator.Settle(end);
+    CHECK(AcquireAndSettle(coordinator, 3, end) == claim_verdict::kGranted);
   }
 
   SECTION("ahead of a reader that fell behind: its claims are given up") {
-    claims_entry home(2, &log);
-    MakeHome(home, kStart);
+    claims_entry coordinator(2, &log);
+    MakeCoordinator(coordinator, kStart);
     old_home.Release(lost, 1, later);
-    REQUIRE(AskAndSettle(old_home, 2, later) == claim_verdict::kGranted);
+    REQUIRE(AcquireAndSettle(old_home, 2, later) == claim_verdict::kGranted);
     old_home.Release(lost, 2, later);
     old_home.Settle(later);
-    home.Read(later);
-    home.Ask(lost, 3, later);
-    REQUIRE(AskAndSettle(old_home, 4, later) == claim_verdict::kGranted);
-    home.Land(later);
+    coordinator.Read(later);
+    coordinator.Acquire(lost, 3, later);
+    REQUIRE(AcquireAndSettle(old_home, 4, later) == claim_verdict::kGranted);
+    coordinator.CompleteAppend(later);
     log.Cut(kStream, log.End(kStream));
-    home.Read(later);
-    CHECK(VerdictOf(home, 3) == claim_verdict::kLogUnavailable);
-    CHECK(home.core().figures(later).cuts == 1);
+    coordinator.Read(later);
+    CHECK(VerdictOf(coordinator, 3) == claim_verdict::kLogUnavailable);
+    CHECK(coordinator.core().stats(later).unreadable_gaps == 1);
   }
 
   SECTION("ahead of a reader that stops there: it follows on behind the cut") {
-    claims_entry home(2, &log);
-    MakeHome(home, later);
+    claims_entry coordinator(2, &log);
+    MakeCoordinator(coordinator, later);
     log_read cut;
     cut.stream = kStream;
     cut.begin = 500;
     cut.end = 510;
-    home.Hand(cut, later);
-    CHECK(home.followed().at(kStream) == 499);
-    CHECK(home.core().figures(later).refusing == 1);
+    coordinator.ApplyRead(cut, later);
+    CHECK(coordinator.followed().at(kStream) == 499);
+    CHECK(coordinator.core().stats(later).refusing == 1);
   }
 
   SECTION("outside of the window: the marks of a quiet stream show it") {
@@ -442,9 +444,9 @@
       }
     }
     log.Cut(kStream, kept_for_two_windows);
-    claims_entry home(2, &log);
-    MakeHome(home, now);
-    CHECK(AskAndSettle(home, 1, now) == claim_verdict::kGranted);
+    claims_entry coordinator(2, &log);
+    MakeCoordinator(coordinator, now);
+    CHECK(AcquireAndSettle(coordinator, 1, now) == claim_verdict::kGranted);
   }
 
   SECTION("behind an old record that landed late: it proves nothing") {
@@ -453,48 +455,49 @@
     late.body = claim_request{claim_key("x"), old_home.self(),
                               old_home.Request(7), kStart};
     old_home.Tick(now);
-    REQUIRE(AskAndSettle(old_home, 2, now) == claim_verdict::kGranted);
+    REQUIRE(AcquireAndSettle(old_home, 2, now) == claim_verdict::kGranted);
     log.Append(kStream, {late});
     log.Cut(kStream, log.End(kStream));
-    claims_entry home(2, &log);
-    MakeHome(home, now);
-    CHECK(AskAndSettle(home, 1, now) == claim_verdict::kLogUnavailable);
+    claims_entry coordinator(2, &log);
+    MakeCoordinator(coordinator, now);
+    CHECK(AcquireAndSettle(coordinator, 1, now) ==
+          claim_verdict::kLogUnavailable);
   }
 }
 
 TEST_CASE("A log that comes back shorter is not followed") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  REQUIRE(AskAndSettle(home, 1, kStart) == claim_verdict::kGranted);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  REQUIRE(AcquireAndSettle(coordinator, 1, kStart) == claim_verdict::kGranted);
   log_read shorter;
   shorter.stream = kStream;
-  home.Hand(shorter, kStart);
-  home.Ask(claim_key(kKey.value()), 2, kStart);
-  CHECK(VerdictOf(home, 2) == claim_verdict::kInProgress);
-  CHECK(home.core().figures(kStart).cuts == 1);
-  CHECK(home.core().figures(kStart).refusing == 1);
+  coordinator.ApplyRead(shorter, kStart);
+  coordinator.Acquire(claim_key(kKey.value()), 2, kStart);
+  CHECK(VerdictOf(coordinator, 2) == claim_verdict::kInProgress);
+  CHECK(coordinator.core().stats(kStart).unreadable_gaps == 1);
+  CHECK(coordinator.core().stats(kStart).refusing == 1);
 
   SECTION("nor trusted again because of an old mark behind a cut") {
     const time_point old = kStart - kKept;
     record mark;
-    mark.body =
-        claim_request{claim_key(), home.self(), {home.self(), 1000}, old};
+    mark.body = claim_request{
+        claim_key(), coordinator.self(), {coordinator.self(), 1000}, old};
     log_read cut;
     cut.stream = kStream;
     cut.begin = cut.end = 500;
     cut.entries.push_back({500, mark});
-    home.Hand(cut, kStart);
-    CHECK(home.core().figures(kStart).refusing == 1);
+    coordinator.ApplyRead(cut, kStart);
+    CHECK(coordinator.core().stats(kStart).refusing == 1);
   }
 
   // Offsets start anew: a mark with an old offset would speak for records that
   // its writer never saw.
   SECTION("and a mark that is written meanwhile speaks for no record") {
     const time_point later = kStart + kWindow / 2;
-    home.Tick(later);
-    home.LandAllBut(kStream, later);
-    const append_records append = home.TakeAppend();
+    coordinator.Tick(later);
+    coordinator.CompleteAppendsExcept(kStream, later);
+    const append_records append = coordinator.TakeAppend();
     REQUIRE(append.records.size() == 1);
     const auto& mark = std::get<claim_request>(append.records[0].body);
     CHECK(mark.key.empty());
@@ -502,34 +505,34 @@
   }
 
   SECTION("but after a window all that it lost is old") {
-    CHECK(home.core().figures(kStart + kKept).refusing == 0);
+    CHECK(coordinator.core().stats(kStart + kKept).refusing == 0);
   }
 }
 
 TEST_CASE("Reads that overlap or leave out records are no cut") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  REQUIRE(AskAndSettle(home, 1, kStart) == claim_verdict::kGranted);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  REQUIRE(AcquireAndSettle(coordinator, 1, kStart) == claim_verdict::kGranted);
 
   SECTION("records that were read before change nothing") {
-    home.Hand(log.Read(kStream, 0), kStart);
-    CHECK(home.decisions().empty());
+    coordinator.ApplyRead(log.Read(kStream, 0), kStart);
+    CHECK(coordinator.decisions().empty());
   }
 
   SECTION("records that are left out are read again") {
     const log_offset last_read = log.End(kStream);
-    home.Release(kKey, 1, kStart);
-    home.Land(kStart);
-    home.Ask(kKey, 2, kStart);
-    home.Land(kStart);
-    home.Hand(log.Read(kStream, last_read + 1), kStart);
-    CHECK_FALSE(home.Take(2));
-    CHECK(home.followed().at(kStream) == last_read);
-    home.Read(kStart);
-    CHECK(VerdictOf(home, 2) == claim_verdict::kGranted);
-  }
-  CHECK(home.core().figures(kStart).cuts == 0);
+    coordinator.Release(kKey, 1, kStart);
+    coordinator.CompleteAppend(kStart);
+    coordinator.Acquire(kKey, 2, kStart);
+    coordinator.CompleteAppend(kStart);
+    coordinator.ApplyRead(log.Read(kStream, last_read + 1), kStart);
+    CHECK_FALSE(coordinator.Take(2));
+    CHECK(coordinator.followed().at(kStream) == last_read);
+    coordinator.Read(kStart);
+    CHECK(VerdictOf(coordinator, 2) == claim_verdict::kGranted);
+  }
+  CHECK(coordinator.core().stats(kStart).unreadable_gaps == 0);
 }
 
 // The view changes while a claim is in the making or granted: another entry
@@ -538,22 +541,22 @@
   model_log log;
   claims_entry old_home(1, &log);
   claims_entry new_home(2, &log);
-  MakeHome(old_home, kStart);
-  old_home.Ask(kKey, 1, kStart);
+  MakeCoordinator(old_home, kStart);
+  old_home.Acquire(kKey, 1, kStart);
 
   SECTION("before the claim was read back: the old home completes it") {
-    old_home.SetHome(false, kStart);
-    MakeHome(new_home, kStart);
+    old_home.SetCoordinator(false, kStart);
+    MakeCoordinator(new_home, kStart);
     old_home.Settle(kStart);
     CHECK(VerdictOf(old_home, 1) == claim_verdict::kGranted);
-    CHECK(AskAndSettle(new_home, 1, kStart) == claim_verdict::kAlreadyRun);
+    CHECK(AcquireAndSettle(new_home, 1, kStart) == claim_verdict::kAlreadyRun);
     CHECK(old_home.followed().empty());
   }
 
   SECTION("before the new home has read the stream: it writes nothing yet") {
-    old_home.Land(kStart);
-    new_home.SetHome(true, kStart);
-    new_home.Ask(kKey, 1, kStart);
+    old_home.CompleteAppend(kStart);
+    new_home.SetCoordinator(true, kStart);
+    new_home.Acquire(kKey, 1, kStart);
     CHECK(new_home.appends().empty());
     new_home.Read(kStart);
     CHECK(VerdictOf(new_home, 1) == claim_verdict::kAlreadyRun);
@@ -563,18 +566,19 @@
   SECTION("after the grant: the old home may still release it") {
     old_home.Settle(kStart);
     REQUIRE(VerdictOf(old_home, 1) == claim_verdict::kGranted);
-    old_home.SetHome(false, kStart);
-    MakeHome(new_home, kStart);
+    old_home.SetCoordinator(false, kStart);
+    MakeCoordinator(new_home, kStart);
     const time_point later = kStart + seconds(1);
-    CHECK(AskAndSettle(new_home, 1, later) == claim_verdict::kAlreadyRun);
+    CHECK(AcquireAndSettle(new_home, 1, later) == claim_verdict::kAlreadyRun);
     old_home.Release(kKey, 1, later);
     old_home.Settle(later);
     new_home.Read(later);
-    CHECK(AskAndSettle(new_home, 2, later) == claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(new_home, 2, later) == claim_verdict::kGranted);
   }
 
   SECTION("an entry that isn't the home refuses") {
-    CHECK(AskAndSettle(new_home, 1, kStart) == claim_verdict::kLogUnavailable);
+    CHECK(AcquireAndSettle(new_home, 1, kStart) ==
+          claim_verdict::kLogUnavailable);
   }
 }
 
@@ -582,95 +586,98 @@
 // that it wasn't run; the release makes that of use: a retry runs, once.
 TEST_CASE("A granted claim is released") {
   model_log log;
-  claims_entry home(1, &log);
-  MakeHome(home, kStart);
-  REQUIRE(AskAndSettle(home, 1, kStart) == claim_verdict::kGranted);
+  claims_entry coordinator(1, &log);
+  MakeCoordinator(coordinator, kStart);
+  REQUIRE(AcquireAndSettle(coordinator, 1, kStart) == claim_verdict::kGranted);
   const time_point later = kStart + seconds(1);
 
   SECTION("and a retry runs at once, but not a third request") {
-    home.Release(kKey, 1, later);
-    CHECK(AskAndSettle(home, 2, later) == claim_verdict::kGranted);
-    CHECK(AskAndSettle(home, 3, later) == claim_verdict::kInProgress);
+    coordinator.Release(kKey, 1, later);
+    CHECK(AcquireAndSettle(coordinator, 2, later) == claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(coordinator, 3, later) ==
+          claim_verdict::kInProgress);
   }
 
   SECTION("twice: the second release doesn't free the retry's claim") {
-    home.Release(kKey, 1, later);
-    home.Settle(later);
-    REQUIRE(AskAndSettle(home, 2, later + seconds(1)) ==
+    coordinator.Release(kKey, 1, later);
+    coordinator.Settle(later);
+    REQUIRE(AcquireAndSettle(coordinator, 2, later + seconds(1)) ==
             claim_verdict::kGranted);
-    home.Release(kKey, 1, later + seconds(2));
-    home.Settle(later + seconds(2));
-    CHECK(AskAndSettle(home, 3, later + seconds(2)) ==
+    coordinator.Release(kKey, 1, later + seconds(2));
+    coordinator.Settle(later + seconds(2));
+    CHECK(AcquireAndSettle(coordinator, 3, later + seconds(2)) ==
           claim_verdict::kInProgress);
   }
 
   SECTION("after it was finished: ignored, the key has run") {
-    home.Finish(kKey, 1, later);
-    home.Release(kKey, 1, later);
-    CHECK(home.appends().empty());
+    coordinator.Finish(kKey, 1, later);
+    coordinator.Release(kKey, 1, later);
+    CHECK(coordinator.appends().empty());
   }
 
   SECTION("by another entry: ignored by all") {
     record foreign;
-    foreign.body =
-        release_claim{kKey, static_cast<incarnation>(2), home.Request(1)};
+    foreign.body = release_claim{kKey, static_cast<incarnation>(2),
+                                 coordinator.Request(1)};
     log.Append(kStream, {foreign});
-    foreign.body = release_claim{kKey, home.self(), home.Request(9)};
+    foreign.body =
+        release_claim{kKey, coordinator.self(), coordinator.Request(9)};
     log.Append(kStream, {foreign});
     claims_entry other(2, &log);
-    MakeHome(other, later);
-    CHECK(AskAndSettle(other, 1, later) == claim_verdict::kAlreadyRun);
+    MakeCoordinator(other, later);
+    CHECK(AcquireAndSettle(other, 1, later) == claim_verdict::kAlreadyRun);
   }
 }
 
 TEST_CASE("A key that tells its age is refused once it is too old") {
   model_log log;
-  claims_entry home(1, &log);
+  claims_entry coordinator(1, &log);
   const time_point made{milliseconds(0x018F00000000)};
-  MakeHome(home, made);
+  MakeCoordinator(coordinator, made);
   const claim_key key("casework/018f0000-0000-7abc-8def-0123456789ab");
-  home.Ask(key, 1, made + kWindow - milliseconds(1));
-  home.Settle(made + kWindow - milliseconds(1));
-  CHECK(VerdictOf(home, 1) == claim_verdict::kGranted);
-  home.Ask(key, 2, made + kWindow);
-  CHECK(VerdictOf(home, 2) == claim_verdict::kTooOld);
+  coordinator.Acquire(key, 1, made + kWindow - milliseconds(1));
+  coordinator.Settle(made + kWindow - milliseconds(1));
+  CHECK(VerdictOf(coordinator, 1) == claim_verdict::kGranted);
+  coordinator.Acquire(key, 2, made + kWindow);
+  CHECK(VerdictOf(coordinator, 2) == claim_verdict::kTooOld);
 
   const claim_key random("casework/018f0000-0000-4abc-8def-0123456789ab");
-  home.Ask(random, 3, made + kWindow);
-  home.Settle(made + kWindow);
-  CHECK(VerdictOf(home, 3) == claim_verdict::kGranted);
+  coordinator.Acquire(random, 3, made + kWindow);
+  coordinator.Settle(made + kWindow);
+  CHECK(VerdictOf(coordinator, 3) == claim_verdict::kGranted);
 }
 
 TEST_CASE("What the claims hold is bounded") {
   model_log log;
-  claim_options options = UnpacedOptions();
-  options.most_claims = 10;
-  options.stored_bytes = 1000;
-  claims_entry home(1, &log, options);
-  MakeHome(home, kStart);
+  claim_options options = UnthrottledOptions();
+  options.max_claims = 10;
+  options.max_stored_bytes = 1000;
+  claims_entry coordinator(1, &log, options);
+  MakeCoordinator(coordinator, kStart);
   for (std::uint64_t i = 1; i <= 10; ++i) {
     const claim_key key("k" + std::to_string(i));
-    home.Ask(key, i, kStart);
-    home.Settle(kStart);
-    home.Finish(key, i, kStart);
+    coordinator.Acquire(key, i, kStart);
+    coordinator.Settle(kStart);
+    coordinator.Finish(key, i, kStart);
   }
-  home.Tick(kStart);
-  const claim_figures full = home.core().figures(kStart);
+  coordinator.Tick(kStart);
+  const claim_stats full = coordinator.core().stats(kStart);
   CHECK(full.claims_held == 10);
-  CHECK(full.answer_bytes <= options.stored_bytes);
+  CHECK(full.answer_bytes <= options.max_stored_bytes);
   CHECK(full.answer_bytes > 0);
 
   SECTION("claims: new ones are refused, none is forgotten early") {
-    CHECK(AskAndSettle(home, 20, kStart) == claim_verdict::kLogUnavailable);
-    home.Ask(claim_key("k1"), 21, kStart);
-    CHECK(VerdictOf(home, 21) == claim_verdict::kAlreadyRun);
+    CHECK(AcquireAndSettle(coordinator, 20, kStart) ==
+          claim_verdict::kLogUnavailable);
+    coordinator.Acquire(claim_key("k1"), 21, kStart);
+    CHECK(VerdictOf(coordinator, 21) == claim_verdict::kAlreadyRun);
   }
 
   SECTION("and given back after the window") {
     const time_point later = kStart + kKept;
-    home.Tick(later);
-    CHECK(home.core().figures(later).claims_held == 0);
-    CHECK(home.core().figures(later).answer_bytes == 0);
+    coordinator.Tick(later);
+    CHECK(coordinator.core().stats(later).claims_held == 0);
+    CHECK(coordinator.core().stats(later).answer_bytes == 0);
   }
 }
 
@@ -685,15 +692,15 @@
   SECTION("and only those of a member that leaves get another") {
     for (std::uint32_t partition = 0; partition < kClaimPartitions;
          ++partition) {
-      const incarnation before = HomeOf(partition, state, {});
-      const incarnation after = HomeOf(partition, state, {gone});
+      const incarnation before = CoordinatorOf(partition, state, {});
+      const incarnation after = CoordinatorOf(partition, state, {gone});
       CHECK(after != gone);
       CHECK((before == gone || before == after));
     }
   }
 
   SECTION("and none when there is no member") {
-    CHECK(HomeOf(0, {}, {}) == incarnation::kNone);
+    CHECK(CoordinatorOf(0, {}, {}) == incarnation::kNone);
   }
 }
 
--- a/tests/core/fleet/error_budget_test.cc
+++ b/tests/core/fleet/error_budget_test.cc
@@ -11,8 +11,8 @@
 
 request_counts Counts(std::uint64_t served, std::uint64_t overload) {
   request_counts counts;
-  counts[request_fate::kServed] = served;
-  counts[request_fate::kOverload] = overload;
+  counts[slo_outcome::kServed] = served;
+  counts[slo_outcome::kOverload] = overload;
   return counts;
 }
 
@@ -29,7 +29,7 @@
 
   SECTION("not by answers that were late but whole") {
     request_counts late = Counts(0, 0);
-    late[request_fate::kLate] = 10;
+    late[slo_outcome::kLate] = 10;
     ledger.Add(kNoon, late);
     CHECK(StatusOf(petitions, ledger, kNoon).spent == 0);
   }
--- a/tests/core/requests/endpoint_health_test.cc
+++ b/tests/core/requests/endpoint_health_test.cc
@@ -28,7 +28,9 @@
     }
     return ejected;
   }
-  std::uint32_t Allowed() const { return health.Allowed(vm, now, kSlots); }
+  std::uint32_t AllowedCalls() const {
+    return health.AllowedCalls(vm, now, kSlots);
+  }
 };
 
 // A worker fails every task that it starts. It answers faster than the others,
@@ -38,23 +40,23 @@
 
   SECTION("and is ejected") {
     REQUIRE(story.FailOften());
-    CHECK(story.Allowed() == 0);
+    CHECK(story.AllowedCalls() == 0);
 
     SECTION("until it gets one request to prove itself") {
-      story.now += endpoint_health::kFirstEjection;
-      CHECK(story.Allowed() == 1);
+      story.now += endpoint_health::kInitialEjection;
+      CHECK(story.AllowedCalls() == 1);
 
       SECTION("which it answers") {
         story.health.OnSuccess(story.vm);
-        CHECK(story.Allowed() == kSlots);
+        CHECK(story.AllowedCalls() == kSlots);
       }
 
       SECTION("which it fails, and is ejected for longer") {
         CHECK(story.Fail());
-        story.now += endpoint_health::kFirstEjection;
-        CHECK(story.Allowed() == 0);
-        story.now += endpoint_health::kFirstEjection;
-        CHECK(story.Allowed() == 1);
+        story.now += endpoint_health::kInitialEjection;
+        CHECK(story.AllowedCalls() == 0);
+        story.now += endpoint_health::kInitialEjection;
+        CHECK(story.AllowedCalls() == 1);
       }
     }
   }
@@ -64,19 +66,19 @@
       CHECK_FALSE(story.Fail());
       story.health.OnSuccess(story.vm);
     }
-    CHECK(story.Allowed() == kSlots);
+    CHECK(story.AllowedCalls() == kSlots);
   }
 
   SECTION("like most others, and stays, since the fault isn't its own") {
     CHECK_FALSE(story.FailOften(kServiceSlots / 3));
-    CHECK(story.Allowed() == kSlots);
+    CHECK(story.AllowedCalls() == kSlots);
   }
 
   SECTION("for ever, and is tried at least every half minute") {
     story.FailOften();
     for (int i = 0; i < 20; ++i) {
-      story.now += endpoint_health::kLongestEjection;
-      CHECK(story.Allowed() == 1);
+      story.now += endpoint_health::kMaxEjection;
+      CHECK(story.AllowedCalls() == 1);
       CHECK(story.Fail());
     }
   }
@@ -87,7 +89,7 @@
   story.health.OnFull(story.vm, story.now + milliseconds(50));
   CHECK(story.health.IsFull(story.vm, story.now));
   CHECK_FALSE(story.health.IsFull(story.vm, story.now + milliseconds(50)));
-  CHECK(story.Allowed() == kSlots);
+  CHECK(story.AllowedCalls() == kSlots);
 }
 
 }  // namespace
--- a/tests/core/requests/endpoint_table_test.cc
+++ b/tests/core/requests/endpoint_table_test.cc
@@ -48,38 +48,38 @@
 };
 
 TEST_CASE("Every endpoint has one owner") {
-  large_fleet world;
-  const std::map<vm_id, incarnation> before = world.Owners();
+  large_fleet harness;
+  const std::map<vm_id, incarnation> before = harness.Owners();
 
   SECTION("in its own zone, when that has members") {
-    for (const vm_listing& listing : world.listings) {
+    for (const vm_listing& listing : harness.listings) {
       const incarnation owner = before.at(listing.vm);
-      CHECK(world.fleet.members.at(owner).zone == listing.zone);
+      CHECK(harness.fleet.members.at(owner).zone == listing.zone);
     }
   }
 
   SECTION("that stays when another member goes") {
-    const incarnation gone = world.fleet.members.begin()->first;
-    world.fleet.members.erase(gone);
-    for (const auto& [vm, owner] : world.Owners()) {
+    const incarnation gone = harness.fleet.members.begin()->first;
+    harness.fleet.members.erase(gone);
+    for (const auto& [vm, owner] : harness.Owners()) {
       CHECK(owner != gone);
       CHECK((owner == before.at(vm) || before.at(vm) == gone));
     }
   }
 
   SECTION("somewhere, when its zone has no member left") {
-    std::erase_if(world.fleet.members, [](const auto& member) {
+    std::erase_if(harness.fleet.members, [](const auto& member) {
       return member.second.zone == zone_id("zone-3");
     });
-    for (const auto& [vm, owner] : world.Owners()) {
+    for (const auto& [vm, owner] : harness.Owners()) {
       CHECK(owner != incarnation::kNone);
     }
   }
 
   SECTION("that isn't stopping") {
-    const incarnation stopping = world.fleet.members.begin()->first;
+    const incarnation stopping = harness.fleet.members.begin()->first;
     endpoint_table table;
-    table.Rebuild(world.fleet, world.listings, stopping, {stopping});
+    table.Rebuild(harness.fleet, harness.listings, stopping, {stopping});
     for (const auto& [name, routes] : table.services()) {
       CHECK(routes.owned.empty());
       for (const owner_share& share : routes.owners) {
@@ -87,23 +87,24 @@
       }
     }
     for (std::uint32_t part = 0; part < kClaimPartitions; ++part) {
-      CHECK(table.HomesOf(part).size() == world.fleet.members.size() - 1);
-      CHECK(table.HomesOf(part)[0] != stopping);
+      CHECK(table.CoordinatorsOf(part).size() ==
+            harness.fleet.members.size() - 1);
+      CHECK(table.CoordinatorsOf(part)[0] != stopping);
     }
   }
 }
 
 TEST_CASE("An endpoint takes new work only if nothing speaks against it") {
-  request_harness world;
-  world.AddEndpoint("runner-1", "suwon");
-  vm_state& state = world.fleet.vms[vm_id("runner-1")];
+  request_harness harness;
+  harness.AddEndpoint("runner-1", "suwon");
+  vm_state& state = harness.fleet.vms[vm_id("runner-1")];
   bool expected = false;
 
   SECTION("neither the list nor the fold") {
     expected = true;
   }
   SECTION("not the list") {
-    world.listings[0].state = vm_listing_state::kLeaving;
+    harness.listings[0].state = vm_listing_state::kLeaving;
   }
   SECTION("not the fold's phase") {
     state.phase = vm_phase::kDraining;
@@ -112,8 +113,8 @@
     state.quarantined = true;
   }
 
-  world.Rebuild();
-  const service_routes* routes = world.table.Find(kIntake);
+  harness.Rebuild();
+  const service_routes* routes = harness.table.Find(kIntake);
   REQUIRE(routes->endpoints.size() == 1);
   CHECK(routes->endpoints[0].takes_new == expected);
   CHECK(routes->slots == (expected ? 8 : 0));
--- a/tests/core/requests/golden_session_test.cc
+++ b/tests/core/requests/golden_session_test.cc
@@ -52,7 +52,7 @@
     Write(out);
   }
 
-  void Pass(duration time) { now_ += time; }
+  void AdvanceTime(duration time) { now_ += time; }
 
   /// Records come in as if read from the control stream.
   void Fold(std::vector<record_body> bodies) {
@@ -97,7 +97,7 @@
   const fleet_state& fleet() const { return fleet_; }
   bool idle() const { return core_.Idle(); }
   std::string str() const { return text_.str(); }
-  claim_question last_question;
+  claim_command last_question;
 
  private:
   routing_context Context() const {
@@ -131,9 +131,9 @@
     for (const action& item : out.actions) {
       text_.Out(Text(item));
     }
-    for (claim_question& question : core_.TakeClaimQuestions()) {
-      text_.Out(Text(question));
-      last_question = std::move(question);
+    for (claim_command& command : core_.TakeClaimCommands()) {
+      text_.Out(Text(command));
+      last_question = std::move(command);
     }
   }
 
@@ -187,7 +187,7 @@
   session.Title("A request is served here, the next by the other entry");
   session.Arrive(1, "GET", "/petitions/7");
   session.Arrive(2, "GET", "/petitions/8");
-  session.Pass(milliseconds(15));
+  session.AdvanceTime(milliseconds(15));
   session.Reply(1, "petition 7");
   forward_reply reply;
   reply.id = {kSelf, 1};
@@ -202,9 +202,9 @@
   claim_decision granted;
   granted.request = session.last_question.request;
   granted.verdict = claim_verdict::kGranted;
-  session.Pass(milliseconds(70));
+  session.AdvanceTime(milliseconds(70));
   session.Decide(granted);
-  session.Pass(milliseconds(15));
+  session.AdvanceTime(milliseconds(15));
   session.Reply(2, "appeal logged");
 
   session.Title("An endpoint is lost under an appeal without a key");
@@ -226,7 +226,7 @@
   drain.reason = "wave";
   session.Fold({drain});
   session.Arrive(6, "GET", "/petitions/10");
-  session.Pass(milliseconds(10));
+  session.AdvanceTime(milliseconds(10));
   session.Reply(4, "petition 9");
 
   session.Title("The other entry is lost: idempotent work finds no one else");
