--- a/tests/core/requests/owner_loads_test.cc
+++ b/tests/core/requests/owner_loads_test.cc
@@ -10,25 +10,25 @@
 namespace {
 
 struct routing_story {
-  request_harness world;
+  request_harness harness;
   owner_loads loads;
   random_source random{1};
   service_load own;
   std::vector<incarnation> avoid;
 
   routing_story() {
-    world.AddMember(kPeer, "goyang");
-    world.AddMember(kOther, "seongnam");
-    world.AddEndpoint("runner-2", "goyang");
-    world.AddEndpoint("runner-3", "seongnam");
+    harness.AddMember(kPeer, "goyang");
+    harness.AddMember(kOther, "seongnam");
+    harness.AddEndpoint("runner-2", "goyang");
+    harness.AddEndpoint("runner-3", "seongnam");
   }
 
   std::map<incarnation, int> Draw(int times) {
-    world.table.Rebuild(world.fleet, world.listings, kSelf, {});
+    harness.table.Rebuild(harness.fleet, harness.listings, kSelf, {});
     std::map<incarnation, int> drawn;
     for (int i = 0; i < times; ++i) {
-      const auto owner = loads.Choose(*world.table.Find(kIntake), own,
-                                      world.Context(), avoid, random);
+      const auto owner = loads.Choose(*harness.table.Find(kIntake), own,
+                                      harness.Context(), avoid, random);
       drawn[owner.value_or(incarnation::kNone)] += 1;
     }
     return drawn;
@@ -50,7 +50,7 @@
   }
 
   SECTION("this entry first, while it has a free slot") {
-    story.world.AddEndpoint("runner-1", "suwon");
+    story.harness.AddEndpoint("runner-1", "suwon");
     story.own = {kIntake, 8, 7, 0};
     CHECK(story.Draw(10).at(kSelf) == 10);
     story.own.busy = 8;
@@ -73,24 +73,25 @@
   }
 
   SECTION("the one in this entry's zone when they tie") {
-    story.world.fleet.members[kPeer].zone = zone_id("suwon");
-    story.world.listings[0].zone = zone_id("suwon");
-    story.world.fleet.members.erase(kSelf);
-    story.world.fleet.members[kSelf].zone = zone_id("suwon");
+    story.harness.fleet.members[kPeer].zone = zone_id("suwon");
+    story.harness.listings[0].zone = zone_id("suwon");
+    story.harness.fleet.members.erase(kSelf);
+    story.harness.fleet.members[kSelf].zone = zone_id("suwon");
     // Owned by the peer as the only other member of the zone is this entry.
-    story.world.stopping = {kSelf};
-    story.world.table.Rebuild(story.world.fleet, story.world.listings, kSelf,
-                              {kSelf});
+    story.harness.stopping = {kSelf};
+    story.harness.table.Rebuild(story.harness.fleet, story.harness.listings,
+                                kSelf, {kSelf});
     std::map<incarnation, int> drawn;
     for (int i = 0; i < 1000; ++i) {
-      drawn[*story.loads.Choose(*story.world.table.Find(kIntake), story.own,
-                                story.world.Context(), {}, story.random)] += 1;
+      drawn[*story.loads.Choose(*story.harness.table.Find(kIntake), story.own,
+                                story.harness.Context(), {}, story.random)] +=
+          1;
     }
     CHECK(drawn[kPeer] == 1000);
   }
 
   SECTION("never a suspect or one that was tried") {
-    story.world.suspects = {kPeer};
+    story.harness.suspects = {kPeer};
     CHECK(story.Draw(100).at(kOther) == 100);
     story.avoid = {kOther};
     CHECK(story.Draw(100).at(incarnation::kNone) == 100);
@@ -101,7 +102,7 @@
 // suspect it, each request sent to it would be lost as well.
 TEST_CASE("An owner whose connection was lost isn't chosen") {
   routing_story story;
-  story.loads.OnLost(kPeer);
+  story.loads.OnDisconnected(kPeer);
   CHECK(story.Draw(100).at(kOther) == 100);
 
   SECTION("until it is heard again") {
@@ -110,21 +111,21 @@
   }
 
   SECTION("and is forgotten once it is no member") {
-    story.world.fleet.members.erase(kPeer);
-    story.loads.Prune(story.world.fleet);
-    CHECK_FALSE(story.loads.IsLost(kPeer));
+    story.harness.fleet.members.erase(kPeer);
+    story.loads.Prune(story.harness.fleet);
+    CHECK_FALSE(story.loads.IsDisconnected(kPeer));
   }
 }
 
 TEST_CASE("Owners report slots that are out of use") {
   routing_story story;
   story.Draw(1);
-  const service_routes& routes = *story.world.table.Find(kIntake);
-  CHECK(story.loads.LostSlots(routes) == 0);
+  const service_routes& routes = *story.harness.table.Find(kIntake);
+  CHECK(story.loads.UnavailableSlots(routes) == 0);
   story.loads.OnReport(kPeer, {{kIntake, 3, 0, 0}});
-  CHECK(story.loads.LostSlots(routes) == 5);
-  story.loads.OnLost(kPeer);
-  CHECK(story.loads.LostSlots(routes) == 0);
+  CHECK(story.loads.UnavailableSlots(routes) == 5);
+  story.loads.OnDisconnected(kPeer);
+  CHECK(story.loads.UnavailableSlots(routes) == 0);
 }
 
 }  // namespace
--- a/tests/core/requests/request_cluster.h
+++ b/tests/core/requests/request_cluster.h
@@ -16,7 +16,7 @@
 namespace plantainhead::core {
 
 /// Thrown as soon as a rule is broken.
-struct rule_broken : std::runtime_error {
+struct invariant_violation : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -44,7 +44,7 @@
       listing.slots = kSlots;
       listings_.push_back(listing);
     }
-    ShowView();
+    PublishView();
   }
 
   void Arrive(std::size_t at, std::size_t kind) {
@@ -67,7 +67,7 @@
     });
   }
 
-  void HangUp(std::size_t at, std::size_t which) {
+  void DisconnectCaller(std::size_t at, std::size_t which) {
     if (arrivals_.empty()) {
       return;
     }
@@ -88,7 +88,7 @@
       link.pop_front();
     }
     Run(to, [&](entry& where, effects& out) {
-      Hand(where, entries_[from]->who, message, out);
+      DeliverMessage(where, entries_[from]->who, message, out);
     });
   }
 
@@ -100,7 +100,7 @@
     links_[{to, from}].clear();
     for (const auto& [at, peer] : {std::pair(from, to), std::pair(to, from)}) {
       entries_[at]->lost.push_back(entries_[peer]->who);
-      TellLost(at);
+      ReportDisconnects(at);
     }
   }
 
@@ -155,21 +155,21 @@
   /// The log gets to the oldest question of an entry; `out` says it can't.
   void Claim(std::size_t at, bool out_of_reach) {
     entry& where = *entries_[at];
-    if (where.questions.empty() || where.frozen) {
+    if (where.claim_commands.empty() || where.frozen) {
       return;
     }
-    const claim_question question = where.questions.front();
-    where.questions.pop_front();
+    const claim_command command = where.claim_commands.front();
+    where.claim_commands.pop_front();
     claim_decision decision;
-    decision.request = question.request;
-    const auto holder = claims_.find(question.key);
-    if (question.need == claim_need::kRelease) {
-      if (holder != claims_.end() && holder->second == question.request) {
+    decision.request = command.request;
+    const auto holder = claims_.find(command.key);
+    if (command.operation == claim_operation::kRelease) {
+      if (holder != claims_.end() && holder->second == command.request) {
         claims_.erase(holder);
       }
       return;
     }
-    if (question.need == claim_need::kFinished) {
+    if (command.operation == claim_operation::kComplete) {
       return;
     }
     if (out_of_reach) {
@@ -178,7 +178,7 @@
       decision.verdict = claim_verdict::kAlreadyRun;
     } else {
       decision.verdict = claim_verdict::kGranted;
-      claims_[question.key] = question.request;
+      claims_[command.key] = command.request;
     }
     Run(at, [&](entry& to, effects& out) {
       to.core.OnClaimDecision(decision, Context(to), now_, out);
@@ -186,7 +186,7 @@
   }
 
   /// Time passes for all; a frozen entry does nothing with it.
-  void Pass(duration time) {
+  void AdvanceTime(duration time) {
     now_ += time;
     for (std::size_t at = 0; at < kEntries; ++at) {
       Run(at, [&](entry& where, effects& out) {
@@ -198,7 +198,7 @@
   /// A frozen entry learns what was lost when it wakes up.
   void Freeze(std::size_t at, bool frozen) {
     entries_[at]->frozen = frozen;
-    TellLost(at);
+    ReportDisconnects(at);
   }
 
   /// A member leaves the view or comes back. Frozen entries learn it later.
@@ -207,7 +207,7 @@
       AddMember(who);
     }
     fleet_.view += 1;
-    ShowView();
+    PublishView();
   }
 
   void ChangeListing(std::size_t which) {
@@ -215,7 +215,7 @@
     listing.state = listing.state == vm_listing_state::kLive
                         ? vm_listing_state::kLeaving
                         : vm_listing_state::kLive;
-    ShowView();
+    PublishView();
   }
 
   /// Lets everything end, and checks that each arrival was answered.
@@ -231,7 +231,7 @@
         }
       }
       EndCall(0, 0);
-      Pass(milliseconds(200));
+      AdvanceTime(milliseconds(200));
     }
     while (!calls_.empty()) {
       EndCall(0, 0);
@@ -241,7 +241,7 @@
     }
     for (const auto& where : entries_) {
       if (!where->core.Idle()) {
-        throw rule_broken("an entry still holds a request");
+        throw invariant_violation("an entry still holds a request");
       }
     }
   }
@@ -254,7 +254,7 @@
     request_core core;
     endpoint_table table;
     std::set<incarnation> suspects;
-    std::deque<claim_question> questions;
+    std::deque<claim_command> claim_commands;
     std::map<vm_id, std::uint32_t> in_flight;
     /// Peers whose loss it has not been told.
     std::vector<incarnation> lost;
@@ -278,7 +278,7 @@
 
   static void Require(bool holds, const char* rule, const arrival& item) {
     if (!holds) {
-      throw rule_broken(std::string(rule) + ": " + item.envelope.path);
+      throw invariant_violation(std::string(rule) + ": " + item.envelope.path);
     }
   }
 
@@ -289,7 +289,7 @@
     fleet_.members[member.who] = member;
   }
 
-  void ShowView() {
+  void PublishView() {
     for (std::size_t at = 0; at < kEntries; ++at) {
       if (entries_[at]->frozen) {
         continue;
@@ -305,10 +305,10 @@
     return {fleet_, where.table, where.suspects, where.who, true};
   }
 
-  void Hand(entry& where,
-            incarnation from,
-            const peer_message& message,
-            effects& out) {
+  void DeliverMessage(entry& where,
+                      incarnation from,
+                      const peer_message& message,
+                      effects& out) {
     std::visit(
         overloaded{[&](const forward_request& item) {
                      where.core.OnForward(from, item, Context(where), now_,
@@ -324,7 +324,7 @@
         message);
   }
 
-  void TellLost(std::size_t at) {
+  void ReportDisconnects(std::size_t at) {
     if (entries_[at]->frozen) {
       return;
     }
@@ -343,8 +343,8 @@
     }
     effects out;
     step(where, out);
-    for (claim_question& question : where.core.TakeClaimQuestions()) {
-      where.questions.push_back(std::move(question));
+    for (claim_command& command : where.core.TakeClaimCommands()) {
+      where.claim_commands.push_back(std::move(command));
     }
     for (const action& item : out.actions) {
       std::visit(overloaded{[&](const answer_caller& done) { Check(done); },
--- a/tests/core/requests/request_core_claims_test.cc
+++ b/tests/core/requests/request_core_claims_test.cc
@@ -5,59 +5,62 @@
 namespace plantainhead::core {
 namespace {
 
-/// Returns a key whose first home is `home`.
-std::string KeyOf(const request_harness& world, incarnation home) {
+/// Returns a key whose first home is `coordinator`.
+std::string KeyCoordinatedBy(const request_harness& harness,
+                             incarnation coordinator) {
   for (int i = 0;; ++i) {
     const std::string key = "appeal-" + std::to_string(i);
-    if (world.table.HomesOf(PartitionOf(claim_key(key))).at(0) == home) {
+    if (harness.table.CoordinatorsOf(PartitionOf(claim_key(key))).at(0) ==
+        coordinator) {
       return key;
     }
   }
 }
 
-claim_question OnlyQuestion(request_harness& world) {
-  const std::vector<claim_question> questions = world.core.TakeClaimQuestions();
-  REQUIRE(questions.size() == 1);
-  return questions[0];
+claim_command OnlyClaimCommand(request_harness& harness) {
+  const std::vector<claim_command> claim_commands =
+      harness.core.TakeClaimCommands();
+  REQUIRE(claim_commands.size() == 1);
+  return claim_commands[0];
 }
 
 TEST_CASE("A request with a key is claimed before it is sent") {
-  request_harness world;
-  world.AddEndpoint("runner-1", "suwon");
-  world.Rebuild();
-  world.Arrive(world.WithKey("appeal"));
-  CHECK(world.out.actions.empty());
-  const claim_question asked = OnlyQuestion(world);
-  CHECK(asked.need == claim_need::kAsk);
+  request_harness harness;
+  harness.AddEndpoint("runner-1", "suwon");
+  harness.Rebuild();
+  harness.Arrive(harness.WithKey("appeal"));
+  CHECK(harness.out.actions.empty());
+  const claim_command asked = OnlyClaimCommand(harness);
+  CHECK(asked.operation == claim_operation::kAcquire);
 
   SECTION("and sent once the claim is granted") {
-    world.Decide(asked.request, claim_verdict::kGranted);
-    REQUIRE(world.Calls().size() == 1);
-    const call_id call = world.Calls()[0].call;
+    harness.Decide(asked.request, claim_verdict::kGranted);
+    REQUIRE(harness.Calls().size() == 1);
+    const call_id call = harness.Calls()[0].call;
 
     SECTION("whose answer is kept for a retry") {
-      world.Reply(call);
-      CHECK(world.Answer().result == outcome::kDone);
-      const claim_question finished = OnlyQuestion(world);
-      CHECK(finished.need == claim_need::kFinished);
+      harness.Reply(call);
+      CHECK(harness.Answer().result == outcome::kDone);
+      const claim_command finished = OnlyClaimCommand(harness);
+      CHECK(finished.operation == claim_operation::kComplete);
       CHECK(finished.answer->result == outcome::kDone);
     }
 
     SECTION("and a second grant does nothing") {
-      world.Decide(asked.request, claim_verdict::kGranted);
-      CHECK(world.out.actions.empty());
+      harness.Decide(asked.request, claim_verdict::kGranted);
+      CHECK(harness.out.actions.empty());
     }
 
     SECTION("and a surely unsent one gives the claim back") {
-      world.Fail(call, endpoint_failure::kNotSent);
-      CHECK(world.Answer().result == outcome::kNotRun);
-      CHECK(OnlyQuestion(world).need == claim_need::kRelease);
+      harness.Fail(call, endpoint_failure::kNotSent);
+      CHECK(harness.Answer().result == outcome::kNotRun);
+      CHECK(OnlyClaimCommand(harness).operation == claim_operation::kRelease);
     }
 
     SECTION("and one that may have run keeps it") {
-      world.Fail(call, endpoint_failure::kMaybeSent);
-      CHECK(world.Answer().result == outcome::kUnknown);
-      CHECK(OnlyQuestion(world).need == claim_need::kFinished);
+      harness.Fail(call, endpoint_failure::kMaybeSent);
+      CHECK(harness.Answer().result == outcome::kUnknown);
+      CHECK(OnlyClaimCommand(harness).operation == claim_operation::kComplete);
     }
   }
 
@@ -76,59 +79,59 @@
                              answer_reason::kKeyTooOld},
                  expectation{claim_verdict::kLogUnavailable, outcome::kNotRun,
                              answer_reason::kLogUnavailable});
-    world.Decide(asked.request, expected.verdict);
-    CHECK(world.Answer().result == expected.result);
-    CHECK(world.Answer().reason == expected.reason);
-    CHECK(world.core.TakeClaimQuestions().empty());
+    harness.Decide(asked.request, expected.verdict);
+    CHECK(harness.Answer().result == expected.result);
+    CHECK(harness.Answer().reason == expected.reason);
+    CHECK(harness.core.TakeClaimCommands().empty());
   }
 
   SECTION("or answered with the stored answer") {
     response stored;
     stored.status = 201;
     stored.result = outcome::kDone;
-    world.out = {};
-    world.core.OnClaimDecision(
+    harness.out = {};
+    harness.core.OnClaimDecision(
         {asked.request, claim_verdict::kStoredAnswer, stored, {}},
-        world.Context(), world.now, world.out);
-    CHECK(world.Answer().status == 201);
-    CHECK(world.Calls().empty());
+        harness.Context(), harness.now, harness.out);
+    CHECK(harness.Answer().status == 201);
+    CHECK(harness.Calls().empty());
   }
 
   // The caller's time is up while the log is slow; the claim is granted later.
   // Without the release its retry would be refused although nothing ran.
   SECTION("and a grant that comes after the deadline is released") {
-    world.Tick(seconds(3));
-    CHECK(world.Answer().result == outcome::kNotRun);
-    CHECK(world.Answer().reason == answer_reason::kDeadline);
-    CHECK(world.core.TakeClaimQuestions().empty());
-    world.Decide(asked.request, claim_verdict::kGranted);
-    CHECK(world.Calls().empty());
-    CHECK(OnlyQuestion(world).need == claim_need::kRelease);
+    harness.Tick(seconds(3));
+    CHECK(harness.Answer().result == outcome::kNotRun);
+    CHECK(harness.Answer().reason == answer_reason::kDeadline);
+    CHECK(harness.core.TakeClaimCommands().empty());
+    harness.Decide(asked.request, claim_verdict::kGranted);
+    CHECK(harness.Calls().empty());
+    CHECK(OnlyClaimCommand(harness).operation == claim_operation::kRelease);
   }
 }
 
 TEST_CASE("A request with a key goes to the key's home") {
-  request_harness world;
-  world.AddMember(kPeer, "goyang");
-  world.AddEndpoint("runner-1", "suwon");
-  world.Rebuild();
+  request_harness harness;
+  harness.AddMember(kPeer, "goyang");
+  harness.AddEndpoint("runner-1", "suwon");
+  harness.Rebuild();
 
   SECTION("on another entry, which answers") {
-    world.Arrive(world.WithKey(KeyOf(world, kPeer)));
-    const auto sent = Sent<forward_request>(world.out, kPeer);
+    harness.Arrive(harness.WithKey(KeyCoordinatedBy(harness, kPeer)));
+    const auto sent = Sent<forward_request>(harness.out, kPeer);
     REQUIRE(sent.size() == 1);
     CHECK(sent[0].stage == forward_stage::kClaim);
 
     // The home may have claimed and sent it before it was lost. The log tells:
     // the next home is refused if the key was claimed.
     SECTION("or is lost, and the next home claims it") {
-      world.Disconnect(kPeer);
-      const claim_question asked = OnlyQuestion(world);
-      CHECK(asked.need == claim_need::kAsk);
+      harness.Disconnect(kPeer);
+      const claim_command asked = OnlyClaimCommand(harness);
+      CHECK(asked.operation == claim_operation::kAcquire);
 
       SECTION("whose refusal by the log isn't not-run") {
-        world.Decide(asked.request, claim_verdict::kLogUnavailable);
-        CHECK(world.Answer().result == outcome::kUnknown);
+        harness.Decide(asked.request, claim_verdict::kLogUnavailable);
+        CHECK(harness.Answer().result == outcome::kUnknown);
       }
     }
 
@@ -136,30 +139,32 @@
       response stopping;
       stopping.result = outcome::kNotRun;
       stopping.reason = answer_reason::kStopping;
-      world.PeerReply(kPeer, sent[0].id, stopping);
-      CHECK(OnlyQuestion(world).need == claim_need::kAsk);
+      harness.PeerReply(kPeer, sent[0].id, stopping);
+      CHECK(OnlyClaimCommand(harness).operation == claim_operation::kAcquire);
     }
   }
 
   SECTION("which is this entry, for a request of another") {
-    const request_id id = world.Receive(
-        kPeer, world.WithKey(KeyOf(world, kSelf)), forward_stage::kClaim);
-    const claim_question asked = OnlyQuestion(world);
-    world.Decide(asked.request, claim_verdict::kGranted);
-    REQUIRE(world.Calls().size() == 1);
-    world.Reply(world.Calls()[0].call);
-    const auto replies = Sent<forward_reply>(world.out, kPeer);
+    const request_id id = harness.Receive(
+        kPeer, harness.WithKey(KeyCoordinatedBy(harness, kSelf)),
+        forward_stage::kClaim);
+    const claim_command asked = OnlyClaimCommand(harness);
+    harness.Decide(asked.request, claim_verdict::kGranted);
+    REQUIRE(harness.Calls().size() == 1);
+    harness.Reply(harness.Calls()[0].call);
+    const auto replies = Sent<forward_reply>(harness.out, kPeer);
     REQUIRE(replies.size() == 1);
     CHECK(replies[0].id == id);
   }
 
   SECTION("and a frame that comes twice is claimed once") {
-    const request_envelope envelope = world.WithKey(KeyOf(world, kSelf));
-    world.Receive(kPeer, envelope, forward_stage::kClaim);
-    CHECK(world.core.TakeClaimQuestions().size() == 1);
-    world.last_peer_forward -= 1;
-    world.Receive(kPeer, envelope, forward_stage::kClaim);
-    CHECK(world.core.TakeClaimQuestions().empty());
+    const request_envelope envelope =
+        harness.WithKey(KeyCoordinatedBy(harness, kSelf));
+    harness.Receive(kPeer, envelope, forward_stage::kClaim);
+    CHECK(harness.core.TakeClaimCommands().size() == 1);
+    harness.last_peer_forward -= 1;
+    harness.Receive(kPeer, envelope, forward_stage::kClaim);
+    CHECK(harness.core.TakeClaimCommands().empty());
   }
 }
 
--- a/tests/core/requests/request_core_property_test.cc
+++ b/tests/core/requests/request_core_property_test.cc
@@ -36,14 +36,14 @@
   } else if (kind < 15) {
     cluster.Claim(at, choice % 8 == 0);
   } else if (kind == 15) {
-    cluster.Pass(milliseconds(20 + choice % 4 * 30));
+    cluster.AdvanceTime(milliseconds(20 + choice % 4 * 30));
   } else if (kind == 16) {
     cluster.Disconnect(at, other);
   } else if (kind == 17) {
     cluster.Suspect(at, other, choice % 2 == 0);
   } else if (kind == 18) {
     cluster.Freeze(at, choice % 3 == 0);
-    cluster.HangUp(other, choice);
+    cluster.DisconnectCaller(other, choice);
   } else if (choice % 2 == 0) {
     cluster.ChangeView(at);
   } else {
--- a/tests/core/requests/request_core_test.cc
+++ b/tests/core/requests/request_core_test.cc
@@ -8,63 +8,63 @@
 namespace {
 
 TEST_CASE("A caller's request is served by an endpoint of this entry") {
-  request_harness world;
-  world.AddEndpoint("runner-1", "suwon");
-  world.Rebuild();
-  const std::uint64_t sequence = world.Arrive(world.Envelope());
-  REQUIRE(world.Calls().size() == 1);
-  const call_endpoint call = world.Calls()[0];
+  request_harness harness;
+  harness.AddEndpoint("runner-1", "suwon");
+  harness.Rebuild();
+  const std::uint64_t sequence = harness.Arrive(harness.Envelope());
+  REQUIRE(harness.Calls().size() == 1);
+  const call_endpoint call = harness.Calls()[0];
   CHECK(call.vm == vm_id("runner-1"));
 
   SECTION("whose whole answer goes to the caller") {
-    world.Reply(call.call, 201);
+    harness.Reply(call.call, 201);
 
-    const auto answers = All<answer_caller>(world.out);
+    const auto answers = All<answer_caller>(harness.out);
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].sequence == sequence);
     CHECK(answers[0].answer.status == 201);
     CHECK(answers[0].answer.result == outcome::kDone);
     CHECK(*answers[0].answer.body == "whole answer");
-    CHECK(world.core.Idle());
+    CHECK(harness.core.Idle());
 
     SECTION("and a second answer to the same call meets no one") {
-      world.Reply(call.call, 500);
-      CHECK(world.out.actions.empty());
+      harness.Reply(call.call, 500);
+      CHECK(harness.out.actions.empty());
     }
   }
 }
 
 TEST_CASE("A caller's request is served by another entry's endpoint") {
-  request_harness world;
-  world.AddMember(kPeer, "goyang");
-  world.AddEndpoint("runner-1", "goyang");
-  world.Rebuild();
-  world.Arrive(world.Envelope());
+  request_harness harness;
+  harness.AddMember(kPeer, "goyang");
+  harness.AddEndpoint("runner-1", "goyang");
+  harness.Rebuild();
+  harness.Arrive(harness.Envelope());
 
-  const auto forwards = Sent<forward_request>(world.out, kPeer);
+  const auto forwards = Sent<forward_request>(harness.out, kPeer);
   REQUIRE(forwards.size() == 1);
   CHECK(forwards[0].stage == forward_stage::kDispatch);
   CHECK(forwards[0].id.entry == kSelf);
-  CHECK(world.Calls().empty());
+  CHECK(harness.Calls().empty());
 
   response done;
   done.status = 200;
   done.result = outcome::kDone;
-  world.PeerReply(kPeer, forwards[0].id, done);
-  CHECK(world.Answer().result == outcome::kDone);
-  CHECK(world.core.Idle());
+  harness.PeerReply(kPeer, forwards[0].id, done);
+  CHECK(harness.Answer().result == outcome::kDone);
+  CHECK(harness.core.Idle());
 }
 
 TEST_CASE("Another entry's request is served by an endpoint of this entry") {
-  request_harness world;
-  world.AddMember(kPeer, "goyang");
-  world.AddEndpoint("runner-1", "suwon");
-  world.Rebuild();
-  const request_id id = world.Receive(kPeer, world.Envelope());
-  REQUIRE(world.Calls().size() == 1);
-
-  world.Reply(world.Calls()[0].call);
-  const auto replies = Sent<forward_reply>(world.out, kPeer);
+  request_harness harness;
+  harness.AddMember(kPeer, "goyang");
+  harness.AddEndpoint("runner-1", "suwon");
+  harness.Rebuild();
+  const request_id id = harness.Receive(kPeer, harness.Envelope());
+  REQUIRE(harness.Calls().size() == 1);
+
+  harness.Reply(harness.Calls()[0].call);
+  const auto replies = Sent<forward_reply>(harness.out, kPeer);
   REQUIRE(replies.size() == 1);
   CHECK(replies[0].id == id);
   CHECK(replies[0].answer.result == outcome::kDone);
@@ -73,9 +73,9 @@
 }
 
 TEST_CASE("A request that can't be taken is answered at once") {
-  request_harness world;
-  world.AddEndpoint("runner-1", "suwon");
-  request_envelope envelope = world.Envelope();
+  request_harness harness;
+  harness.AddEndpoint("runner-1", "suwon");
+  request_envelope envelope = harness.Envelope();
   int status = 0;
   answer_reason reason = answer_reason::kNone;
 
@@ -95,19 +95,19 @@
     reason = answer_reason::kUnknownClass;
   }
   SECTION("since the entry isn't ready") {
-    world.ready = false;
+    harness.ready = false;
     status = 503;
     reason = answer_reason::kNotReady;
   }
   SECTION("since the service has no endpoint") {
-    world.listings.clear();
+    harness.listings.clear();
     status = 503;
     reason = answer_reason::kNoEndpoint;
   }
 
-  world.Rebuild();
-  world.Arrive(envelope);
-  const response answer = world.Answer();
+  harness.Rebuild();
+  harness.Arrive(envelope);
+  const response answer = harness.Answer();
   CHECK(answer.status == status);
   CHECK(answer.reason == reason);
   CHECK(answer.result == outcome::kNotRun);
@@ -118,27 +118,27 @@
 }
 
 TEST_CASE("A request may leave out the only class of its service") {
-  request_harness world;
-  world.fleet.targets.classes.pop_back();
-  world.AddEndpoint("runner-1", "suwon");
-  world.Rebuild();
-  request_envelope envelope = world.Envelope();
+  request_harness harness;
+  harness.fleet.targets.classes.pop_back();
+  harness.AddEndpoint("runner-1", "suwon");
+  harness.Rebuild();
+  request_envelope envelope = harness.Envelope();
   envelope.work = class_name();
-  world.Arrive(envelope);
-  REQUIRE(world.Calls().size() == 1);
-  CHECK(world.Calls()[0].envelope.work == kUrgent);
+  harness.Arrive(envelope);
+  REQUIRE(harness.Calls().size() == 1);
+  CHECK(harness.Calls()[0].envelope.work == kUrgent);
 }
 
 TEST_CASE("Requests beyond the slots wait, and beyond their time are refused") {
-  request_harness world;
-  world.AddEndpoint("runner-1", "suwon", 2);
-  world.Rebuild();
+  request_harness harness;
+  harness.AddEndpoint("runner-1", "suwon", 2);
+  harness.Rebuild();
   std::size_t calls = 0;
   std::size_t refused = 0;
   for (int i = 0; i < 2000; ++i) {
-    world.Arrive(world.Envelope());
-    calls += world.Calls().size();
-    for (const answer_caller& answer : All<answer_caller>(world.out)) {
+    harness.Arrive(harness.Envelope());
+    calls += harness.Calls().size();
+    for (const answer_caller& answer : All<answer_caller>(harness.out)) {
       refused += 1;
       CHECK(answer.answer.status == 429);
       CHECK(answer.answer.result == outcome::kNotRun);
@@ -148,7 +148,7 @@
   CHECK(calls == 2);
   CHECK(refused > 1000);
   const std::vector<service_load> load =
-      world.core.Load(world.Context(), world.now);
+      harness.core.Load(harness.Context(), harness.now);
   REQUIRE(load.size() == 1);
   CHECK(load[0].busy == 2);
   CHECK(load[0].queued == 2000 - 2 - refused);
--- a/tests/core/requests/request_meter_test.cc
+++ b/tests/core/requests/request_meter_test.cc
@@ -30,7 +30,7 @@
 TEST_CASE("An entry counts what became of its callers' requests") {
   request_meter meter;
   meter.OnArrival(1, Petitions(), kStart);
-  const auto count = [&](request_fate fate) {
+  const auto count = [&](slo_outcome fate) {
     const auto classes = meter.Classes();
     return classes.empty() ? 0 : classes.front().counts[fate];
   };
@@ -38,22 +38,22 @@
   SECTION("served in time") {
     meter.OnAnswer({1, Answer(outcome::kDone, answer_reason::kNone)}, false,
                    kStart + std::chrono::milliseconds(20));
-    CHECK(count(request_fate::kServed) == 1);
+    CHECK(count(slo_outcome::kServed) == 1);
   }
   SECTION("served too late") {
     meter.OnAnswer({1, Answer(outcome::kDone, answer_reason::kNone)}, false,
                    kStart + std::chrono::seconds(1));
-    CHECK(count(request_fate::kLate) == 1);
+    CHECK(count(slo_outcome::kLate) == 1);
   }
   SECTION("refused while maintenance keeps VMs from work") {
     meter.OnAnswer({1, Answer(outcome::kNotRun, answer_reason::kOverload)},
                    true, kStart);
-    CHECK(count(request_fate::kMaintenance) == 1);
+    CHECK(count(slo_outcome::kMaintenance) == 1);
   }
   SECTION("lost with an endpoint") {
     meter.OnAnswer({1, Answer(outcome::kUnknown, answer_reason::kEndpointLost)},
                    true, kStart);
-    CHECK(count(request_fate::kFailure) == 1);
+    CHECK(count(slo_outcome::kFailure) == 1);
   }
   SECTION("wrong, which costs no budget") {
     meter.OnAnswer({1, Answer(outcome::kNotRun, answer_reason::kUnknownClass)},
@@ -76,8 +76,8 @@
   const auto report = [&](std::uint64_t served, std::uint64_t overload,
                           std::uint64_t finished, time_point at) {
     request_counts counts;
-    counts[request_fate::kServed] = served;
-    counts[request_fate::kOverload] = overload;
+    counts[slo_outcome::kServed] = served;
+    counts[slo_outcome::kOverload] = overload;
     meter.Observe(entry, {{kPetitions, counts}},
                   {{kIntake, finished,
                     static_cast<std::int64_t>(finished) *
--- a/tests/core/requests/request_queue_test.cc
+++ b/tests/core/requests/request_queue_test.cc
@@ -141,31 +141,31 @@
 // of the tight class would wait behind them.
 TEST_CASE("Overload leaves the goodput and the tight class alone") {
   const double load = GENERATE(2.0, 5.0);
-  overload_world world;
-  world.Run(load, 0.1, 0, seconds(60));
+  overload_world harness;
+  harness.Run(load, 0.1, 0, seconds(60));
 
   INFO("load " << load);
-  CHECK(world.InTime() >= 0.95 * overload_world::kCapacity * 60);
-  const auto& tight = world.by_class[kTight.name];
+  CHECK(harness.InTime() >= 0.95 * overload_world::kCapacity * 60);
+  const auto& tight = harness.by_class[kTight.name];
   CHECK(tight.in_time >= kTight.served * tight.offered);
-  const auto& loose = world.by_class[kLoose.name];
+  const auto& loose = harness.by_class[kLoose.name];
   CHECK(loose.late <= 0.01 * loose.in_time);
   CHECK(loose.refused_later <= 0.05 * loose.refused_at_once);
 }
 
 TEST_CASE("Work that can wait finishes under overload of the others") {
-  overload_world world;
-  world.Run(3.0, 0.1, 0.01, seconds(60));
-  const auto& waits = world.by_class[kWaits.name];
+  overload_world harness;
+  harness.Run(3.0, 0.1, 0.01, seconds(60));
+  const auto& waits = harness.by_class[kWaits.name];
   CHECK(waits.in_time >= 0.9 * waits.offered);
-  const auto& tight = world.by_class[kTight.name];
+  const auto& tight = harness.by_class[kTight.name];
   CHECK(tight.in_time >= kTight.served * tight.offered);
 }
 
 TEST_CASE("Nothing is refused while there is capacity") {
-  overload_world world;
-  world.Run(0.7, 0.3, 0.2, seconds(30));
-  for (const auto& [name, count] : world.by_class) {
+  overload_world harness;
+  harness.Run(0.7, 0.3, 0.2, seconds(30));
+  for (const auto& [name, count] : harness.by_class) {
     INFO(name.value());
     CHECK(count.refused_at_once + count.refused_later == 0);
     CHECK(count.late <= 0.001 * count.offered);
@@ -179,7 +179,7 @@
   std::uint64_t last = 0;
   const auto add = [&](const work_class& work, duration age = {}) {
     last += 1;
-    queue.PutBack({last, now - age, now + seconds(900)}, work);
+    queue.Requeue({last, now - age, now + seconds(900)}, work);
     return last;
   };
 
@@ -223,7 +223,7 @@
       turn += 1;
     }
     CHECK(turn > 1);
-    CHECK(turn <= 1 / request_queue::kLeastWaitingShare + 1);
+    CHECK(turn <= 1 / request_queue::kMinDeferrableShare + 1);
   }
 
   SECTION("and leaves out what was taken back") {
@@ -264,7 +264,7 @@
   };
   const std::size_t before = fill();
   CHECK(fill() == 0);
-  queue.KeepClasses({kLoose});
+  queue.RetainClasses({kLoose});
   CHECK(fill() > before / 3);
 }
 
--- a/tests/core/requests/session_text.h
+++ b/tests/core/requests/session_text.h
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <string>
 
-#include "plantainhead/core/claims/claim_question.h"
+#include "plantainhead/core/claims/claim_command.h"
 #include "plantainhead/core/entry/actions.h"
 #include "plantainhead/core/entry/events.h"
 #include "plantainhead/core/visit.h"
@@ -193,9 +193,9 @@
   return std::visit(visitor, what);
 }
 
-inline std::string Text(const claim_question& item) {
-  return "claim " + std::string(NameOf(item.need)) + " " + item.key.value() +
-         " for " + Text(item.request);
+inline std::string Text(const claim_command& item) {
+  return "claim " + std::string(NameOf(item.operation)) + " " +
+         item.key.value() + " for " + Text(item.request);
 }
 
 /// The text of a session, in the order in which it happens: "< " what comes in,
--- a/tests/observe/burn_test.cc
+++ b/tests/observe/burn_test.cc
@@ -8,7 +8,7 @@
 namespace plantainhead::observe {
 namespace {
 
-using core::request_fate;
+using core::slo_outcome;
 using std::chrono::hours;
 
 const core::class_name kUrgent("urgent");
@@ -25,7 +25,7 @@
 }
 
 void Add(core::fleet_state* fleet,
-         request_fate fate,
+         slo_outcome fate,
          std::uint64_t count,
          core::time_point at) {
   core::request_counts counts;
@@ -48,8 +48,8 @@
   }
 
   SECTION("at the rate that its target allows") {
-    Add(&fleet, request_fate::kServed, 90, kNoon);
-    Add(&fleet, request_fate::kLate, 10, kNoon);
+    Add(&fleet, slo_outcome::kServed, 90, kNoon);
+    Add(&fleet, slo_outcome::kLate, 10, kNoon);
     const budget_use use = Use(fleet, burn_target::kInTime);
     CHECK(use.failed == Approx(0.1));
     CHECK(use.rates.at(1) == Approx(1));
@@ -59,9 +59,9 @@
   }
 
   SECTION("and the time until it is used up follows from the last hour") {
-    Add(&fleet, request_fate::kServed, 300, kNoon - hours(30));
-    Add(&fleet, request_fate::kServed, 98, kNoon);
-    Add(&fleet, request_fate::kFailure, 2, kNoon);
+    Add(&fleet, slo_outcome::kServed, 300, kNoon - hours(30));
+    Add(&fleet, slo_outcome::kServed, 98, kNoon);
+    Add(&fleet, slo_outcome::kFailure, 2, kNoon);
     const budget_use use = Use(fleet, burn_target::kAvailable);
     CHECK(use.left == Approx(0.5));
     CHECK(use.rates.at(1) == Approx(2));
@@ -71,7 +71,7 @@
   }
 
   SECTION("until it is overspent") {
-    Add(&fleet, request_fate::kOverload, 1, kNoon);
+    Add(&fleet, slo_outcome::kOverload, 1, kNoon);
     CHECK(Use(fleet, burn_target::kAvailable).left == Approx(-99));
     CHECK(*Use(fleet, burn_target::kAvailable).exhausted_in ==
           core::duration::zero());
@@ -79,22 +79,22 @@
 
   SECTION("of which nothing was there") {
     fleet.targets.classes[0].unavailability = 0;
-    Add(&fleet, request_fate::kFailure, 1, kNoon);
+    Add(&fleet, slo_outcome::kFailure, 1, kNoon);
     CHECK(std::isinf(Use(fleet, burn_target::kAvailable).rates.at(0)));
   }
 
   SECTION("hour by hour") {
-    Add(&fleet, request_fate::kMaintenance, 3, kNoon - hours(47));
-    Add(&fleet, request_fate::kMaintenance, 5, kNoon - hours(48));
+    Add(&fleet, slo_outcome::kMaintenance, 3, kNoon - hours(47));
+    Add(&fleet, slo_outcome::kMaintenance, 5, kNoon - hours(48));
     const auto past = MakeBurnReport(fleet, kNoon).classes.at(0).hours;
     REQUIRE(past.size() == kBurnHours);
-    CHECK(past.front()[request_fate::kMaintenance] == 3);
+    CHECK(past.front()[slo_outcome::kMaintenance] == 3);
   }
 }
 
 TEST_CASE("A burn report is written") {
   core::fleet_state fleet = Fleet();
-  Add(&fleet, request_fate::kFailure, 1, kNoon);
+  Add(&fleet, slo_outcome::kFailure, 1, kNoon);
 
   SECTION("as JSON, in which null stands for infinity") {
     fleet.targets.classes[0].unavailability = 0;
