--- a/include/plantainhead/core/claims/claim_command.h
+++ b/include/plantainhead/core/claims/claim_command.h
@@ -8,21 +8,21 @@
 #include "plantainhead/core/requests/request.h"
 #include "plantainhead/core/time.h"
 
-/// The seam between the requests and the claims of their keys. After each event
-/// that it hands to `request_core`, the owner of both takes the questions with
-/// `request_core::TakeClaimCommands`, hands each to `claims`, and hands each
-/// decision of the claims to `request_core::OnClaimDecision`, until there are
-/// no more questions.
+/// The interface between `request_core` and `claims`. After each event that it
+/// passes to `request_core`, the owner of both calls
+/// `request_core::TakeClaimCommands`, passes each command to `claims`, and
+/// passes each decision of the claims to `request_core::OnClaimDecision`, until
+/// there are no more commands.
 namespace plantainhead::core {
 
-/// What `request_core` wants of the claims.
+/// The operation that `request_core` requests of `claims`.
 enum class claim_operation {
-  /// `claims::Ask`: claim the key. Ends in exactly one `claim_decision`.
+  /// `claims::Acquire`: claim the key. Results in exactly one `claim_decision`.
   kAcquire,
   /// `claims::Release`: the claim was granted, and the request was not
   /// dispatched and never will be.
   kRelease,
-  /// `claims::Finished`: the request was dispatched and has ended with
+  /// `claims::Complete`: the request was dispatched and has ended with
   /// `answer`, whose result is `kDone` or `kUnknown`.
   kComplete,
 };
@@ -39,9 +39,9 @@
 struct claim_command {
   claim_operation operation = claim_operation::kAcquire;
   claim_key key;
-  /// This entry's own id of the request, repeated in the decision.
+  /// This entry's id of the request, which the decision repeats.
   request_id request;
-  /// For `kAcquire`.
+  /// Set for `kAcquire`.
   time_point deadline;
   /// Set for `kComplete`.
   std::optional<response> answer;
--- a/include/plantainhead/core/claims/claim_decision.h
+++ b/include/plantainhead/core/claims/claim_decision.h
@@ -10,22 +10,22 @@
 
 namespace plantainhead::core {
 
-/// What became of a request's claim on its key.
+/// The result of a request's claim on its idempotency key.
 enum class claim_verdict {
   /// The request may be dispatched until its deadline; no other request with
   /// this key may be.
   kGranted,
-  /// Another request with this key is being claimed or run here.
+  /// Another request with this key is being claimed or run by this entry.
   kInProgress,
-  /// The key's request ended here; `stored` is its answer.
+  /// The request with this key finished at this entry; `stored` is its answer.
   kStoredAnswer,
-  /// The key was claimed and its answer isn't here: it may have run, and is
-  /// never run again.
+  /// The key was claimed and its answer is not stored here: the request may
+  /// have run, and is never run again.
   kAlreadyRun,
-  /// The key says that it is older than the claim window.
+  /// The timestamp in the key is older than the claim window.
   kTooOld,
-  /// No claim could be made now. The request was not run and never will be; a
-  /// later one with the same key may be.
+  /// No claim is possible at the moment. The request was not run and never will
+  /// be; a later one with the same key may be.
   kLogUnavailable,
 };
 
@@ -41,13 +41,14 @@
   return kClaimVerdictNames;
 }
 
-/// The answer to one `claims::Ask`.
+/// The decision on one `claims::Acquire`.
 struct claim_decision {
   request_id request;
   claim_verdict verdict = claim_verdict::kLogUnavailable;
   /// Set for `kStoredAnswer`.
   std::optional<response> stored;
-  /// When asking again may help; set for `kInProgress` and `kLogUnavailable`.
+  /// How long the caller should wait before a retry; set for `kInProgress` and
+  /// `kLogUnavailable`.
   duration retry_after{};
 };
 
--- a/include/plantainhead/core/claims/claims.h
+++ b/include/plantainhead/core/claims/claims.h
@@ -22,36 +22,41 @@
 class answer_store;
 class claim_partition;
 
-/// Limits of the claims. The window and the skew must be equal at all entries.
+/// Time and size limits of `claims`. The window and the skew must be equal at
+/// all entries.
 struct claim_options {
   /// How long a key is remembered after it was claimed. Retries must come
-  /// within it. The log must keep the claim streams at least twice as long.
+  /// within this time. The log must retain the claim streams at least twice as
+  /// long.
   duration window = std::chrono::minutes(10);
-  /// The most that the clocks of two entries may differ. A claim is kept that
+  /// Maximum difference between the clocks of two entries. A claim is kept that
   /// much longer than the window.
   duration clock_skew = std::chrono::minutes(1);
-  /// A claim that isn't settled after this time is given up: the log is taken
-  /// for unavailable.
+  /// A claim that is not decided after this time is rejected, and the log is
+  /// considered unavailable.
   duration claim_timeout = std::chrono::seconds(2);
-  /// What callers are told when the log is unavailable or the key in progress.
+  /// The retry delay returned to callers if the log is unavailable or the key
+  /// is in progress.
   duration retry_after = std::chrono::seconds(1);
-  /// Least time between two appends to one stream. With `kClaimPartitions`
-  /// streams the default keeps the claims under 300 appends a second.
+  /// Minimum time between two appends to one stream. With `kClaimPartitions`
+  /// streams the default keeps the claims below 300 appends per second.
   duration append_interval = std::chrono::milliseconds(60);
-  /// First and longest wait after an append that failed; doubles in between.
+  /// Backoff after a failed append: starts at the first value and doubles up to
+  /// the second.
   duration initial_backoff = std::chrono::milliseconds(50);
   duration max_backoff = std::chrono::seconds(1);
-  /// Most records in one append.
+  /// Maximum number of records in one append.
   std::size_t append_records = 1000;
-  /// Claims kept in memory over all partitions. At the limit new claims are
-  /// refused; forgetting a claim early could let its key run twice.
+  /// Maximum number of claims in memory over all partitions. At the limit new
+  /// claims are refused; evicting a claim early could let its key run twice.
   std::size_t max_claims = 250000;
-  /// Bytes of stored answers, and of the largest answer that is stored.
+  /// Maximum size in bytes of all stored answers, and of a single one.
   std::size_t max_stored_bytes = 8u << 20;
   std::size_t max_answer_bytes = 64u << 10;
 };
 
-/// What the claims have done and hold, for metrics. Counts since the start.
+/// Statistics of `claims` for metrics: counters since the start, then current
+/// values.
 struct claim_stats {
   std::uint64_t asked = 0;
   std::uint64_t granted = 0;
@@ -63,44 +68,50 @@
   std::uint64_t released = 0;
   std::uint64_t appends = 0;
   std::uint64_t records = 0;
-  /// Times that records of the claim window could not be read.
+  /// Number of times that records of the claim window could not be read.
   std::uint64_t unreadable_gaps = 0;
-  /// Now, not counts: claims in memory, bytes of answers, claims in the making.
+  /// Current values: claims in memory, bytes of stored answers, pending claims.
   std::size_t claims_held = 0;
   std::size_t answer_bytes = 0;
   std::size_t pending = 0;
-  /// Partitions whose home is here, and those of them that refuse claims.
+  /// Partitions that this entry coordinates, and how many of them refuse
+  /// claims.
   std::size_t coordinated_partitions = 0;
   std::size_t refusing = 0;
 };
 
-/// Lets a request that isn't idempotent run at most once for each key.
+/// Ensures that a request that is not idempotent runs at most once for each
+/// idempotency key.
 ///
-/// A key's claims are records on one stream of the log. A claim is granted only
-/// by the entry that wrote it, once it has read it back and found no earlier
-/// claim of that key that still stands. So the order of the log alone decides;
-/// which entry is the home of a partition, who is frozen and which append was
-/// repeated doesn't matter. docs/design/claims.md has the reasoning.
+/// The claims of a key are records on one stream of the log. A claim is granted
+/// only by the entry that wrote it, after it has read the record back and found
+/// no earlier active claim of that key. So only the order of the log decides;
+/// it does not matter which entry coordinates a partition, which process was
+/// paused and which append was repeated. docs/design/claims.md explains the
+/// reasoning.
 ///
-/// A key stands for `claim_options::window` after its claim, at least. A grant
-/// is valid until the request's deadline; the user of this class must cap the
-/// deadline of a request with a key at its arrival plus `MaxRequestTimeout`,
-/// and check it again right before dispatch. A key that ends in a UUID of
-/// version 7 tells its own age and is refused once older than the window; for
-/// other keys the callers must stop their retries in time.
+/// A key stays claimed for at least `claim_options::window` after its claim. A
+/// grant is valid until the request's deadline; the user of this class must
+/// limit the deadline of a request with a key to its arrival plus
+/// `MaxRequestTimeout`, and check the deadline again right before dispatch. A
+/// key that ends in a UUID of version 7 contains its own creation time and is
+/// refused once it is older than the window; for other keys the callers must
+/// stop their retries in time.
 ///
-/// Each `Acquire` gets exactly one decision, from the call itself or a later
-/// one. Thread safety: none; owned by the thread of the decisions.
+/// Each `Acquire` results in exactly one decision, from the call itself or a
+/// later one. Thread safety: none; used only by the thread that runs
+/// `entry_core`.
 class claims {
  public:
-  /// `ids` must outlive this object. Precondition: `self` isn't `kNone`.
+  /// `ids` must outlive this object. Precondition: `self` is not `kNone`.
   claims(claim_options options, incarnation self, append_ids* ids);
   ~claims();
   claims(const claims&) = delete;
   claims& operator=(const claims&) = delete;
 
-  /// Asks for leave to dispatch `request`. Preconditions: `key` isn't empty;
-  /// a request is asked for once (again while it waits: ignored).
+  /// Requests permission to dispatch `request`. Preconditions: `key` is not
+  /// empty; each request is passed only once (a repeated call is ignored while
+  /// the request is pending).
   void Acquire(const claim_key& key,
                request_id request,
                time_point deadline,
@@ -108,57 +119,62 @@
                effects& out,
                std::vector<claim_decision>& decisions);
 
-  /// Gives a granted claim back, so that a retry may run. Precondition: the
+  /// Releases a granted claim, so that a retry may run. Precondition: the
   /// request was never dispatched and never will be. Ignored for a request that
-  /// is finished or doesn't hold the key.
+  /// has completed or does not hold the key.
   void Release(const claim_key& key,
                request_id request,
                time_point now,
                effects& out);
 
-  /// Keeps the final answer of a granted request for retries, if it isn't too
-  /// large. Precondition: the answer isn't `kNotRun`; use `Release` for that.
+  /// Stores the final answer of a granted request for retries, if it is not too
+  /// large. Precondition: the result of the answer is not `kNotRun`; use
+  /// `Release` in that case.
   void Complete(const claim_key& key,
                 request_id request,
                 const response& answer,
                 time_point now);
 
-  /// Takes over and hands over partitions. Claims in the making are completed.
+  /// Starts and stops coordinating partitions after a change of the view.
+  /// Pending claims are completed.
   void OnViewChanged(const fleet_state& state,
                      const std::set<incarnation>& excluded,
                      time_point now,
                      effects& out);
 
-  /// Applies what was read from a claim stream; grants what came back first.
-  /// Like the next two, returns whether the event was one for the claims.
+  /// Applies records that were read from a claim stream, and grants own claims
+  /// that are first. Like the next two functions, it returns whether the event
+  /// belongs to the claims.
   bool OnLogRead(const log_read& read,
                  time_point now,
                  effects& out,
                  std::vector<claim_decision>& decisions);
 
-  /// Gives up the claims in the making of a stream that can't be read.
-  /// Precondition: reading is tried on, without another `follow_stream`.
+  /// Rejects the pending claims of a stream that cannot be read. Precondition:
+  /// reading is retried without another `follow_stream`.
   bool OnLogUnavailable(const log_unavailable& failure,
                         time_point now,
                         effects& out,
                         std::vector<claim_decision>& decisions);
 
-  /// Goes on with what waits, or appends again what may not have landed.
+  /// Continues with queued records, or repeats an append that failed or whose
+  /// outcome is unknown.
   bool OnAppendFinished(const append_finished& result,
                         time_point now,
                         effects& out);
 
-  /// Gives up what took too long, appends again, forgets old claims.
+  /// Rejects claims that have timed out, repeats appends and evicts old claims.
   void OnTick(time_point now,
               effects& out,
               std::vector<claim_decision>& decisions);
 
-  /// Longest time to its deadline that a request with a key may have: half of
-  /// the window, so that a caller that waited to its end and heard nothing has
-  /// the other half for retries.
+  /// Returns the maximum time from arrival to deadline for a request with a
+  /// key: half of the window, so that a caller that received no answer by the
+  /// deadline has the other half for retries.
   duration MaxRequestTimeout() const { return options_.window / 2; }
 
-  /// Returns the figures at `now`. Looks at all partitions; cheap.
+  /// Returns the statistics at `now`. Iterates over all partitions, which is
+  /// cheap.
   claim_stats stats(time_point now) const;
 
  private:
--- a/include/plantainhead/core/requests/call_counts.h
+++ b/include/plantainhead/core/requests/call_counts.h
@@ -11,28 +11,29 @@
 
 namespace plantainhead::core {
 
-/// Counts the calls in flight at each endpoint. For the endpoints of this entry
-/// it keeps the places of the counts: looking each up by its name took most of
-/// the time of a decision, and the more the more endpoints the entry owns.
-/// Thread safety: none, also for the const methods.
+/// Counts the calls in flight at each endpoint. For the endpoints that this
+/// entry owns it caches pointers to the counters: a lookup by VM name took most
+/// of the time of a routing decision, and the cost grew with the number of
+/// owned endpoints. Thread safety: none, also for the const methods.
 class call_counts {
  public:
   void Add(const vm_id& vm) { counts_[vm] += 1; }
 
-  /// Precondition: a call was added and not yet removed.
+  /// Precondition: a call to `vm` was added and has not been removed.
   void Remove(const vm_id& vm) { counts_.at(vm) -= 1; }
 
   std::uint32_t CountOf(const vm_id& vm) const;
 
-  /// Returns the counts of `routes.owned`, in that order. The places are valid
-  /// until the next `RemoveUnused`.
+  /// Returns pointers to the counters of `routes.owned`, in that order. They
+  /// are valid until the next `RemoveUnused`.
   const std::vector<const std::uint32_t*>& OwnedCounts(
       const service_routes& routes) const;
 
-  /// Returns the VMs with calls in flight, by name.
+  /// Returns the VMs with calls in flight, ordered by name.
   std::vector<vm_in_flight> NonZeroCounts() const;
 
-  /// Forgets VMs without calls; to be called after the table was rebuilt.
+  /// Removes the counters of VMs without calls. Call it after the endpoint
+  /// table was rebuilt.
   void RemoveUnused();
 
  private:
@@ -41,7 +42,7 @@
     std::vector<const std::uint32_t*> counters;
   };
 
-  /// Both change when counts are asked for that aren't there yet.
+  /// Both are mutable since the const methods insert missing entries.
   mutable std::unordered_map<vm_id, std::uint32_t> counts_;
   mutable std::unordered_map<service_name, owned_counters> owned_;
 };
--- a/include/plantainhead/core/requests/endpoint_health.h
+++ b/include/plantainhead/core/requests/endpoint_health.h
@@ -9,41 +9,42 @@
 
 namespace plantainhead::core {
 
-/// Takes endpoints that keep failing out of use for a while.
-/// Thread safety: none.
+/// Detects outliers: ejects endpoints that fail repeatedly, with an
+/// exponentially growing ejection time. Thread safety: none.
 class endpoint_health {
  public:
-  /// Failures in a row that eject an endpoint.
+  /// Number of consecutive failures that ejects an endpoint.
   static constexpr std::uint32_t kFailuresToEject = 5;
-  /// The first ejection lasts this long, each further one twice as long.
+  /// Duration of the first ejection; each further one lasts twice as long.
   static constexpr duration kInitialEjection = std::chrono::seconds(1);
   static constexpr duration kMaxEjection = std::chrono::seconds(32);
-  /// Never more than this share of a service's slots is ejected: when most
-  /// endpoints fail, the fault isn't theirs, and ejecting them would put the
-  /// whole load on the few that are left.
+  /// Maximum share of a service's slots that may be ejected at once. If most
+  /// endpoints fail, the cause is probably not the endpoints, and ejecting them
+  /// would put the whole load on the remaining few.
   static constexpr double kMaxEjectedShare = 1.0 / 3;
 
-  /// An endpoint gave an answer that isn't an error of its own.
+  /// Records an answer that is not an error of the endpoint itself.
   void OnSuccess(const vm_id& vm);
 
-  /// An endpoint failed or answered with an error of its own. `service_slots`
-  /// are all slots of its service, `ejected_slots` those that any owner has
-  /// ejected, `slots` its own. Returns true if it is ejected by this failure.
+  /// Records a failure, or an answer that is an error of the endpoint itself.
+  /// `service_slots` is the number of all slots of the service, `ejected_slots`
+  /// the number that any owner has ejected, `slots` the number at this
+  /// endpoint. Returns true if this failure ejects the endpoint.
   bool OnFailure(const vm_id& vm,
                  time_point now,
                  std::uint32_t service_slots,
                  std::uint32_t ejected_slots,
                  std::uint32_t slots);
 
-  /// The endpoint refused since its slots are taken; none is tried before
-  /// `until`. This happens after a change of owners, when calls of the former
-  /// owner are still running.
+  /// Records that the endpoint refused a call because all of its slots are in
+  /// use; no call is sent to it before `until`. This happens after a change of
+  /// owners, while calls of the previous owner are still running.
   void OnFull(const vm_id& vm, time_point until);
 
   bool IsFull(const vm_id& vm, time_point now) const;
 
-  /// How many calls may be in flight at an endpoint with `slots`: 0 while
-  /// ejected, 1 until it has answered again after that.
+  /// Returns how many calls may be in flight at an endpoint with `slots` slots:
+  /// 0 while it is ejected, then 1 until a call has succeeded.
   std::uint32_t AllowedCalls(const vm_id& vm,
                              time_point now,
                              std::uint32_t slots) const;
@@ -54,7 +55,8 @@
     std::uint32_t ejections = 0;
     time_point ejected_until;
     time_point full_until;
-    /// Ejected before and not yet proved well.
+    /// Set from an ejection until a call succeeds; only one call at a time is
+    /// allowed meanwhile.
     bool is_probing = false;
   };
 
--- a/include/plantainhead/core/requests/endpoint_table.h
+++ b/include/plantainhead/core/requests/endpoint_table.h
@@ -17,7 +17,7 @@
 
 namespace plantainhead::core {
 
-/// One VM that serves an endpoint.
+/// A VM that serves an endpoint, and the entry that owns it.
 struct endpoint_info {
   vm_id vm;
   service_name service;
@@ -25,31 +25,34 @@
   std::uint16_t port = 0;
   zone_id zone;
   std::uint32_t slots = 0;
-  /// The one entry that counts its slots; `kNone` when there are no members.
+  /// The only entry that counts the slots of this endpoint; `kNone` if there
+  /// are no members.
   incarnation owner = incarnation::kNone;
-  /// False while the list, the fold or its quarantine keep new work away.
+  /// False while the platform's list, the phase in the fold or a quarantine
+  /// excludes the VM from new work.
   bool takes_new = false;
 };
 
-/// An entry with the slots that it owns of one service.
+/// The number of slots of one service that an entry owns.
 struct owner_share {
   incarnation owner = incarnation::kNone;
   zone_id zone;
-  /// Slots of its endpoints that take new work.
+  /// Slots of the owned endpoints that take new work.
   std::uint32_t slots = 0;
 };
 
-/// All that routing needs of one service.
+/// The endpoints, owners and classes of one service, as needed for routing.
 struct service_routes {
   service_name name;
-  /// Raised by each `endpoint_table::Rebuild`, for whoever keeps places.
+  /// Incremented by each `endpoint_table::Rebuild`, so that users can detect
+  /// stale indexes.
   std::uint64_t version = 0;
   std::vector<work_class> classes;
   std::vector<endpoint_info> endpoints;
-  /// Owners of at least one endpoint that takes new work, in the order of their
-  /// incarnations.
+  /// Owners of at least one endpoint that takes new work, ordered by
+  /// incarnation.
   std::vector<owner_share> owners;
-  /// Index into `endpoints` of those that this entry owns.
+  /// Indexes into `endpoints` of those that this entry owns.
   std::vector<std::size_t> owned;
   /// Slots of all endpoints that take new work.
   std::uint32_t slots = 0;
@@ -58,33 +61,33 @@
   const work_class* FindClass(const class_name& name) const;
 };
 
-/// Which entry owns which endpoint, and which entry claims which keys, worked
-/// out by rendezvous hashing over the members of the fold: equal inputs give
-/// equal tables at every entry, and a change of members moves only the
-/// endpoints of the members that changed.
-/// Thread safety: none.
+/// Maps endpoints to owning entries and claim partitions to coordinators by
+/// rendezvous hashing over the members of the fold. Equal inputs give equal
+/// tables at every entry, and a change of members moves only the endpoints of
+/// the members that changed. Thread safety: none.
 class endpoint_table {
  public:
-  /// Works the table out anew. To be called when the fold's members, VMs or
-  /// targets, the platform's list, or the set of stopping members has changed.
-  /// `stopping` members own nothing. An endpoint's owner is chosen among the
-  /// members of its zone if there are any.
+  /// Recomputes the table. Call it when the members, VMs or targets of the
+  /// fold, the platform's list, or the set of stopping members has changed.
+  /// Members in `stopping` own nothing. The owner of an endpoint is chosen
+  /// among the members of the endpoint's zone if there are any.
   void Rebuild(const fleet_state& fleet,
                const std::vector<vm_listing>& listings,
                incarnation self,
                const std::set<incarnation>& stopping);
 
-  /// Returns the routes of a service that the targets name, or null.
+  /// Returns the routes of a service, or null if the targets do not name it.
   const service_routes* Find(const service_name& service) const;
 
   /// Returns the endpoint of a VM, or null.
   const endpoint_info* FindVm(const vm_id& vm) const;
 
-  /// Returns the entries that may claim the keys of `partition`:
-  /// `CoordinatorOf` that, and then the homes were those before it gone. These
-  /// are all members that aren't stopping: without a majority the dead stay
-  /// members, and any number of them may stand first. Precondition: `partition`
-  /// < `kClaimPartitions`.
+  /// Returns the entries that may claim the keys of `partition`, in order of
+  /// preference: first `CoordinatorOf` the partition, then the entries that
+  /// take over if those before them fail. The list holds all members that are
+  /// not stopping: without a majority, failed members are not removed, and any
+  /// number of them may come first. Precondition: `partition` <
+  /// `kClaimPartitions`.
   const std::vector<incarnation>& CoordinatorsOf(std::uint32_t partition) const;
 
   const std::unordered_map<service_name, service_routes>& services() const {
--- a/include/plantainhead/core/requests/gateway.h
+++ b/include/plantainhead/core/requests/gateway.h
@@ -13,21 +13,22 @@
 
 class entry_core;
 
-/// The way from the HTTP threads to the one thread that owns the decisions. The
-/// runtime fills the functions in; tests put their own. All three may be called
-/// from any thread.
+/// Passes requests, commands and queries from the HTTP threads to the single
+/// thread that runs `entry_core`. The runtime sets the functions; tests set
+/// their own. All of them may be called from any thread.
 struct core_gateway {
-  /// Hands in a caller's request; the future becomes ready exactly once, when
-  /// its final answer is known.
+  /// Submits a caller's request. The future becomes ready exactly once, when
+  /// the final answer is known.
   std::function<std::future<response>(request_envelope)> submit;
-  /// Hands in an operator's command; ready once its record was read back,
-  /// refused, or given up on.
+  /// Submits an operator's command. The future becomes ready once the command's
+  /// record was read back, refused or timed out.
   std::function<std::future<answer_operator>(std::string author, record_body)>
       command;
-  /// Runs a read-only function beside the decisions and returns its text.
+  /// Runs a read-only function on the core's thread and returns its result.
   std::function<std::string(std::function<std::string(const entry_core&)>)>
       query;
-  /// Returns true while the balancer may send callers here. Cheap.
+  /// Returns true while the load balancer may send callers to this entry. Cheap
+  /// to call.
   std::function<bool()> ready;
 };
 
--- a/include/plantainhead/core/requests/owner_loads.h
+++ b/include/plantainhead/core/requests/owner_loads.h
@@ -14,49 +14,52 @@
 
 namespace plantainhead::core {
 
-/// What this entry knows of how full the owners are, and the choice of one for
-/// a request.
+/// Tracks the load that owners report, and chooses an owner for each request.
 /// Thread safety: none.
 class owner_loads {
  public:
-  /// Takes in what an owner told with a heartbeat or a reply.
+  /// Records the load that an owner reported with a heartbeat or a reply.
   void OnReport(incarnation owner, const std::vector<service_load>& load);
 
-  /// A request was forwarded to an owner; counts until its next report.
+  /// Records that a request was forwarded to an owner. It counts as load until
+  /// the owner's next report.
   void OnForwarded(incarnation owner, const service_name& service);
 
-  /// The connection to an owner was lost: it isn't chosen until it reports
-  /// again. Otherwise each request sent to it would be lost too, and one that
-  /// isn't idempotent would end as unknown, until the owner is suspected.
+  /// Records that the connection to an owner was lost. The owner is not chosen
+  /// until it reports again: until it is suspected, each request sent to it
+  /// would be lost too, and one that is not idempotent would end with an
+  /// unknown outcome.
   void OnDisconnected(incarnation owner);
   bool IsDisconnected(incarnation owner) const {
     return disconnected_.contains(owner);
   }
 
-  /// Forgets all who are no members any more.
+  /// Removes owners that are no longer members.
   void Prune(const fleet_state& fleet);
 
   /// Returns the owner for a request of a service: this entry itself if it has
-  /// a free slot (`own_load`), else the less full of two drawn at random,
-  /// each by its number of slots; when they tie, the one in this entry's zone.
-  /// Suspects, lost ones and those in `avoid` are passed over. Returns nothing
-  /// if nobody is left.
+  /// a free slot (`own_load`), otherwise the less loaded of two candidates that
+  /// are drawn at random, weighted by their number of slots. On a tie the one
+  /// in this entry's zone is chosen. Suspected and disconnected owners and
+  /// those in `avoid` are excluded. Returns nothing if no owner is left.
   std::optional<incarnation> Choose(const service_routes& routes,
                                     const service_load& own_load,
                                     const routing_context& context,
                                     const std::vector<incarnation>& avoid,
                                     random_source& random) const;
 
-  /// Returns the slots of a service that owners report to be out of use.
+  /// Returns the number of slots of a service that owners report as
+  /// unavailable.
   std::uint32_t UnavailableSlots(const service_routes& routes) const;
 
-  /// Returns true if an owner is known or believed to have a free slot.
+  /// Returns true if an owner has a free slot, according to its last report and
+  /// the requests forwarded to it since; true if its load is unknown.
   bool HasFreeSlot(const owner_share& share, const service_name& service) const;
 
  private:
   struct known_load {
     service_load reported;
-    /// Forwarded by this entry since the report.
+    /// Requests that this entry forwarded since the last report.
     std::uint32_t forwarded = 0;
     bool is_reported = false;
   };
@@ -67,11 +70,12 @@
                 const service_load& own_load,
                 const routing_context& context,
                 const std::vector<incarnation>& avoid) const;
-  /// Returns one at random, each by its slots; null if there are none.
+  /// Returns a random share, weighted by slots; null if there are none.
   static const owner_share* PickWeighted(
       const std::vector<const owner_share*>& shares,
       random_source& random);
-  /// Returns how many requests would wait for each slot, 0 when one is free.
+  /// Returns the number of waiting requests per slot, counting one more
+  /// request; 0 if a slot is free.
   static double ScoreOf(const service_load& load, std::uint32_t forwarded);
   double WaitScore(const owner_share& share, const service_name& service) const;
 
--- a/include/plantainhead/core/requests/pending_request.h
+++ b/include/plantainhead/core/requests/pending_request.h
@@ -11,15 +11,16 @@
 #include "plantainhead/core/requests/request.h"
 #include "plantainhead/core/time.h"
 
-/// What `request_core` keeps of the requests at hand.
+/// Records that `request_core` keeps for the requests and calls in progress.
 namespace plantainhead::core {
 
-/// The request came from a caller of this entry.
+/// Origin of a request that a caller sent to this entry.
 struct caller_origin {
   std::uint64_t sequence = 0;
 };
 
-/// The request was forwarded by another entry, under that entry's id.
+/// Origin of a request that another entry forwarded, with the id that the other
+/// entry gave it.
 struct peer_origin {
   incarnation peer = incarnation::kNone;
   request_id id;
@@ -29,42 +30,43 @@
 
 enum class request_stage { kClaiming, kForwarded, kQueued, kDispatched };
 
-/// One request on its way through this entry.
+/// State of one request from its arrival at this entry until its answer.
 struct pending_request {
   std::uint64_t number = 0;
   request_origin from;
   request_envelope envelope;
   time_point arrival;
-  /// Its place among the expiries.
+  /// The time under which the request is stored in `request_core::expiries_`.
   time_point expiry;
   request_stage current_stage = request_stage::kQueued;
-  /// A claim was asked for here.
+  /// True once this entry has asked its claims for the key.
   bool is_claim_requested = false;
-  /// A lost attempt may have run; from then on no answer says not-run.
+  /// A failed attempt may have run; from then on no answer reports not-run.
   bool may_have_run = false;
   bool cancelled = false;
-  /// False when another entry chose this one as the owner: then that entry
-  /// looks for the next one.
+  /// False if another entry chose this one as the owner; that entry then
+  /// chooses the next owner.
   bool may_forward = true;
   std::uint32_t attempts = 0;
-  /// What the last owner or endpoint that didn't take it said.
+  /// Answer of the last owner or endpoint that did not take the request.
   std::optional<response> refusal;
   std::vector<incarnation> avoid_owners;
   std::vector<vm_id> avoid_vms;
-  /// Where it was forwarded to, under which number, and what for.
+  /// The entry that it was forwarded to, the sequence number of the forward,
+  /// and the stage that was requested there.
   incarnation peer = incarnation::kNone;
   std::uint64_t forward = 0;
   forward_stage requested_stage = forward_stage::kDispatch;
-  /// The attempt in flight, while dispatched.
+  /// The call in progress while the request is dispatched.
   call_id call = call_id::kNone;
 };
 
-/// One call that an endpoint has not ended yet.
+/// A call that an endpoint has not finished yet.
 struct endpoint_call {
   vm_id vm;
   service_name service;
   time_point started;
-  /// Number of the request, 0 once it has ended.
+  /// Number of the request, 0 once the request has ended.
   std::uint64_t request = 0;
 };
 
--- a/include/plantainhead/core/requests/request.h
+++ b/include/plantainhead/core/requests/request.h
@@ -16,11 +16,11 @@
 
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// The bytes of a body. Shared, so that a request isn't copied on its way
-/// through the decisions, which never look inside.
+/// The bytes of a body. Shared, so that routing a request, which never reads
+/// the body, does not copy it.
 using shared_body = std::shared_ptr<const std::string>;
 
-/// A caller's request with all that the decisions need to know of it.
+/// A caller's request with everything that routing needs.
 struct request_envelope {
   caller_id caller;
   service_name service;
@@ -30,20 +30,22 @@
   std::string path;
   header_list headers;
   shared_body body;
-  /// The caller stops waiting then; nothing is started after it.
+  /// The time at which the caller stops waiting; no attempt is started after
+  /// it.
   time_point deadline;
   bool idempotent = true;
-  /// Set when a request that isn't idempotent is named across retries.
+  /// Idempotency key, set if a request that is not idempotent is identified
+  /// across retries.
   std::optional<claim_key> key;
 };
 
-/// What a caller may conclude from an answer.
+/// What a caller may conclude from an answer about whether the request ran.
 enum class outcome {
-  /// The endpoint's whole answer follows.
+  /// The complete answer of the endpoint.
   kDone,
-  /// It was not run and will not be; asking again is safe.
+  /// The request was not run and will not be; a retry is safe.
   kNotRun,
-  /// It may have run.
+  /// The request may have run.
   kUnknown,
 };
 
@@ -56,7 +58,7 @@
   return kOutcomeNames;
 }
 
-/// Why an answer is not the endpoint's own.
+/// The reason why an answer does not come from the endpoint.
 enum class answer_reason {
   kNone,
   kUnknownService,
@@ -102,7 +104,7 @@
   return kAnswerReasonNames;
 }
 
-/// A whole answer to one request.
+/// A complete answer to one request.
 struct response {
   /// HTTP status.
   int status = 0;
@@ -110,7 +112,8 @@
   shared_body body;
   outcome result = outcome::kUnknown;
   answer_reason reason = answer_reason::kNone;
-  /// A sentence for people, for answers that are not the endpoint's own.
+  /// Human-readable explanation, for answers that do not come from the
+  /// endpoint.
   std::string detail;
   /// Always set when `result` is `kNotRun`.
   std::optional<duration> retry_after;
--- a/include/plantainhead/core/requests/request_core.h
+++ b/include/plantainhead/core/requests/request_core.h
@@ -25,37 +25,37 @@
 
 namespace plantainhead::core {
 
-/// The way of each request through one entry, from its arrival (from a caller
-/// or another entry) to its one answer.
+/// Routes each request through one entry, from its arrival (from a caller or
+/// another entry) to its answer.
 ///
-/// A request that is not idempotent and has a key first goes to the home of its
-/// key, which claims it; then an owner of endpoints of its service is chosen,
-/// which queues it and calls an endpoint. The answer goes back the same way.
-/// Each hop is a request of its own with an id of its own, so that a late or
-/// repeated message meets no one.
+/// A request that is not idempotent and has a key first goes to the coordinator
+/// of its key, which claims the key; then an owner of endpoints of its service
+/// is chosen, which queues the request and calls an endpoint. The answer
+/// returns along the same path. Each hop is a request with an id of its own, so
+/// that late and duplicate messages match no request and are ignored.
 ///
-/// What holds whatever happens: each arrival is answered once; an answer says
-/// not-run only if no byte can have left toward an endpoint and none will; a
+/// Invariants: each arrival is answered exactly once; an answer reports not-run
+/// only if no byte can have been sent to an endpoint and none will be; a
 /// request that is not idempotent and may have been sent is never sent again.
 ///
-/// Precondition of all events: `now` never goes back. Thread safety: none.
+/// Precondition of all events: `now` never decreases. Thread safety: none.
 class request_core {
  public:
-  /// `self` is this process's incarnation; `seed` starts the random choices.
+  /// `self` is this process's incarnation; `seed` seeds the random choices.
   /// `claim_window` is how long a key is remembered (`claim_options::window`):
-  /// a request with a key is given up at the latest that long after its claim
-  /// was asked for, since a grant doesn't hold longer.
+  /// a request with a key expires at the latest that long after its claim was
+  /// requested, since a grant is not valid any longer.
   request_core(incarnation self,
                std::uint64_t seed,
                duration claim_window = std::chrono::minutes(10));
 
-  /// A caller's request; ends in `answer_caller` exactly once.
+  /// Handles a caller's request, which produces exactly one `answer_caller`.
   void OnArrival(const request_arrived& event,
                  const routing_context& context,
                  time_point now,
                  effects& out);
-  /// The caller hung up: the request ends unless it was dispatched. The answer
-  /// is still given, for whoever counts.
+  /// Handles the loss of the caller's connection: the request ends unless it
+  /// was dispatched. It is still answered, so that it is counted.
   void OnCallerGone(const caller_gone& event,
                     const routing_context& context,
                     time_point now,
@@ -76,15 +76,16 @@
                 const routing_context& context,
                 time_point now,
                 effects& out);
-  /// The load that came with another entry's heartbeat.
+  /// Handles the load that came with another entry's heartbeat.
   void OnPeerLoad(incarnation from, const std::vector<service_load>& load);
-  /// A connection was lost, or the member left or was expelled.
+  /// Handles the loss of the connection to a peer, or its leave or expulsion.
   void OnPeerDisconnected(incarnation peer,
                           const routing_context& context,
                           time_point now,
                           effects& out);
-  /// Nothing is heard from a member. Idempotent requests go elsewhere; others
-  /// wait for the answer, the loss of the connection or their deadline.
+  /// Handles the suspicion of a member that sends no heartbeats. Idempotent
+  /// requests are routed elsewhere; others wait for the answer, the loss of the
+  /// connection or their deadline.
   void OnPeerSuspected(incarnation peer,
                        const routing_context& context,
                        time_point now,
@@ -99,38 +100,41 @@
                         time_point now,
                         effects& out);
 
-  /// What the claims found; a grant for a request that has ended is released.
+  /// Handles a decision of the claims. A grant for a request that has ended is
+  /// released.
   void OnClaimDecision(const claim_decision& decision,
                        const routing_context& context,
                        time_point now,
                        effects& out);
 
-  /// `context.endpoints` was rebuilt. Requests queued for endpoints that went
-  /// to other owners follow them.
+  /// Handles a rebuild of `context.endpoints`. Requests queued for endpoints
+  /// that moved to other owners are routed to them.
   void OnEndpointsChanged(const routing_context& context,
                           time_point now,
                           effects& out);
 
-  /// Ends what has passed its deadline, and uses slots that came free by time.
+  /// Ends requests whose deadline has passed, and dispatches to slots that
+  /// became free by the passage of time.
   void OnTick(const routing_context& context, time_point now, effects& out);
 
-  /// The process is to end: new requests are answered not-run, those at hand go
-  /// on.
+  /// Handles the shutdown of the process: new requests are answered not-run,
+  /// those in progress continue.
   void OnStop();
 
-  /// Takes what is to be handed to the claims, in order. To be called after
-  /// each event.
+  /// Returns the commands to be passed to the claims, in order, and clears
+  /// them. Call it after each event.
   std::vector<claim_command> TakeClaimCommands();
 
-  /// Returns true once no request is at hand and no call is in flight.
+  /// Returns true once no request is in progress and no call is in flight.
   bool Idle() const { return requests_.empty() && calls_.empty(); }
 
-  /// Returns how full this entry's share of each service is, for heartbeats.
+  /// Returns the load of this entry's endpoints for each service, for
+  /// heartbeats.
   std::vector<service_load> Load(const routing_context& context,
                                  time_point now) const;
 
-  /// Returns the requests in flight at each VM, for the drain. VMs without any
-  /// are left out.
+  /// Returns the number of calls in flight at each VM, for draining. VMs
+  /// without any are left out.
   std::vector<vm_in_flight> InFlight() const { return counts_.NonZeroCounts(); }
 
  private:
@@ -141,8 +145,8 @@
 
   request& AddRequest(origin from, request_envelope envelope, time_point now);
   request* Find(std::uint64_t number);
-  /// Fills in a class that may be left out. Returns the answer to a request
-  /// that can't be taken.
+  /// Sets the class if it was left out and is unambiguous. Returns the answer
+  /// to a request that cannot be accepted.
   std::optional<response> Validate(request_envelope& envelope,
                                    const routing_context& context,
                                    time_point now) const;
@@ -172,13 +176,13 @@
                const routing_context& context,
                time_point now,
                effects& out);
-  /// Finds out that the process stood still.
+  /// Detects that the process was paused.
   void DetectStall(time_point now);
   void DispatchQueued(const service_name& service,
                       const routing_context& context,
                       time_point now,
                       effects& out);
-  /// Ends a request that the queue passed over.
+  /// Ends a request that the queue skipped.
   void RejectQueued(request& item,
                     const service_routes& routes,
                     const routing_context& context,
@@ -188,7 +192,8 @@
                 const endpoint_info& endpoint,
                 time_point now,
                 effects& out);
-  /// Returns the least busy endpoint of this entry's with a free slot, or null.
+  /// Returns the least loaded endpoint of this entry that has a free slot, or
+  /// null.
   const endpoint_info* PickEndpoint(const service_routes& routes,
                                     const std::vector<vm_id>& avoid,
                                     time_point now) const;
@@ -198,7 +203,7 @@
                        const routing_context& context,
                        time_point now,
                        effects& out);
-  /// An endpoint or owner may be tried once more.
+  /// Returns whether one more endpoint or owner may be tried.
   bool MayRetry(const request& item, time_point now) const;
   bool ShouldRetryElsewhere(const request& item,
                             const response& answer,
@@ -219,8 +224,8 @@
               time_point now,
               effects& out);
 
-  /// Ends a request: settles its claim, answers its caller or peer, and forgets
-  /// it. `item` is gone afterwards.
+  /// Ends a request: settles its claim, answers its caller or peer, and removes
+  /// it. `item` is dangling afterwards.
   void Finish(request& item,
               response answer,
               const routing_context& context,
@@ -244,7 +249,8 @@
               effects& out) const;
   time_point ExpiryOf(const request& item) const;
 
-  /// Takes a call out and frees its slot. Returns nothing if there is none.
+  /// Removes a call and frees its slot. Returns nothing if there is no such
+  /// call.
   std::optional<call> EndCall(call_id id);
   void ReportHealth(const call& ended,
                     bool success,
@@ -258,26 +264,28 @@
   incarnation self_;
   random_source random_;
   bool stopping_ = false;
-  /// When a tick or a forwarded request was last handled.
+  /// Time at which a tick or a forwarded request was last handled.
   time_point last_activity_;
-  /// Nothing is dispatched before; set after the process stood still.
+  /// No queued request is dispatched before this time; set after the process
+  /// was paused.
   time_point dispatch_hold_until_;
   std::uint64_t last_number_ = 0;
   std::uint64_t last_forward_ = 0;
   std::uint64_t last_call_ = 0;
   std::unordered_map<std::uint64_t, request> requests_;
-  /// Numbers of requests by when they expire.
+  /// Request numbers ordered by expiry time.
   std::set<std::pair<time_point, std::uint64_t>> expiries_;
   std::unordered_map<std::uint64_t, std::uint64_t> by_caller_;
   std::unordered_map<request_id, std::uint64_t> by_peer_;
   std::unordered_map<std::uint64_t, std::uint64_t> by_forward_;
-  /// Greatest forward number seen from each peer; they rise, so that a frame
-  /// that comes twice is known and not run twice.
+  /// Greatest forward number received from each peer. The numbers rise, so that
+  /// a duplicate frame is detected and its request is not run twice.
   std::unordered_map<incarnation, std::uint64_t> seen_forwards_;
   std::unordered_map<call_id, call> calls_;
   std::map<service_name, request_queue> queues_;
   call_counts counts_;
-  /// VMs that said themselves that they leave, until the table knows.
+  /// VMs that announced themselves that they are leaving, until the endpoint
+  /// table shows it.
   std::unordered_map<vm_id, time_point> leaving_;
   endpoint_health health_;
   owner_loads loads_;
--- a/include/plantainhead/core/requests/request_counts.h
+++ b/include/plantainhead/core/requests/request_counts.h
@@ -9,18 +9,21 @@
 
 namespace plantainhead::core {
 
-/// What became of a request in terms of its class's target.
+/// The outcome of a request with respect to the service level objective (SLO)
+/// of its class.
 enum class slo_outcome {
-  /// Answered whole and in time.
+  /// Answered completely and in time.
   kServed,
-  /// Answered whole, but later than the class's `within`. It counts against the
-  /// share that must be served, not against the unavailability.
+  /// Answered completely, but later than the class's `within`. It counts
+  /// against the share that must be served in time, not against the
+  /// unavailability.
   kLate,
-  /// Not served because there was too much work.
+  /// Not served because of overload.
   kOverload,
-  /// The same, while maintenance kept VMs of its service from work.
+  /// Not served because of overload while maintenance kept VMs of the service
+  /// out of use.
   kMaintenance,
-  /// An endpoint, an entry or the log was lost.
+  /// Not served because an endpoint, an entry or the log failed.
   kFailure,
 };
 
@@ -35,7 +38,7 @@
   return kSloOutcomeNames;
 }
 
-/// Numbers of requests by their fate. Thread safety: none.
+/// Number of requests for each SLO outcome. Thread safety: none.
 struct request_counts {
   std::array<std::uint64_t, kSloOutcomeNames.size()> by_fate{};
 
@@ -53,8 +56,8 @@
     }
     return total;
   }
-  /// Returns the requests that went unserved: they spend the budget of
-  /// unavailability.
+  /// Returns the number of requests that were not served; they consume the
+  /// unavailability budget.
   std::uint64_t Unserved() const {
     return Total() - (*this)[slo_outcome::kServed] -
            (*this)[slo_outcome::kLate];
@@ -66,7 +69,8 @@
     }
     return *this;
   }
-  /// Precondition: no count of `other` is greater than this one's.
+  /// Precondition: no count of `other` is greater than the corresponding one
+  /// here.
   request_counts& operator-=(const request_counts& other) {
     for (std::size_t i = 0; i < by_fate.size(); ++i) {
       by_fate[i] -= other.by_fate[i];
--- a/include/plantainhead/core/requests/request_meter.h
+++ b/include/plantainhead/core/requests/request_meter.h
@@ -16,38 +16,39 @@
 
 namespace plantainhead::core {
 
-/// Returns what an answer that took `elapsed` means for the target of its
-/// class; nothing for an answer that says the caller's request was wrong.
-/// `in_maintenance` tells that maintenance keeps VMs of the service from work.
-/// Thread safety: safe from any thread.
+/// Returns the SLO outcome of an answer that took `elapsed`; nothing if the
+/// answer reports an error of the caller. `in_maintenance` tells whether
+/// maintenance keeps VMs of the service out of use. Thread safety: safe from
+/// any thread.
 std::optional<slo_outcome> ClassifyAnswer(const response& answer,
                                           duration elapsed,
                                           duration within,
                                           bool in_maintenance);
 
-/// Counts one entry's own callers' requests by class and fate, and how long its
-/// calls held slots of each service. The counts only grow, so that others can
-/// work with differences and a lost report costs nothing.
-/// Thread safety: none.
+/// Counts the requests of an entry's own callers by class and SLO outcome, and
+/// the time for which its calls occupied slots of each service. The counters
+/// only grow, so that readers can use differences and a lost report does no
+/// harm. Thread safety: none.
 class request_meter {
  public:
   void OnArrival(std::uint64_t sequence,
                  const work_class& work,
                  time_point now);
-  /// An answer to a request that didn't arrive here is ignored.
+  /// Ignores answers to requests that did not arrive at this entry.
   void OnAnswer(const answer_caller& item, bool in_maintenance, time_point now);
   void OnCall(const call_endpoint& item, time_point now);
-  /// The call was answered or failed. Unknown calls are ignored.
+  /// Records that a call was answered or failed. Ignores unknown calls.
   void OnCallEnded(call_id call, time_point now);
 
-  /// Returns the service of a request that arrived here and isn't answered yet,
-  /// or null.
+  /// Returns the service of a request that arrived here and is not answered
+  /// yet, or null.
   const service_name* ServiceOf(std::uint64_t sequence) const;
 
   std::vector<class_counts> Classes() const;
   std::vector<service_times> Times() const;
 
-  /// Returns what was counted since the previous call, without empty counts.
+  /// Returns the counts since the previous call, without classes whose counts
+  /// are all zero.
   std::map<class_name, request_counts> TakeUnrecorded();
 
  private:
--- a/include/plantainhead/core/requests/retry_budget.h
+++ b/include/plantainhead/core/requests/retry_budget.h
@@ -5,20 +5,20 @@
 
 namespace plantainhead::core {
 
-/// A token bucket filled by requests: retries can't be more than a share of
-/// them. Without it, when endpoints fail together, retries would multiply the
-/// load just when capacity is short, and the overload would keep itself up.
-/// Thread safety: none.
+/// Limits retries to a share of the requests with a token bucket. Without a
+/// limit, retries would multiply the load when endpoints fail together, just
+/// when capacity is short, and the overload would sustain itself. Thread
+/// safety: none.
 class retry_budget {
  public:
-  /// A new request adds this much of one retry.
+  /// Tokens that each new request adds; a retry costs one token.
   static constexpr double kRetryRatio = 0.1;
-  /// Most retries that can be saved up, for a burst.
+  /// Maximum number of saved tokens, for bursts.
   static constexpr double kMaxTokens = 50;
 
   void OnRequest() { tokens_ = std::min(kMaxTokens, tokens_ + kRetryRatio); }
 
-  /// Takes one retry out. Returns false when there is none.
+  /// Consumes the token for one retry. Returns false if there is none.
   bool Take() {
     if (tokens_ < 1) {
       return false;
--- a/include/plantainhead/core/requests/routing_context.h
+++ b/include/plantainhead/core/requests/routing_context.h
@@ -9,12 +9,12 @@
 
 namespace plantainhead::core {
 
-/// What `request_core` looks at but doesn't own; made anew for each event. The
-/// references must outlive the call.
+/// The state that `request_core` reads but does not own, built anew for each
+/// event. The references must outlive the call.
 struct routing_context {
   const fleet_state& fleet;
   const endpoint_table& endpoints;
-  /// Members that this entry doesn't hear at the moment.
+  /// Members from which this entry currently receives no heartbeats.
   const std::set<incarnation>& suspects;
   incarnation self = incarnation::kNone;
   /// False until the entry has caught up with the log.
--- a/src/core/claims/claim_cursor.cc
+++ b/src/core/claims/claim_cursor.cc
@@ -6,8 +6,8 @@
 namespace plantainhead::core {
 namespace {
 
-// Stands for all records of a log that was reset: no mark speaks for them,
-// since offsets start anew.
+// Represents all records of a log that was reset: no watermark covers them,
+// since the offsets restart.
 constexpr log_offset kAllRecords = std::numeric_limits<log_offset>::max();
 
 }  // namespace
@@ -18,7 +18,8 @@
     return read_continuity::kTruncated;
   }
   if (read.begin > next_) {
-    // Only a reader that starts at the oldest record goes on behind a cut.
+    // Only a reader that starts at the oldest record continues after a
+    // truncation.
     const bool has_stopped = next_ > 1 && read.entries.empty();
     Block(read.begin, now);
     next_ = read.begin;
@@ -48,9 +49,10 @@
   return true;
 }
 
-// Every record up to the offset in a mark was in the stream at the mark's time.
-// So if a mark is older than claims are kept, the records that it covers are
-// too, though they can't be read. This holds for late copies of a mark as well.
+// Every record up to the offset of a watermark was in the stream at the time of
+// the watermark. So if the watermark is older than the retention period, the
+// records that it covers are too, although they cannot be read. This also holds
+// for late duplicates of a watermark.
 void claim_cursor::OnWatermark(const claim_request& watermark, time_point now) {
   if (unread_range_ && watermark.request.sequence + 1 >= unread_range_->begin &&
       watermark.at + retention_ <= now) {
--- a/src/core/claims/claim_cursor.h
+++ b/src/core/claims/claim_cursor.h
@@ -10,39 +10,42 @@
 
 namespace plantainhead::core {
 
-/// How a read goes on from what was read of a stream before.
+/// Whether a read continues directly after the previously read records.
 enum class read_continuity {
   kContiguous,
-  /// Reading must be started again after `last_read()`.
+  /// Records are missing; reading must be restarted after `last_read()`.
   kGap,
-  /// The stream has less than was read from it.
+  /// The stream ends before the last record that was read.
   kTruncated,
 };
 
-/// How far a claim stream was read, and whether all was read that matters.
+/// Tracks how far a claim stream was read, and whether records of the claim
+/// window are missing.
 ///
-/// Records that were not read, since they were cut or the log was reset, may
-/// hold claims that stand. A grant beside one of them would run its key twice,
-/// so grants are barred. After a full window all of those claims are old and
-/// retries of their keys no longer allowed: grants are safe again. A mark can
-/// show sooner that they are old.
+/// Records that could not be read, because the stream was truncated or the log
+/// was reset, may contain active claims. A grant alongside one of them would
+/// run its key twice, so grants are blocked. After a full retention period all
+/// of those claims are expired and retries of their keys are no longer allowed,
+/// so grants are safe again. A watermark can show earlier that they are
+/// expired.
 ///
 /// Thread safety: none.
 class claim_cursor {
  public:
-  /// Claims stand for `retention`.
+  /// `retention` is how long claims stay active.
   explicit claim_cursor(duration retention) : retention_(retention) {}
 
-  /// Checks where `read` starts; to be called before its entries are taken.
+  /// Checks where `read` starts. Call it before `AdvanceTo` is called for the
+  /// entries of `read`.
   read_continuity Begin(const log_read& read, time_point now);
 
-  /// Moves to `offset`. Returns false when it was read before.
+  /// Advances to `offset`. Returns false if it was read before.
   bool AdvanceTo(log_offset offset);
 
-  /// Returns true once: when the stream was first read to its end.
+  /// Returns true once, when the end of the stream is first reached.
   bool ReachEnd(log_offset end);
 
-  /// Ends a bar if `watermark` shows that what was not read is old.
+  /// Unblocks grants if `watermark` shows that the unread records are expired.
   void OnWatermark(const claim_request& watermark, time_point now);
 
   bool IsBlocked(time_point now) const;
@@ -50,17 +53,17 @@
   duration BlockedFor(time_point now) const {
     return unread_range_->until - now;
   }
-  /// Returns true once for each bar.
+  /// Returns true once for each period in which grants are blocked.
   bool TakeReport();
 
-  /// Offset up to which a mark written now may speak for the stream.
+  /// Returns the offset for a watermark that is written now.
   log_offset WatermarkOffset(time_point now) const;
 
   bool caught_up() const { return caught_up_; }
   log_offset last_read() const { return next_ - 1; }
 
  private:
-  /// Records before `begin` can't be read.
+  /// Records before `begin` cannot be read.
   struct unread_range {
     log_offset begin = 0;
     time_point until;
--- a/src/core/claims/claim_index.cc
+++ b/src/core/claims/claim_index.cc
@@ -17,9 +17,9 @@
 claim_status claim_index::Add(const claim_request& claim, time_point now) {
   Advance(claim.at);
   const claim_identity id{claim.claimant, claim.request};
-  // A copy of a claim can land after its release: an append whose answer was
-  // lost may take effect late. Taken for a new claim it would bar the key for a
-  // window although nobody runs it.
+  // A copy of a claim can be appended after its release: an append whose answer
+  // was lost may take effect late. Treated as a new claim it would block the
+  // key for a window although no request with the key runs.
   if (released_.count(id) > 0) {
     return claim_status::kReleased;
   }
@@ -114,10 +114,10 @@
   }
 }
 
-// A claimant's clock may be slow: the times of a stream are never taken to go
-// back, or its claims would be forgotten early and their keys run twice. It may
-// be fast: a claim isn't taken to be newer than its reading, or it would bar
-// its key for long.
+// A claimant's clock may be slow: the times of a stream are treated as never
+// decreasing, otherwise its claims would be evicted early and their keys could
+// run twice. A clock may also be fast: a claim is never treated as newer than
+// the time at which it is read, otherwise it would block its key for too long.
 time_point claim_index::ClampedNewest(time_point now) const {
   return std::min(newest_, now);
 }
--- a/src/core/claims/claim_index.h
+++ b/src/core/claims/claim_index.h
@@ -15,8 +15,8 @@
 
 namespace plantainhead::core {
 
-/// Stands for a key in memory. Two keys with one hash would share their claims:
-/// the second is refused as already run, which is safe.
+/// A hash that represents a key in memory. Two keys with the same hash share
+/// their claims: the second is refused as already run, which is safe.
 struct key_hash {
   std::uint64_t low = 0;
   std::uint64_t high = 0;
@@ -32,7 +32,7 @@
 
 key_hash HashOf(const claim_key& key);
 
-/// Tells one claim from all others; its copies in the log share it.
+/// Identifies a claim; all copies of its record in the log share it.
 struct claim_identity {
   incarnation claimant = incarnation::kNone;
   request_id request;
@@ -48,49 +48,50 @@
   }
 };
 
-/// How a claim record stands at its place in the stream.
+/// Status of a claim record at its position in the stream.
 enum class claim_status {
-  /// No earlier claim of its key stands.
+  /// No earlier claim of its key is active.
   kFirst,
-  /// Another claim of its key stands.
+  /// Another claim of its key is active.
   kLater,
-  /// A copy of it was read before.
+  /// The same claim was read before.
   kDuplicate,
-  /// Its claimant released it before this copy was read.
+  /// Its claimant released it before this record was read.
   kReleased,
 };
 
-/// The claims of one stream that stand, by key, as read in the stream's order.
+/// Indexes the active claims of one stream by key, in the order of the stream.
 ///
-/// Two readers may forget an old claim at different times, and so may differ in
-/// which of two claims is the first. So every claim that was read is kept until
-/// it is released or old, the later ones too: then whichever of them another
-/// reader took for the first, it bars the key here as well.
+/// Two readers may evict an expired claim at different times, and so may
+/// disagree about which of two claims is the first. So every claim that was
+/// read, including later ones, is kept until it is released or expired:
+/// whichever claim another reader took for the first, it blocks the key here as
+/// well.
 ///
 /// Thread safety: none.
 class claim_index {
  public:
-  /// A claim is forgotten `retention` after its time.
+  /// A claim is evicted `retention` after its time.
   explicit claim_index(duration retention) : retention_(retention) {}
 
   claim_status Add(const claim_request& claim, time_point now);
 
-  /// Ends the claim `id` on `key`, now and for copies of it that are still to
-  /// come. Others' claims are untouched.
+  /// Ends the claim `id` on `key`, including records of it that are read later.
+  /// Claims of others are not affected.
   void Release(const key_hash& key, const claim_identity& id, time_point now);
 
-  /// Takes note of the time of a record.
+  /// Records the time of a record that was read.
   void Advance(time_point at);
 
   void EvictExpired(time_point now);
 
-  /// Returns the first claim that stands on `key`, or null.
+  /// Returns the first active claim on `key`, or null.
   const claim_identity* Find(const key_hash& key) const;
 
-  /// Whether a claim of `id` stands on `key`.
+  /// Returns whether the claim `id` on `key` is active.
   bool IsActive(const key_hash& key, const claim_identity& id) const;
 
-  /// Greatest time of a record read so far.
+  /// Returns the greatest time of a record read so far.
   time_point newest() const { return newest_; }
   std::size_t size() const { return claims_; }
 
@@ -101,7 +102,8 @@
   };
   struct key_claims {
     active_claim first;
-    /// Nearly always null: claims that lost and aren't released yet.
+    /// Claims that are not the first and are not released yet; null for almost
+    /// all keys.
     std::unique_ptr<std::vector<active_claim>> later;
   };
   struct old_key {
--- a/src/core/claims/claim_key_time.h
+++ b/src/core/claims/claim_key_time.h
@@ -8,8 +8,8 @@
 
 namespace plantainhead::core {
 
-/// Returns when a key was made, if it ends in a UUID of version 7 (RFC 9562) in
-/// its usual form of 36 characters.
+/// Returns the creation time of a key that ends in a UUID of version 7 (RFC
+/// 9562) in the canonical form of 36 characters; nothing for other keys.
 std::optional<time_point> KeyTime(const claim_key& key);
 
 }  // namespace plantainhead::core
--- a/src/core/claims/claim_partition.cc
+++ b/src/core/claims/claim_partition.cc
@@ -17,7 +17,7 @@
       cursor_(Retention()),
       watermarks_(context.self, context.options) {}
 
-// --- home ----------------------------------------------------------------
+// --- coordinator ---------------------------------------------------------
 
 void claim_partition::SetCoordinator(bool is_coordinator, effects& out) {
   is_coordinator_ = is_coordinator;
@@ -83,7 +83,7 @@
   Flush(now, out);
 }
 
-// Returns what a new request with this key is told without a claim.
+// Returns the verdict on a new request if it can be given without a claim.
 std::optional<claim_verdict> claim_partition::ExistingVerdict(
     const key_hash& hash) const {
   if (pending_.count(hash) > 0 || running_.count(hash) > 0) {
@@ -129,8 +129,8 @@
   context_.answers->Put(hash, answer, now);
 }
 
-// The claim is ended here before the release is read back: whatever this entry
-// writes later for the key comes after the release in the stream, too.
+// Ends the claim here before the release is read back: any later claim of this
+// entry for the key follows the release in the stream, too.
 void claim_partition::AppendRelease(const claim_key& key,
                                     request_id request,
                                     time_point now) {
@@ -139,12 +139,12 @@
   ++context_.stats->released;
 }
 
-// --- giving up -----------------------------------------------------------
+// --- rejection -----------------------------------------------------------
 
-// Ends a waiting claim without a grant. The caller may be told that its request
-// was not run, so the claim is never granted from here on, also when its record
-// lands later. If it may land it is released, or it would bar the key for a
-// window although nobody ran it.
+// Ends a pending claim without a grant. The caller may be told that its request
+// was not run, so the claim is never granted afterwards, even if its record is
+// appended later. If the record may be in the stream, it is released; otherwise
+// it would block the key for a window although no request with the key ran.
 void claim_partition::Reject(pending_map::iterator it,
                              claim_verdict verdict,
                              duration retry_after,
@@ -189,8 +189,8 @@
   }
 }
 
-// Claims that were asked for before the stream was read, on keys that turned
-// out to be claimed.
+// Rejects claims that were requested before the stream was read and whose keys
+// turned out to be claimed.
 void claim_partition::RejectAlreadyClaimed(time_point now,
                                            decision_list& decisions) {
   for (auto it = pending_.begin(); it != pending_.end();) {
@@ -228,8 +228,8 @@
 
 void claim_partition::ExpireClaims(time_point now) {
   index_.EvictExpired(now);
-  // Requests end at their deadlines, which the window caps; one whose end was
-  // never reported must not stay for good.
+  // Requests end at their deadlines, which are limited by the window; one whose
+  // end was never reported must not be kept for ever.
   if (now < next_running_check_) {
     return;
   }
--- a/src/core/claims/claim_partition.h
+++ b/src/core/claims/claim_partition.h
@@ -18,7 +18,7 @@
 
 namespace plantainhead::core {
 
-/// What the partitions of one entry share.
+/// The state that all partitions of one entry share.
 struct claim_partition_context {
   const claim_options* options = nullptr;
   incarnation self = incarnation::kNone;
@@ -27,8 +27,8 @@
   claim_stats* stats = nullptr;
 };
 
-/// The claims on the keys of one stream; see `claims`.
-/// Thread safety: none.
+/// Handles the claims on the keys of one stream; see `claims`. Thread safety:
+/// none.
 class claim_partition {
  public:
   using decision_list = std::vector<claim_decision>;
@@ -64,11 +64,11 @@
   bool is_coordinator() const { return is_coordinator_; }
   std::size_t claims_held() const { return index_.size(); }
   std::size_t pending() const { return pending_.size(); }
-  /// Why a new claim can't be made now: how long until it may; else nothing.
+  /// Returns how long new claims are refused; nothing if they are accepted.
   std::optional<duration> RefusalDelay(time_point now) const;
 
  private:
-  /// A claim that was asked for and isn't settled.
+  /// A claim that was requested and is not decided yet.
   struct pending_claim {
     claim_key key;
     request_id request;
@@ -120,8 +120,9 @@
   void Follow(effects& out);
   void UnfollowIfDone(effects& out);
   void Flush(time_point now, effects& out);
-  /// How long a claim is remembered. A retry that comes within the window is
-  /// granted up to the patience later, by a clock that may differ.
+  /// Returns how long a claim is kept. A retry that arrives at the end of the
+  /// window may be granted up to the claim timeout later, by a clock that may
+  /// differ.
   duration Retention() const {
     return options_.window + options_.clock_skew + options_.claim_timeout;
   }
@@ -137,9 +138,9 @@
   bool is_coordinator_ = false;
   bool is_following_ = false;
   pending_map pending_;
-  /// The first time at which a waiting claim must be given up.
+  /// The earliest time at which a pending claim times out.
   time_point next_timeout_ = time_point::max();
-  /// Keys granted here whose requests aren't finished.
+  /// Keys granted here whose requests have not completed.
   running_map running_;
   time_point next_running_check_;
 };
--- a/src/core/claims/claim_partition_reading.cc
+++ b/src/core/claims/claim_partition_reading.cc
@@ -1,4 +1,4 @@
-// What a partition does with the records of its stream.
+// The part of `claim_partition` that handles the records of its stream.
 #include <algorithm>
 #include <string>
 #include <variant>
@@ -31,9 +31,9 @@
 void claim_partition::ApplyEntries(const log_read& read,
                                    time_point now,
                                    decision_list& decisions) {
-  // A claimant that was frozen may come to read its claim long after the others
-  // forgot it, with a clock that stood still meanwhile. Newer records in the
-  // same read show how late it is at least.
+  // A claimant that was paused may read its claim long after the others evicted
+  // it, with a clock that did not advance meanwhile. Newer records in the same
+  // read give a lower bound for the actual time.
   time_point newest;
   for (const log_entry& entry : read.entries) {
     if (const auto* claim = std::get_if<claim_request>(&entry.content.body)) {
@@ -88,8 +88,8 @@
     Reject(it, claim_verdict::kAlreadyRun, duration::zero(), now, decisions);
     return;
   }
-  // A frozen home must not grant what it asked for long ago: the claim that
-  // stood in the way then may be forgotten by now.
+  // A coordinator that was paused must not grant a claim that it requested long
+  // ago: the claim that blocked it at that time may be evicted by now.
   const pending_claim& pending = it->second;
   const time_point end =
       std::min(pending.deadline, pending.asked + options_.claim_timeout);
@@ -105,8 +105,8 @@
               decisions);
 }
 
-// Waits until the stream was read to its end, since a mark on the way may show
-// that what was not read is old.
+// Waits until the stream was read to its end, since a later watermark may show
+// that the unread records are expired.
 void claim_partition::RejectIfBlocked(time_point now,
                                       effects& out,
                                       decision_list& decisions) {
@@ -116,7 +116,8 @@
   if (cursor_.TakeReport()) {
     ++context_.stats->unreadable_gaps;
     out.Note(note_level::kError,
-             "claims of the window can't be read; the stream was cut or reset",
+             "records of the claim window cannot be read; the stream was "
+             "truncated or reset",
              {{"stream", stream_.value()},
               {"last_read", std::to_string(cursor_.last_read())}});
   }
--- a/src/core/claims/claim_watermarks.cc
+++ b/src/core/claims/claim_watermarks.cc
@@ -35,7 +35,8 @@
     return;
   }
   is_pending_ = false;
-  // One that comes late shows that the log is slow, not that it is well.
+  // A watermark that is read back late shows that the log is slow, not that it
+  // is available.
   if (now < written_ + options_->claim_timeout) {
     is_unavailable_ = false;
   }
--- a/src/core/claims/claim_watermarks.h
+++ b/src/core/claims/claim_watermarks.h
@@ -9,13 +9,14 @@
 
 namespace plantainhead::core {
 
-/// Whether the log takes and returns the records of a stream, by marks.
+/// Writes and observes watermarks to tell whether the log is available and how
+/// old the records of a stream are.
 ///
-/// A mark is a claim without a key. It is written while the log is taken for
-/// out, and shows by coming back in time that it no longer is. It is also
-/// written every half window, so that later readers can tell how old the
-/// records before it are: its request's sequence is the offset up to which its
-/// writer had read the stream.
+/// A watermark is a claim record without a key. It is written while the log is
+/// considered unavailable, and shows by being read back in time that the log is
+/// available again. It is also written every half window, so that later readers
+/// can tell how old the records before it are: the sequence in its request id
+/// is the offset up to which its writer had read the stream.
 ///
 /// Thread safety: none.
 class claim_watermarks {
@@ -24,10 +25,10 @@
   claim_watermarks(incarnation self, const claim_options* options)
       : self_(self), options_(options) {}
 
-  /// Writes a mark if one is needed.
+  /// Writes a watermark if one is needed.
   void Write(log_offset read_to, time_point now, claim_writer& writer);
 
-  /// Takes note of a mark that was read, of any writer.
+  /// Records a watermark that was read, from any writer.
   void OnWatermark(const claim_request& watermark, time_point now);
 
   void SetUnavailable() { is_unavailable_ = true; }
@@ -39,11 +40,11 @@
   incarnation self_;
   const claim_options* options_;
   bool is_unavailable_ = false;
-  /// The mark that was written last, by its record's number and its time.
+  /// Record number and time of the watermark that was written last.
   std::uint64_t record_ = 0;
   time_point written_;
   bool is_pending_ = false;
-  /// Greatest time of a mark that was read.
+  /// Greatest time of a watermark that was read.
   time_point newest_;
 };
 
--- a/src/core/claims/claim_writer.h
+++ b/src/core/claims/claim_writer.h
@@ -15,11 +15,11 @@
 
 namespace plantainhead::core {
 
-/// Writes records to one stream in groups: one append is in flight, all that
-/// comes in meanwhile goes into the next. Records whose append failed or isn't
-/// known are appended again under the same ids, before any later ones, so that
-/// the first copies in the stream are in the order of `Add`.
-/// Thread safety: none.
+/// Writes records to one stream in batches: one append is in flight at a time,
+/// and records that are added meanwhile go into the next. Records whose append
+/// failed or has an unknown outcome are appended again under the same ids,
+/// before any later ones, so that the first copies in the stream are in the
+/// order of `Add`. Thread safety: none.
 class claim_writer {
  public:
   /// `options` and `ids` must outlive this object.
@@ -28,17 +28,18 @@
                const claim_options* options,
                append_ids* ids);
 
-  /// Queues a record; returns its number.
+  /// Queues a record and returns its number.
   std::uint64_t Add(record_body body);
 
-  /// Takes a record back. Returns true when it isn't in the stream and never
-  /// will be, false when it may be or become so.
+  /// Withdraws a record. Returns true if it is not in the stream and never will
+  /// be, false if it is or may still be appended.
   bool Withdraw(std::uint64_t number);
 
-  /// Appends what is queued, if it is time.
+  /// Appends the queued records if no append is in flight and the append
+  /// interval has passed.
   void Flush(time_point now, effects& out, claim_stats& stats);
 
-  /// Returns whether the append was one of this writer.
+  /// Returns whether the append belongs to this writer.
   bool OnAppendFinished(const append_finished& result, time_point now);
 
   bool idle() const { return queue_.empty() && in_flight_.empty(); }
@@ -46,7 +47,7 @@
  private:
   struct queued_record {
     std::uint64_t number = 0;
-    /// An append with it ended unknown.
+    /// True if an append that contained it had an unknown outcome.
     bool may_be_appended = false;
     bool withdrawn = false;
     record content;
@@ -59,7 +60,7 @@
   const claim_options* const options_;
   append_ids* const ids_;
   std::uint64_t last_number_ = 0;
-  /// Both in the order of their numbers.
+  /// Both are ordered by record number.
   std::deque<queued_record> queue_;
   std::vector<queued_record> in_flight_;
   append_id append_ = append_id::kNone;
--- a/src/core/requests/answer_store.cc
+++ b/src/core/requests/answer_store.cc
@@ -5,7 +5,8 @@
 namespace plantainhead::core {
 namespace {
 
-// What one answer costs beside its texts: list and map nodes, strings' heads.
+// Memory that one answer takes besides its contents: list and map nodes, and
+// the string objects.
 constexpr std::size_t kFixedBytes = 320;
 
 std::size_t BytesOf(const response& answer) {
--- a/src/core/requests/answer_store.h
+++ b/src/core/requests/answer_store.h
@@ -11,21 +11,20 @@
 
 namespace plantainhead::core {
 
-/// Answers of finished requests by key, within a bound of bytes; those that
-/// were used longest ago go first.
-/// Thread safety: none.
+/// Caches the answers of finished requests by key, within a limit of bytes;
+/// evicts the least recently used answers first. Thread safety: none.
 class answer_store {
  public:
   answer_store(std::size_t max_bytes, std::size_t max_answer_bytes)
       : max_bytes_(max_bytes), max_answer_bytes_(max_answer_bytes) {}
 
-  /// Keeps `answer` unless it is too large.
+  /// Stores `answer` unless it is too large.
   void Put(const key_hash& key, const response& answer, time_point now);
 
   /// Returns the answer, or null.
   const response* Find(const key_hash& key);
 
-  /// Drops answers that were put before `oldest`.
+  /// Removes answers that were stored before `oldest`.
   void EvictOlderThan(time_point oldest);
 
   std::size_t bytes() const { return bytes_; }
@@ -44,7 +43,7 @@
   const std::size_t max_bytes_;
   const std::size_t max_answer_bytes_;
   std::size_t bytes_ = 0;
-  /// Those used last are in front.
+  /// Ordered by last use, the most recently used in front.
   answer_list answers_;
   std::unordered_map<key_hash, answer_list::iterator, key_hash_hasher> by_key_;
 };
--- a/src/core/requests/answers.cc
+++ b/src/core/requests/answers.cc
@@ -62,18 +62,19 @@
 }
 
 response AnswerForRefusedClaim(const claim_decision& refused) {
-  // A request with the same key may have run, so these three don't say not-run
-  // although this one was not.
+  // A request with the same key may have run, so these three cases do not
+  // report not-run although this request was not run.
   switch (refused.verdict) {
     case claim_verdict::kInProgress: {
       response made = Unknown(answer_reason::kKeyInProgress,
-                              "a request with this key is being run");
+                              "a request with this key is in progress");
       made.retry_after = std::max(refused.retry_after, kDefaultRetryAfter);
       return made;
     }
     case claim_verdict::kAlreadyRun:
-      return Unknown(answer_reason::kKeyAlreadyRun,
-                     "a request with this key has run; its answer is not kept");
+      return Unknown(
+          answer_reason::kKeyAlreadyRun,
+          "a request with this key may have run; its answer is not stored");
     case claim_verdict::kTooOld:
       return Unknown(answer_reason::kKeyTooOld,
                      "the key is older than the claim window");
@@ -81,13 +82,14 @@
       if (refused.stored.has_value()) {
         return *refused.stored;
       }
-      return Unknown(answer_reason::kKeyAlreadyRun, "the answer is lost");
+      return Unknown(answer_reason::kKeyAlreadyRun,
+                     "the stored answer of this key is not available");
     case claim_verdict::kGranted:
     case claim_verdict::kLogUnavailable:
       break;
   }
   return NotRun(answer_reason::kLogUnavailable,
-                "the key can't be claimed while the log is out",
+                "the key cannot be claimed while the log is unavailable",
                 std::max(refused.retry_after, kDefaultRetryAfter));
 }
 
--- a/src/core/requests/answers.h
+++ b/src/core/requests/answers.h
@@ -6,10 +6,11 @@
 #include "plantainhead/core/claims/claim_decision.h"
 #include "plantainhead/core/requests/request.h"
 
-/// The answers that entries give in place of an endpoint.
+/// Builds the answers that entries give when there is no answer from an
+/// endpoint.
 namespace plantainhead::core {
 
-/// When there is no better estimate of when asking again may help.
+/// Used when there is no better estimate of when a retry may succeed.
 inline constexpr duration kDefaultRetryAfter = std::chrono::seconds(1);
 
 /// Returns an answer to a request that was not run and will not be.
@@ -20,8 +21,8 @@
 /// Returns an answer to a request that may have run.
 response Unknown(answer_reason reason, std::string detail);
 
-/// Returns the answer to a request whose claim wasn't granted.
-/// Precondition: the verdict isn't `kGranted`.
+/// Returns the answer to a request whose claim was not granted. Precondition:
+/// the verdict is not `kGranted`.
 response AnswerForRefusedClaim(const claim_decision& refused);
 
 }  // namespace plantainhead::core
--- a/src/core/requests/endpoint_health.cc
+++ b/src/core/requests/endpoint_health.cc
@@ -15,8 +15,8 @@
     known.is_probing = false;
     return;
   }
-  // A second answer after the trial: the fault is over, and the next ejection
-  // is a short one again.
+  // A second success after the ejection: the endpoint has recovered, so the
+  // next ejection is short again.
   known.ejections = 0;
 }
 
--- a/src/core/requests/endpoint_table.cc
+++ b/src/core/requests/endpoint_table.cc
@@ -19,7 +19,7 @@
   return XXH3_64bits(name.data(), name.size());
 }
 
-/// The weight of a member for a thing in rendezvous hashing.
+/// Returns the rendezvous hashing weight of a member for an item.
 std::uint64_t WeightOf(std::uint64_t item_hash, incarnation member) {
   const std::uint64_t pair[] = {item_hash, static_cast<std::uint64_t>(member)};
   return XXH3_64bits(pair, sizeof(pair));
--- a/src/core/requests/request_core.cc
+++ b/src/core/requests/request_core.cc
@@ -9,19 +9,19 @@
 namespace plantainhead::core {
 namespace {
 
-/// An entry that waits for another must hear its answer before its own caller's
-/// time is up. So a request that came from another entry is given up this much
-/// earlier while it has not been dispatched: else the first entry could only
-/// say unknown where the owner knows that it was not run.
+/// An entry that waits for another one must receive its answer before its own
+/// caller's deadline. So a request from another entry expires this much earlier
+/// while it has not been dispatched: otherwise the first entry could only
+/// answer unknown although the owner knows that the request was not run.
 constexpr duration kHopMargin = std::chrono::milliseconds(60);
-/// The margin is at most this part of the time that is left.
+/// The margin is at most the remaining time divided by this number.
 constexpr int kHopMarginDivisor = 8;
-/// Ticks come every `kTickInterval`; without one for this long the process
-/// stood still.
+/// Ticks come every `kTickInterval`; if none comes for this long, the process
+/// was paused.
 constexpr duration kStallThreshold = std::chrono::milliseconds(500);
-/// How long what piled up meanwhile may take to be read.
+/// Time allowed for reading the messages that accumulated during a pause.
 constexpr duration kHoldAfterStall = std::chrono::milliseconds(100);
-/// Above this many incarnations those that are no members are forgotten.
+/// Above this number of incarnations, those that are not members are removed.
 constexpr std::size_t kMaxSeenPeers = 1024;
 
 std::string KnownClasses(const service_routes& routes) {
@@ -145,8 +145,9 @@
   switch (item.current_stage) {
     case stage::kClaiming:
     case stage::kQueued:
-      Finish(item, NotRun(answer_reason::kNone, "the caller hung up"), context,
-             now, out);
+      Finish(item,
+             NotRun(answer_reason::kNone, "the caller closed the connection"),
+             context, now, out);
       return;
     case stage::kForwarded:
       SendTo(item.peer, cancel_forward{{self_, item.forward}}, context, out);
@@ -166,8 +167,8 @@
   const std::uint64_t number = decision.request.sequence;
   const auto ended = abandoned_claims_.find(number);
   if (ended != abandoned_claims_.end()) {
-    // Its caller was told that it was not run. Without the release a retry
-    // would be refused although nobody ran the key.
+    // The caller was told that the request was not run. Without the release a
+    // retry would be refused although no request with this key ran.
     if (decision.verdict == claim_verdict::kGranted) {
       AddClaimCommand(claim_operation::kRelease, ended->second, number);
     }
@@ -191,11 +192,12 @@
   Route(*item, context, now, out);
 }
 
-// The time that a forwarded request has left travels as a duration, so for an
-// entry that stood still (a VM that was paused) an old request looks new. Its
-// caller was told unknown long ago and may have asked for it anew: running it
-// now would do it twice. The sender's `cancel_forward` stands right behind it
-// on the connection, so waiting until all that has piled up was read is enough.
+// The remaining time of a forwarded request is sent as a duration, so after a
+// pause of the process (for example of its VM) an old request looks new. Its
+// caller was answered unknown long ago and may have retried: running it now
+// would run it twice. The sender's `cancel_forward` follows the request on the
+// same connection, so it is enough to wait until the accumulated messages have
+// been read.
 void request_core::DetectStall(time_point now) {
   const bool stalled =
       last_activity_ != time_point() && now - last_activity_ > kStallThreshold;
@@ -209,8 +211,8 @@
                           time_point now,
                           effects& out) {
   DetectStall(now);
-  // First what has expired, so that an entry that was frozen starts nothing
-  // whose caller has given up.
+  // Handles expired requests first, so that an entry that was paused starts
+  // none whose caller has given up.
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     const std::uint64_t number = expiries_.begin()->second;
     expiries_.erase(expiries_.begin());
@@ -240,7 +242,7 @@
       CountUnserved(item, context);
       Finish(item,
              NotRun(answer_reason::kDeadline,
-                    "the deadline passed before it could be started"),
+                    "the deadline passed before the request could be started"),
              context, now, out);
       return;
     case stage::kForwarded:
@@ -252,10 +254,11 @@
       return;
     case stage::kDispatched:
       CountUnserved(item, context);
-      Finish(item,
-             Unknown(answer_reason::kDeadline,
-                     "no whole answer from the endpoint before the deadline"),
-             context, now, out);
+      Finish(
+          item,
+          Unknown(answer_reason::kDeadline,
+                  "no complete answer from the endpoint before the deadline"),
+          context, now, out);
       return;
   }
 }
--- a/src/core/requests/request_core_calls.cc
+++ b/src/core/requests/request_core_calls.cc
@@ -8,12 +8,13 @@
 namespace plantainhead::core {
 namespace {
 
-/// How long an endpoint that is full is left alone.
+/// How long no call is sent to an endpoint that reported that it is full.
 constexpr duration kFullBackoff = std::chrono::milliseconds(50);
-/// How long an endpoint's own word that it leaves holds if neither the list nor
-/// the fold ever shows it, e.g. since only its process was restarted.
+/// How long an endpoint's own announcement that it is leaving holds if neither
+/// the platform's list nor the fold ever shows it, for example because only its
+/// process was restarted.
 constexpr duration kLeavingTtl = std::chrono::minutes(5);
-/// Answers with this status or a greater one are errors of the endpoint.
+/// Answers with this status or a higher one are errors of the endpoint.
 constexpr int kFirstServerError = 500;
 
 }  // namespace
@@ -86,8 +87,8 @@
   for (const owner_share& share : routes->owners) {
     own += share.owner == self_ ? share.slots : 0;
   }
-  // What this endpoint lacks itself, while it proves itself, isn't lost at
-  // others: counted in, it would keep it from being ejected again.
+  // Slots that this endpoint itself lacks while it is probed do not count as
+  // ejected elsewhere: if they did, the endpoint could not be ejected again.
   const std::uint32_t usable =
       OwnLoad(*routes, now).slots + endpoint->slots -
       health_.AllowedCalls(ended.vm, now, endpoint->slots);
@@ -136,7 +137,8 @@
   } else if (full) {
     health_.OnFull(ended->vm, now + kFullBackoff);
   }
-  // An endpoint that refuses although nothing runs there isn't full but broken.
+  // An endpoint that refuses a call although none is running there is faulty,
+  // not full.
   if (!full || (!event.leaving && counts_.CountOf(ended->vm) == 0)) {
     ReportHealth(*ended, false, context, now);
   }
@@ -160,7 +162,7 @@
   item.current_stage = stage::kQueued;
   response refusal =
       unsent ? NotRun(answer_reason::kEndpointRefused,
-                      "the endpoint didn't take it: " + event.detail)
+                      "the endpoint refused the request: " + event.detail)
              : Unknown(answer_reason::kEndpointLost,
                        "no whole answer from the endpoint: " + event.detail);
   if (!again) {
--- a/src/core/requests/request_core_finish.cc
+++ b/src/core/requests/request_core_finish.cc
@@ -13,8 +13,8 @@
                           time_point now,
                           effects& out) {
   if (answer.result == outcome::kNotRun && item.may_have_run) {
-    // An earlier attempt was lost after it may have reached an endpoint; the
-    // later one alone was not run.
+    // An earlier attempt failed after it may have reached an endpoint; only the
+    // last attempt was certainly not run.
     answer.result = outcome::kUnknown;
     answer.detail += "; an earlier attempt may have run";
   }
--- a/src/core/requests/request_core_peers.cc
+++ b/src/core/requests/request_core_peers.cc
@@ -3,7 +3,7 @@
 #include "core/requests/answers.h"
 #include "plantainhead/core/requests/request_core.h"
 
-/// The part of `request_core` that hears other entries.
+/// The part of `request_core` that handles messages and failures of peers.
 namespace plantainhead::core {
 
 void request_core::OnForward(incarnation from,
@@ -99,7 +99,7 @@
       waiting_for.push_back(number);
     }
   }
-  // In the order of arrival, so that a session replays the same.
+  // In the order of arrival, so that a replayed session gives the same result.
   std::sort(waiting_for.begin(), waiting_for.end());
   std::sort(came_from.begin(), came_from.end());
   for (const std::uint64_t number : came_from) {
--- a/src/core/requests/request_core_routing.cc
+++ b/src/core/requests/request_core_routing.cc
@@ -4,11 +4,11 @@
 #include "core/requests/answers.h"
 #include "plantainhead/core/requests/request_core.h"
 
-/// The part of `request_core` that chooses homes and owners.
+/// The part of `request_core` that chooses coordinators and owners.
 namespace plantainhead::core {
 namespace {
 
-/// Owners and endpoints that one request is offered to at most.
+/// Maximum number of owners and endpoints that one request is sent to.
 constexpr std::uint32_t kMaxAttempts = 3;
 
 }  // namespace
@@ -27,10 +27,11 @@
                                 time_point now,
                                 effects& out) {
   if (item.cancelled || !MayRetry(item, now)) {
-    Finish(item,
-           item.refusal.value_or(Unknown(answer_reason::kPeerLost,
-                                         "the claiming entries were lost")),
-           context, now, out);
+    Finish(
+        item,
+        item.refusal.value_or(Unknown(answer_reason::kPeerLost,
+                                      "the coordinators of the key were lost")),
+        context, now, out);
     return;
   }
   const std::uint32_t partition = PartitionOf(*item.envelope.key);
@@ -46,8 +47,8 @@
       return;
     }
   }
-  // The log decides who is first, so any entry may claim; the home only saves
-  // appends and holds the answers.
+  // Any entry may claim the key, since the order of the log decides which claim
+  // is first; the coordinator only saves appends and stores the answers.
   RequestLocalClaim(item, now);
 }
 
@@ -58,8 +59,8 @@
   const service_routes* routes = context.endpoints.Find(item.envelope.service);
   if (routes == nullptr || item.cancelled || !MayRetry(item, now)) {
     Finish(item,
-           item.refusal.value_or(
-               NotRun(answer_reason::kNoEndpoint, "nobody could take it")),
+           item.refusal.value_or(NotRun(answer_reason::kNoEndpoint,
+                                        "no endpoint accepted the request")),
            context, now, out);
     return;
   }
@@ -68,8 +69,9 @@
       loads_.Choose(*routes, own, context, item.avoid_owners, random_);
   if (!owner.has_value()) {
     Finish(item,
-           item.refusal.value_or(NotRun(answer_reason::kNoEndpoint,
-                                        "no endpoint of the service is up")),
+           item.refusal.value_or(
+               NotRun(answer_reason::kNoEndpoint,
+                      "no endpoint of the service is available")),
            context, now, out);
   } else if (*owner == self_) {
     Enqueue(item, own, context, now, out);
@@ -132,7 +134,7 @@
       {item.number, item.arrival, ExpiryOf(item)}, *work, own.slots, free, now);
   if (!result.admitted) {
     Finish(item,
-           NotRun(answer_reason::kOverload, "it would wait too long",
+           NotRun(answer_reason::kOverload, "the predicted wait is too long",
                   result.retry_after),
            context, now, out);
     return;
@@ -146,8 +148,8 @@
                                   effects& out) {
   const service_routes* routes = context.endpoints.Find(service);
   const auto queue = queues_.find(service);
-  // While this entry lags behind the log it may not know which VMs drain; what
-  // waits is answered at its deadline at the latest.
+  // While this entry lags behind the log, it may not know which VMs are
+  // draining; queued requests are answered at their deadline at the latest.
   const bool is_held = now < dispatch_hold_until_ || !context.ready;
   if (routes == nullptr || queue == queues_.end() || is_held) {
     return;
@@ -194,10 +196,10 @@
   const duration retry_after = queues_[routes.name].RetryAfter(
       *work, own.slots, own.slots - std::min(own.slots, own.busy), now);
   CountUnserved(item, context);
-  Finish(
-      item,
-      NotRun(answer_reason::kOverload, "it could not end in time", retry_after),
-      context, now, out);
+  Finish(item,
+         NotRun(answer_reason::kOverload,
+                "the request could not finish in time", retry_after),
+         context, now, out);
 }
 
 bool request_core::MayRetry(const request& item, time_point now) const {
@@ -274,8 +276,8 @@
   item.refusal = lost;
   item.avoid_owners.push_back(item.peer);
   if (item.requested_stage == forward_stage::kClaim) {
-    // The log lets only one claim of the key through, so asking the next home
-    // can't run it twice.
+    // At most one claim of the key is granted by the order of the log, so
+    // asking the next coordinator cannot run the request twice.
     AcquireClaim(item, context, now, out);
     return;
   }
--- a/src/core/requests/request_queue.cc
+++ b/src/core/requests/request_queue.cc
@@ -6,15 +6,16 @@
 namespace plantainhead::core {
 namespace {
 
-/// Weight of a new service time in the mean.
+/// Weight of a new service time in the moving averages.
 constexpr double kServiceTimeWeight = 1.0 / 16;
-/// Weight of one request's end in the burn.
+/// Weight of one request's outcome in the burn rate.
 constexpr double kBurnRateWeight = 1.0 / 128;
 /// Weight of one dispatch in the shares of the classes.
 constexpr double kShareWeight = 1.0 / 256;
-/// Stands in until the first service time is measured.
+/// Assumed service time until the first one is measured.
 constexpr double kInitialServiceTimeUs = 10000;
-/// A budget of less than this counts as this, so that the burn stays finite.
+/// Lower bound for the allowed unavailability, so that the burn rate stays
+/// finite.
 constexpr double kMinUnavailability = 0.0001;
 constexpr double kMaxCredit = 2;
 
@@ -46,8 +47,8 @@
   made.id = item.id;
   made.deadline = item.deadline;
   made.effective_deadline = std::min(item.deadline, item.arrival + work.within);
-  // A class whose target is shorter than its service takes would be refused
-  // for ever; then only the caller's deadline counts.
+  // A class whose target is shorter than its service time would always be
+  // refused; in that case only the caller's deadline counts.
   if (work.within < ExpectedServiceTime(queue)) {
     made.effective_deadline = item.deadline;
   }
@@ -98,7 +99,7 @@
   Insert(queue, MakeWaiting(item, work, queue));
 }
 
-// Moves the whole class, so that its own requests keep their order.
+// Moves the whole class forward, so that its own requests keep their order.
 duration request_queue::Boost(const class_queue& queue) {
   const auto within = static_cast<double>(queue.within.count());
   return Microseconds(within * kMaxBoost * std::min(1.0, queue.burn_rate));
@@ -127,8 +128,9 @@
   if (urgent == nullptr || deferrable == nullptr) {
     return urgent == nullptr ? deferrable : urgent;
   }
-  // Both wait: the credit bounds the share of those that can wait from below,
-  // or, once their limit is the earliest, from above.
+  // Both kinds are queued: the credit guarantees classes that can wait a
+  // minimum share or, once their effective deadline is the earliest, limits
+  // them to a maximum share.
   const bool due = HeadKey(*deferrable) <= HeadKey(*urgent);
   deferrable_credit_ = std::min(
       kMaxCredit,
@@ -228,7 +230,7 @@
   }
   double ahead = 0;
   for (const auto& [name, other] : class_queues_) {
-    // Work that can wait lets all other work go first.
+    // All requests that cannot wait go before those that can.
     const bool all = queue.can_wait && !other.can_wait;
     if (all || other.can_wait == queue.can_wait) {
       ahead += static_cast<double>(
@@ -244,9 +246,9 @@
   return Microseconds((ahead + 1) * mean / slots / RemainingShare(queue));
 }
 
-// Requests that arrive later and go first take slots too: without them the
-// prediction falls short by as much as the tighter classes get, and requests
-// are let in that can't be served in time.
+// Requests that arrive later but go first take slots too: without them the
+// predicted wait would be too short by the share of the tighter classes, and
+// requests would be admitted that cannot be served in time.
 double request_queue::RemainingShare(const class_queue& queue) const {
   double left = 1;
   for (const auto& [name, other] : class_queues_) {
