--- a/tests/core/claims/claims_fixture.h
+++ b/tests/core/claims/claims_fixture.h
@@ -150,10 +150,10 @@
 
   /// Takes the verdict on a request; nothing while there is none.
   std::optional<claim_decision> Take(std::uint64_t sequence) {
-    for (auto place = decisions_.begin(); place != decisions_.end(); ++place) {
-      if (place->request == Request(sequence)) {
-        claim_decision decision = *place;
-        decisions_.erase(place);
+    for (auto it = decisions_.begin(); it != decisions_.end(); ++it) {
+      if (it->request == Request(sequence)) {
+        claim_decision decision = *it;
+        decisions_.erase(it);
         return decision;
       }
     }
--- a/tests/core/claims/claims_property_test.cc
+++ b/tests/core/claims/claims_property_test.cc
@@ -224,8 +224,8 @@
   }
 
   void Read(entry_instance& instance, time_point now) {
-    const auto place = instance.entry.followed().find(kStream);
-    if (place != instance.entry.followed().end()) {
+    const auto it = instance.entry.followed().find(kStream);
+    if (it != instance.entry.followed().end()) {
       instance.entry.ReadSome(kStream, 1 + Below(5), now);
     }
   }
@@ -262,10 +262,10 @@
     for (append_records& append : instance.entry.appends()) {
       delayed_appends_.emplace_back(append.stream, append.records);
     }
-    const auto place = std::find_if(
+    const auto it = std::find_if(
         instances_.begin(), instances_.end(),
         [&](const auto& candidate) { return candidate.get() == &instance; });
-    *place = NewInstance();
+    *it = NewInstance();
   }
 
   void CompleteDelayedAppend() {
--- a/tests/core/claims/claims_test.cc
+++ b/tests/core/claims/claims_test.cc
@@ -379,10 +379,11 @@
 // window.
 TEST_CASE("A claim stream was cut by retention") {
   model_log log;
-  claims_entry old_home(1, &log);
-  MakeCoordinator(old_home, kStart);
+  claims_entry old_coordinator(1, &log);
+  MakeCoordinator(old_coordinator, kStart);
   const claim_key& lost = kKey;
-  REQUIRE(AcquireAndSettle(old_home, 1, kStart) == claim_verdict::kGranted);
+  REQUIRE(AcquireAndSettle(old_coordinator, 1, kStart) ==
+          claim_verdict::kGranted);
   const time_point later = kStart + seconds(30);
 
   SECTION("before a new home has read it: it waits for a window") {
@@ -406,13 +407,15 @@
   SECTION("ahead of a reader that fell behind: its claims are given up") {
     claims_entry coordinator(2, &log);
     MakeCoordinator(coordinator, kStart);
-    old_home.Release(lost, 1, later);
-    REQUIRE(AcquireAndSettle(old_home, 2, later) == claim_verdict::kGranted);
-    old_home.Release(lost, 2, later);
-    old_home.Settle(later);
+    old_coordinator.Release(lost, 1, later);
+    REQUIRE(AcquireAndSettle(old_coordinator, 2, later) ==
+            claim_verdict::kGranted);
+    old_coordinator.Release(lost, 2, later);
+    old_coordinator.Settle(later);
     coordinator.Read(later);
     coordinator.Acquire(lost, 3, later);
-    REQUIRE(AcquireAndSettle(old_home, 4, later) == claim_verdict::kGranted);
+    REQUIRE(AcquireAndSettle(old_coordinator, 4, later) ==
+            claim_verdict::kGranted);
     coordinator.CompleteAppend(later);
     log.Cut(kStream, log.End(kStream));
     coordinator.Read(later);
@@ -437,8 +440,8 @@
     log_offset kept_for_two_windows = 0;
     for (int half_windows = 1; half_windows <= 5; ++half_windows) {
       now += kWindow / 2;
-      old_home.Tick(now);
-      old_home.Settle(now);
+      old_coordinator.Tick(now);
+      old_coordinator.Settle(now);
       if (half_windows == 1) {
         kept_for_two_windows = log.End(kStream) + 1;
       }
@@ -452,10 +455,11 @@
   SECTION("behind an old record that landed late: it proves nothing") {
     const time_point now = kStart + kKept;
     record late;
-    late.body = claim_request{claim_key("x"), old_home.self(),
-                              old_home.Request(7), kStart};
-    old_home.Tick(now);
-    REQUIRE(AcquireAndSettle(old_home, 2, now) == claim_verdict::kGranted);
+    late.body = claim_request{claim_key("x"), old_coordinator.self(),
+                              old_coordinator.Request(7), kStart};
+    old_coordinator.Tick(now);
+    REQUIRE(AcquireAndSettle(old_coordinator, 2, now) ==
+            claim_verdict::kGranted);
     log.Append(kStream, {late});
     log.Cut(kStream, log.End(kStream));
     claims_entry coordinator(2, &log);
@@ -539,45 +543,48 @@
 // becomes the home. What the old home wrote stands, and only it may run it.
 TEST_CASE("The view changes between claim and dispatch") {
   model_log log;
-  claims_entry old_home(1, &log);
-  claims_entry new_home(2, &log);
-  MakeCoordinator(old_home, kStart);
-  old_home.Acquire(kKey, 1, kStart);
+  claims_entry old_coordinator(1, &log);
+  claims_entry new_coordinator(2, &log);
+  MakeCoordinator(old_coordinator, kStart);
+  old_coordinator.Acquire(kKey, 1, kStart);
 
   SECTION("before the claim was read back: the old home completes it") {
-    old_home.SetCoordinator(false, kStart);
-    MakeCoordinator(new_home, kStart);
-    old_home.Settle(kStart);
-    CHECK(VerdictOf(old_home, 1) == claim_verdict::kGranted);
-    CHECK(AcquireAndSettle(new_home, 1, kStart) == claim_verdict::kAlreadyRun);
-    CHECK(old_home.followed().empty());
+    old_coordinator.SetCoordinator(false, kStart);
+    MakeCoordinator(new_coordinator, kStart);
+    old_coordinator.Settle(kStart);
+    CHECK(VerdictOf(old_coordinator, 1) == claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(new_coordinator, 1, kStart) ==
+          claim_verdict::kAlreadyRun);
+    CHECK(old_coordinator.followed().empty());
   }
 
   SECTION("before the new home has read the stream: it writes nothing yet") {
-    old_home.CompleteAppend(kStart);
-    new_home.SetCoordinator(true, kStart);
-    new_home.Acquire(kKey, 1, kStart);
-    CHECK(new_home.appends().empty());
-    new_home.Read(kStart);
-    CHECK(VerdictOf(new_home, 1) == claim_verdict::kAlreadyRun);
-    CHECK(new_home.appends().empty());
+    old_coordinator.CompleteAppend(kStart);
+    new_coordinator.SetCoordinator(true, kStart);
+    new_coordinator.Acquire(kKey, 1, kStart);
+    CHECK(new_coordinator.appends().empty());
+    new_coordinator.Read(kStart);
+    CHECK(VerdictOf(new_coordinator, 1) == claim_verdict::kAlreadyRun);
+    CHECK(new_coordinator.appends().empty());
   }
 
   SECTION("after the grant: the old home may still release it") {
-    old_home.Settle(kStart);
-    REQUIRE(VerdictOf(old_home, 1) == claim_verdict::kGranted);
-    old_home.SetCoordinator(false, kStart);
-    MakeCoordinator(new_home, kStart);
+    old_coordinator.Settle(kStart);
+    REQUIRE(VerdictOf(old_coordinator, 1) == claim_verdict::kGranted);
+    old_coordinator.SetCoordinator(false, kStart);
+    MakeCoordinator(new_coordinator, kStart);
     const time_point later = kStart + seconds(1);
-    CHECK(AcquireAndSettle(new_home, 1, later) == claim_verdict::kAlreadyRun);
-    old_home.Release(kKey, 1, later);
-    old_home.Settle(later);
-    new_home.Read(later);
-    CHECK(AcquireAndSettle(new_home, 2, later) == claim_verdict::kGranted);
+    CHECK(AcquireAndSettle(new_coordinator, 1, later) ==
+          claim_verdict::kAlreadyRun);
+    old_coordinator.Release(kKey, 1, later);
+    old_coordinator.Settle(later);
+    new_coordinator.Read(later);
+    CHECK(AcquireAndSettle(new_coordinator, 2, later) ==
+          claim_verdict::kGranted);
   }
 
   SECTION("an entry that isn't the home refuses") {
-    CHECK(AcquireAndSettle(new_home, 1, kStart) ==
+    CHECK(AcquireAndSettle(new_coordinator, 1, kStart) ==
           claim_verdict::kLogUnavailable);
   }
 }
--- a/tests/core/requests/golden_session_test.cc
+++ b/tests/core/requests/golden_session_test.cc
@@ -13,7 +13,7 @@
  public:
   void Title(const std::string& words) { text_.Title(words); }
 
-  void Happen(const event& what) {
+  void HandleEvent(const event& what) {
     text_.In(now_, Text(what));
     effects out;
     std::visit(
@@ -66,7 +66,7 @@
     }
     read.end = offset;
     read.begin = 1;
-    Happen(read);
+    HandleEvent(read);
   }
 
   void Arrive(std::uint64_t sequence,
@@ -84,20 +84,20 @@
     if (!key.empty()) {
       arrived.request.key = claim_key(key);
     }
-    Happen(arrived);
+    HandleEvent(arrived);
   }
 
   void Reply(std::uint64_t call, const std::string& body) {
-    Happen(endpoint_replied{static_cast<call_id>(call),
-                            200,
-                            {},
-                            std::make_shared<const std::string>(body)});
+    HandleEvent(endpoint_replied{static_cast<call_id>(call),
+                                 200,
+                                 {},
+                                 std::make_shared<const std::string>(body)});
   }
 
   const fleet_state& fleet() const { return fleet_; }
   bool idle() const { return core_.Idle(); }
   std::string str() const { return text_.str(); }
-  claim_command last_question;
+  claim_command last_command;
 
  private:
   routing_context Context() const {
@@ -133,7 +133,7 @@
     }
     for (claim_command& command : core_.TakeClaimCommands()) {
       text_.Out(Text(command));
-      last_question = std::move(command);
+      last_command = std::move(command);
     }
   }
 
@@ -179,7 +179,7 @@
   const lease_epoch epoch = session.fleet().lease.epoch;
   session.Fold({assign_vm{epoch, vm_id("near"), 0, pool_id("casework"), "new"},
                 assign_vm{epoch, vm_id("far"), 0, pool_id("casework"), "new"}});
-  session.Happen(
+  session.HandleEvent(
       vm_list_read{{Listing("near", "suwon"), Listing("far", "goyang")}, {}});
 }
 
@@ -195,12 +195,12 @@
   reply.answer.result = outcome::kDone;
   reply.answer.body = std::make_shared<const std::string>("petition 8");
   reply.load = {{kIntake, 1, 0, 0}};
-  session.Happen(frame_received{{kPeer, 4, reply}});
+  session.HandleEvent(frame_received{{kPeer, 4, reply}});
 
   session.Title("An appeal with a key is claimed, then run once");
   session.Arrive(3, "POST", "/appeals", "ward-3/appeal-12");
   claim_decision granted;
-  granted.request = session.last_question.request;
+  granted.request = session.last_command.request;
   granted.verdict = claim_verdict::kGranted;
   session.AdvanceTime(milliseconds(70));
   session.Decide(granted);
@@ -209,8 +209,8 @@
 
   session.Title("An endpoint is lost under an appeal without a key");
   session.Arrive(4, "POST", "/appeals");
-  session.Happen(endpoint_failed{static_cast<call_id>(3),
-                                 endpoint_failure::kMaybeSent, false, "reset"});
+  session.HandleEvent(endpoint_failed{
+      static_cast<call_id>(3), endpoint_failure::kMaybeSent, false, "reset"});
 }
 
 void Drain(request_session& session) {
@@ -230,7 +230,7 @@
   session.Reply(4, "petition 9");
 
   session.Title("The other entry is lost: idempotent work finds no one else");
-  session.Happen(peer_disconnected{kPeer});
+  session.HandleEvent(peer_disconnected{kPeer});
 }
 
 TEST_CASE("A session of one entry's requests is as it was agreed") {
@@ -240,7 +240,7 @@
   Drain(session);
 
   session.Title("The entry stops");
-  session.Happen(stop_requested{});
+  session.HandleEvent(stop_requested{});
   session.Arrive(7, "GET", "/petitions/11");
   CHECK(session.idle());
   const std::string current = session.str();
--- a/tests/core/requests/owner_loads_test.cc
+++ b/tests/core/requests/owner_loads_test.cc
@@ -9,29 +9,29 @@
 namespace plantainhead::core {
 namespace {
 
-struct routing_story {
+struct routing_fixture {
   request_harness harness;
   owner_loads loads;
   random_source random{1};
   service_load own;
   std::vector<incarnation> avoid;
 
-  routing_story() {
+  routing_fixture() {
     harness.AddMember(kPeer, "goyang");
     harness.AddMember(kOther, "seongnam");
     harness.AddEndpoint("runner-2", "goyang");
     harness.AddEndpoint("runner-3", "seongnam");
   }
 
-  std::map<incarnation, int> Draw(int times) {
+  std::map<incarnation, int> DrawOwners(int times) {
     harness.table.Rebuild(harness.fleet, harness.listings, kSelf, {});
-    std::map<incarnation, int> drawn;
+    std::map<incarnation, int> owner_counts;
     for (int i = 0; i < times; ++i) {
       const auto owner = loads.Choose(*harness.table.Find(kIntake), own,
                                       harness.Context(), avoid, random);
-      drawn[owner.value_or(incarnation::kNone)] += 1;
+      owner_counts[owner.value_or(incarnation::kNone)] += 1;
     }
-    return drawn;
+    return owner_counts;
   }
 
   void Report(incarnation owner, std::uint32_t busy, std::uint32_t queued) {
@@ -40,92 +40,92 @@
 };
 
 TEST_CASE("An owner is chosen for a request") {
-  routing_story story;
+  routing_fixture fixture;
 
   SECTION("among those with endpoints, by their slots") {
-    const auto drawn = story.Draw(1000);
-    CHECK(drawn.size() == 2);
-    CHECK(drawn.at(kPeer) > 400);
-    CHECK(drawn.at(kOther) > 400);
+    const auto owner_counts = fixture.DrawOwners(1000);
+    CHECK(owner_counts.size() == 2);
+    CHECK(owner_counts.at(kPeer) > 400);
+    CHECK(owner_counts.at(kOther) > 400);
   }
 
   SECTION("this entry first, while it has a free slot") {
-    story.harness.AddEndpoint("runner-1", "suwon");
-    story.own = {kIntake, 8, 7, 0};
-    CHECK(story.Draw(10).at(kSelf) == 10);
-    story.own.busy = 8;
-    CHECK(story.Draw(100)[kSelf] < 100);
+    fixture.harness.AddEndpoint("runner-1", "suwon");
+    fixture.own = {kIntake, 8, 7, 0};
+    CHECK(fixture.DrawOwners(10).at(kSelf) == 10);
+    fixture.own.busy = 8;
+    CHECK(fixture.DrawOwners(100)[kSelf] < 100);
   }
 
   SECTION("the one that is less full of two") {
-    story.Report(kPeer, 8, 20);
-    story.Report(kOther, 8, 2);
-    CHECK(story.Draw(100).at(kOther) == 100);
+    fixture.Report(kPeer, 8, 20);
+    fixture.Report(kOther, 8, 2);
+    CHECK(fixture.DrawOwners(100).at(kOther) == 100);
   }
 
   SECTION("with what was sent since its last report counted in") {
-    story.Report(kPeer, 0, 0);
-    story.Report(kOther, 0, 0);
+    fixture.Report(kPeer, 0, 0);
+    fixture.Report(kOther, 0, 0);
     for (int i = 0; i < 20; ++i) {
-      story.loads.OnForwarded(kPeer, kIntake);
+      fixture.loads.OnForwarded(kPeer, kIntake);
     }
-    CHECK(story.Draw(100).at(kOther) == 100);
+    CHECK(fixture.DrawOwners(100).at(kOther) == 100);
   }
 
   SECTION("the one in this entry's zone when they tie") {
-    story.harness.fleet.members[kPeer].zone = zone_id("suwon");
-    story.harness.listings[0].zone = zone_id("suwon");
-    story.harness.fleet.members.erase(kSelf);
-    story.harness.fleet.members[kSelf].zone = zone_id("suwon");
+    fixture.harness.fleet.members[kPeer].zone = zone_id("suwon");
+    fixture.harness.listings[0].zone = zone_id("suwon");
+    fixture.harness.fleet.members.erase(kSelf);
+    fixture.harness.fleet.members[kSelf].zone = zone_id("suwon");
     // Owned by the peer as the only other member of the zone is this entry.
-    story.harness.stopping = {kSelf};
-    story.harness.table.Rebuild(story.harness.fleet, story.harness.listings,
-                                kSelf, {kSelf});
-    std::map<incarnation, int> drawn;
+    fixture.harness.stopping = {kSelf};
+    fixture.harness.table.Rebuild(fixture.harness.fleet,
+                                  fixture.harness.listings, kSelf, {kSelf});
+    std::map<incarnation, int> owner_counts;
     for (int i = 0; i < 1000; ++i) {
-      drawn[*story.loads.Choose(*story.harness.table.Find(kIntake), story.own,
-                                story.harness.Context(), {}, story.random)] +=
-          1;
+      owner_counts[*fixture.loads.Choose(*fixture.harness.table.Find(kIntake),
+                                         fixture.own, fixture.harness.Context(),
+                                         {}, fixture.random)] += 1;
     }
-    CHECK(drawn[kPeer] == 1000);
+    CHECK(owner_counts[kPeer] == 1000);
   }
 
   SECTION("never a suspect or one that was tried") {
-    story.harness.suspects = {kPeer};
-    CHECK(story.Draw(100).at(kOther) == 100);
-    story.avoid = {kOther};
-    CHECK(story.Draw(100).at(incarnation::kNone) == 100);
+    fixture.harness.suspects = {kPeer};
+    CHECK(fixture.DrawOwners(100).at(kOther) == 100);
+    fixture.avoid = {kOther};
+    CHECK(fixture.DrawOwners(100).at(incarnation::kNone) == 100);
   }
 }
 
 // The connection to an owner breaks. Until heartbeats stop for long enough to
 // suspect it, each request sent to it would be lost as well.
 TEST_CASE("An owner whose connection was lost isn't chosen") {
-  routing_story story;
-  story.loads.OnDisconnected(kPeer);
-  CHECK(story.Draw(100).at(kOther) == 100);
+  routing_fixture fixture;
+  fixture.loads.OnDisconnected(kPeer);
+  CHECK(fixture.DrawOwners(100).at(kOther) == 100);
 
   SECTION("until it is heard again") {
-    story.Report(kPeer, 0, 0);
-    CHECK(story.Draw(100).size() == 2);
+    fixture.Report(kPeer, 0, 0);
+    CHECK(fixture.DrawOwners(100).size() == 2);
   }
 
   SECTION("and is forgotten once it is no member") {
-    story.harness.fleet.members.erase(kPeer);
-    story.loads.Prune(story.harness.fleet);
-    CHECK_FALSE(story.loads.IsDisconnected(kPeer));
+    fixture.harness.fleet.members.erase(kPeer);
+    fixture.loads.Prune(fixture.harness.fleet);
+    CHECK_FALSE(fixture.loads.IsDisconnected(kPeer));
   }
 }
 
 TEST_CASE("Owners report slots that are out of use") {
-  routing_story story;
-  story.Draw(1);
-  const service_routes& routes = *story.harness.table.Find(kIntake);
-  CHECK(story.loads.UnavailableSlots(routes) == 0);
-  story.loads.OnReport(kPeer, {{kIntake, 3, 0, 0}});
-  CHECK(story.loads.UnavailableSlots(routes) == 5);
-  story.loads.OnDisconnected(kPeer);
-  CHECK(story.loads.UnavailableSlots(routes) == 0);
+  routing_fixture fixture;
+  fixture.DrawOwners(1);
+  const service_routes& routes = *fixture.harness.table.Find(kIntake);
+  CHECK(fixture.loads.UnavailableSlots(routes) == 0);
+  fixture.loads.OnReport(kPeer, {{kIntake, 3, 0, 0}});
+  CHECK(fixture.loads.UnavailableSlots(routes) == 5);
+  fixture.loads.OnDisconnected(kPeer);
+  CHECK(fixture.loads.UnavailableSlots(routes) == 0);
 }
 
 }  // namespace
--- a/tests/core/requests/request_cluster.h
+++ b/tests/core/requests/request_cluster.h
@@ -153,7 +153,7 @@
   }
 
   /// The log gets to the oldest question of an entry; `out` says it can't.
-  void Claim(std::size_t at, bool out_of_reach) {
+  void Claim(std::size_t at, bool is_log_unavailable) {
     entry& where = *entries_[at];
     if (where.claim_commands.empty() || where.frozen) {
       return;
@@ -172,7 +172,7 @@
     if (command.operation == claim_operation::kComplete) {
       return;
     }
-    if (out_of_reach) {
+    if (is_log_unavailable) {
       decision.verdict = claim_verdict::kLogUnavailable;
     } else if (holder != claims_.end()) {
       decision.verdict = claim_verdict::kAlreadyRun;
--- a/tests/core/requests/request_core_claims_test.cc
+++ b/tests/core/requests/request_core_claims_test.cc
@@ -30,11 +30,11 @@
   harness.Rebuild();
   harness.Arrive(harness.WithKey("appeal"));
   CHECK(harness.out.actions.empty());
-  const claim_command asked = OnlyClaimCommand(harness);
-  CHECK(asked.operation == claim_operation::kAcquire);
+  const claim_command command = OnlyClaimCommand(harness);
+  CHECK(command.operation == claim_operation::kAcquire);
 
   SECTION("and sent once the claim is granted") {
-    harness.Decide(asked.request, claim_verdict::kGranted);
+    harness.Decide(command.request, claim_verdict::kGranted);
     REQUIRE(harness.Calls().size() == 1);
     const call_id call = harness.Calls()[0].call;
 
@@ -47,7 +47,7 @@
     }
 
     SECTION("and a second grant does nothing") {
-      harness.Decide(asked.request, claim_verdict::kGranted);
+      harness.Decide(command.request, claim_verdict::kGranted);
       CHECK(harness.out.actions.empty());
     }
 
@@ -79,7 +79,7 @@
                              answer_reason::kKeyTooOld},
                  expectation{claim_verdict::kLogUnavailable, outcome::kNotRun,
                              answer_reason::kLogUnavailable});
-    harness.Decide(asked.request, expected.verdict);
+    harness.Decide(command.request, expected.verdict);
     CHECK(harness.Answer().result == expected.result);
     CHECK(harness.Answer().reason == expected.reason);
     CHECK(harness.core.TakeClaimCommands().empty());
@@ -91,7 +91,7 @@
     stored.result = outcome::kDone;
     harness.out = {};
     harness.core.OnClaimDecision(
-        {asked.request, claim_verdict::kStoredAnswer, stored, {}},
+        {command.request, claim_verdict::kStoredAnswer, stored, {}},
         harness.Context(), harness.now, harness.out);
     CHECK(harness.Answer().status == 201);
     CHECK(harness.Calls().empty());
@@ -104,7 +104,7 @@
     CHECK(harness.Answer().result == outcome::kNotRun);
     CHECK(harness.Answer().reason == answer_reason::kDeadline);
     CHECK(harness.core.TakeClaimCommands().empty());
-    harness.Decide(asked.request, claim_verdict::kGranted);
+    harness.Decide(command.request, claim_verdict::kGranted);
     CHECK(harness.Calls().empty());
     CHECK(OnlyClaimCommand(harness).operation == claim_operation::kRelease);
   }
@@ -126,11 +126,11 @@
     // the next home is refused if the key was claimed.
     SECTION("or is lost, and the next home claims it") {
       harness.Disconnect(kPeer);
-      const claim_command asked = OnlyClaimCommand(harness);
-      CHECK(asked.operation == claim_operation::kAcquire);
+      const claim_command command = OnlyClaimCommand(harness);
+      CHECK(command.operation == claim_operation::kAcquire);
 
       SECTION("whose refusal by the log isn't not-run") {
-        harness.Decide(asked.request, claim_verdict::kLogUnavailable);
+        harness.Decide(command.request, claim_verdict::kLogUnavailable);
         CHECK(harness.Answer().result == outcome::kUnknown);
       }
     }
@@ -148,8 +148,8 @@
     const request_id id = harness.Receive(
         kPeer, harness.WithKey(KeyCoordinatedBy(harness, kSelf)),
         forward_stage::kClaim);
-    const claim_command asked = OnlyClaimCommand(harness);
-    harness.Decide(asked.request, claim_verdict::kGranted);
+    const claim_command command = OnlyClaimCommand(harness);
+    harness.Decide(command.request, claim_verdict::kGranted);
     REQUIRE(harness.Calls().size() == 1);
     harness.Reply(harness.Calls()[0].call);
     const auto replies = Sent<forward_reply>(harness.out, kPeer);
--- a/tests/core/requests/request_core_failures_test.cc
+++ b/tests/core/requests/request_core_failures_test.cc
@@ -270,7 +270,7 @@
   harness.Rebuild();
   harness.Arrive(harness.Envelope());
   const call_endpoint first = harness.Calls()[0];
-  const auto hang_up = [&](std::uint64_t sequence) {
+  const auto disconnect_caller = [&](std::uint64_t sequence) {
     harness.out = {};
     harness.core.OnCallerGone({sequence}, harness.Context(), harness.now,
                               harness.out);
@@ -278,14 +278,14 @@
 
   SECTION("while the request is queued: it is never sent") {
     const std::uint64_t queued = harness.Arrive(harness.Envelope());
-    hang_up(queued);
+    disconnect_caller(queued);
     CHECK(harness.Answer().result == outcome::kNotRun);
     harness.Reply(first.call);
     CHECK(harness.Calls().empty());
   }
 
   SECTION("while it runs: the call is waited for") {
-    hang_up(harness.last_sequence);
+    disconnect_caller(harness.last_sequence);
     CHECK(harness.out.actions.empty());
     harness.Reply(first.call);
     CHECK(All<answer_caller>(harness.out).size() == 1);
@@ -297,7 +297,7 @@
     const std::uint64_t forwarded = harness.Arrive(harness.Envelope());
     const auto sent = Sent<forward_request>(harness.out, kPeer);
     REQUIRE(sent.size() == 1);
-    hang_up(forwarded);
+    disconnect_caller(forwarded);
     const auto cancels = Sent<cancel_forward>(harness.out, kPeer);
     REQUIRE(cancels.size() == 1);
     CHECK(cancels[0].id == sent[0].id);
--- a/tests/core/requests/request_queue_test.cc
+++ b/tests/core/requests/request_queue_test.cc
@@ -16,17 +16,18 @@
     MakeClass(class_name("tight"), milliseconds(200), false);
 const work_class kLoose =
     MakeClass(class_name("loose"), milliseconds(1000), false);
-const work_class kWaits = MakeClass(class_name("waits"), seconds(600), true);
+const work_class kDeferrable =
+    MakeClass(class_name("waits"), seconds(600), true);
 
 /// One service with `kSlots` slots in virtual time, fed by Poisson arrivals of
 /// three classes and served in 20 ms on average, exponentially distributed.
-class overload_world {
+class overload_simulation {
  public:
   static constexpr std::uint32_t kSlots = 16;
   static constexpr double kMeanMs = 20;
   static constexpr double kCapacity = kSlots * 1000 / kMeanMs;
 
-  struct figures {
+  struct class_stats {
     int offered = 0;
     int refused_at_once = 0;
     int refused_later = 0;
@@ -36,7 +37,7 @@
 
   /// Runs for `time` with `load` times the capacity, of which the tight and the
   /// waiting class make the given parts.
-  void Run(double load, double tight, double waits, duration time) {
+  void Run(double load, double tight, double deferrable, duration time) {
     const time_point end = now_ + time;
     std::exponential_distribution<double> gap(load * kCapacity / 1e6);
     std::uniform_real_distribution<double> part(0, 1);
@@ -45,7 +46,9 @@
       ServeUntil(next);
       now_ = next;
       const double drawn = part(random_);
-      Arrive(drawn < tight ? kTight : drawn < tight + waits ? kWaits : kLoose);
+      Arrive(drawn < tight                ? kTight
+             : drawn < tight + deferrable ? kDeferrable
+                                          : kLoose);
       next += duration(1 + static_cast<std::int64_t>(gap(random_)));
     }
     ServeUntil(end);
@@ -60,8 +63,8 @@
     return sum;
   }
 
-  std::map<class_name, figures> by_class;
-  duration longest_wait{};
+  std::map<class_name, class_stats> by_class;
+  duration max_wait{};
 
  private:
   struct item {
@@ -119,7 +122,7 @@
       now_ = done.end;
       const work_class& work = *done.what.work;
       const bool in_time = now_ - done.what.arrival <= work.within;
-      figures& count = by_class[work.name];
+      class_stats& count = by_class[work.name];
       count.in_time += in_time ? 1 : 0;
       count.late += in_time ? 0 : 1;
       queue_.OnServed(work, now_ - done.start, in_time);
@@ -141,11 +144,11 @@
 // of the tight class would wait behind them.
 TEST_CASE("Overload leaves the goodput and the tight class alone") {
   const double load = GENERATE(2.0, 5.0);
-  overload_world harness;
+  overload_simulation harness;
   harness.Run(load, 0.1, 0, seconds(60));
 
   INFO("load " << load);
-  CHECK(harness.InTime() >= 0.95 * overload_world::kCapacity * 60);
+  CHECK(harness.InTime() >= 0.95 * overload_simulation::kCapacity * 60);
   const auto& tight = harness.by_class[kTight.name];
   CHECK(tight.in_time >= kTight.served * tight.offered);
   const auto& loose = harness.by_class[kLoose.name];
@@ -154,16 +157,16 @@
 }
 
 TEST_CASE("Work that can wait finishes under overload of the others") {
-  overload_world harness;
+  overload_simulation harness;
   harness.Run(3.0, 0.1, 0.01, seconds(60));
-  const auto& waits = harness.by_class[kWaits.name];
-  CHECK(waits.in_time >= 0.9 * waits.offered);
+  const auto& deferrable = harness.by_class[kDeferrable.name];
+  CHECK(deferrable.in_time >= 0.9 * deferrable.offered);
   const auto& tight = harness.by_class[kTight.name];
   CHECK(tight.in_time >= kTight.served * tight.offered);
 }
 
 TEST_CASE("Nothing is refused while there is capacity") {
-  overload_world harness;
+  overload_simulation harness;
   harness.Run(0.7, 0.3, 0.2, seconds(30));
   for (const auto& [name, count] : harness.by_class) {
     INFO(name.value());
@@ -214,12 +217,12 @@
   }
 
   SECTION("with a share for work that can wait") {
-    const std::uint64_t waits = add(kWaits);
+    const std::uint64_t deferrable = add(kDeferrable);
     for (int i = 0; i < 100; ++i) {
       add(kLoose);
     }
     int turn = 1;
-    while (queue.Pop(now, refused) != waits) {
+    while (queue.Pop(now, refused) != deferrable) {
       turn += 1;
     }
     CHECK(turn > 1);
