--- a/tests/core/claims/claims_fixture.h
+++ b/tests/core/claims/claims_fixture.h
@@ -13,15 +13,15 @@
 
 namespace plantainhead::core {
 
-/// Options without a pause between appends, so that tests need no ticks.
+/// Options without an append interval, so that tests need no ticks.
 inline claim_options UnthrottledOptions() {
   claim_options options;
   options.append_interval = duration::zero();
   return options;
 }
 
-/// One entry's claims with the adapter's part of the work: it keeps appends
-/// until the test decides their fate, and reads when the test says so.
+/// Runs one entry's claims and plays the part of the log adapter: keeps appends
+/// until the test decides their outcome, and reads when the test asks for it.
 class claims_entry {
  public:
   claims_entry(std::uint64_t self,
@@ -31,7 +31,7 @@
         log_(log),
         claims_(options, self_, &ids_) {}
 
-  /// Makes this entry the home of all partitions, or of none.
+  /// Makes this entry the coordinator of all partitions, or of none.
   void SetCoordinator(bool is_coordinator, time_point now) {
     fleet_state state;
     state.members[self_].who = self_;
@@ -69,7 +69,7 @@
     Collect();
   }
 
-  /// Takes the oldest append to the log, and tells its end as `result`.
+  /// Applies the oldest append to the log, and reports `result` as its outcome.
   void CompleteAppend(time_point now,
                       append_result result = append_result::kAppended) {
     const append_records append = TakeAppend();
@@ -83,7 +83,7 @@
     End(TakeAppend(), result, 0, now);
   }
 
-  /// Lands all appends to other streams than `stream`.
+  /// Completes all appends to streams other than `stream`.
   void CompleteAppendsExcept(const stream_name& stream, time_point now) {
     const std::vector<append_records> pending = std::exchange(appends_, {});
     for (const append_records& append : pending) {
@@ -110,7 +110,7 @@
     Collect();
   }
 
-  /// Reads all that the followed streams have.
+  /// Reads all records of the followed streams.
   void Read(time_point now) {
     for (const auto& [stream, after] : std::map(followed_)) {
       ReadSome(stream, kReadAll, now);
@@ -138,7 +138,7 @@
     Collect();
   }
 
-  /// Lands and reads until there is nothing left to do.
+  /// Completes appends and reads until there is nothing left to do.
   void Settle(time_point now) {
     do {
       while (!appends_.empty()) {
@@ -148,7 +148,8 @@
     } while (!appends_.empty());
   }
 
-  /// Takes the verdict on a request; nothing while there is none.
+  /// Removes and returns the decision on a request; nothing while there is
+  /// none.
   std::optional<claim_decision> Take(std::uint64_t sequence) {
     for (auto it = decisions_.begin(); it != decisions_.end(); ++it) {
       if (it->request == Request(sequence)) {
--- a/tests/core/claims/claims_property_test.cc
+++ b/tests/core/claims/claims_property_test.cc
@@ -20,7 +20,7 @@
 constexpr time_point kStart{std::chrono::hours(500000)};
 constexpr std::size_t kEntries = 3;
 
-// Keys of one partition, so that few steps make them meet.
+// Returns keys of one partition, so that conflicts occur within few steps.
 std::vector<claim_key> KeysOfOnePartition() {
   std::vector<claim_key> keys;
   for (int i = 0; keys.size() < 4; ++i) {
@@ -42,13 +42,14 @@
   return options;
 }
 
-// Any value of a range with like chance; a plain `inRange` starts out small.
+// Returns a uniformly distributed value of the range; a plain `inRange` starts
+// with small values.
 template <typename T>
 T AnyIn(T least, T bound) {
   return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(least, bound));
 }
 
-// A request as its caller sees it.
+// A request from its caller's point of view.
 struct client_request {
   std::size_t key = 0;
   time_point asked;
@@ -58,7 +59,7 @@
   bool is_finished = false;
 };
 
-// One life of an entry, with its own clock.
+// One incarnation of an entry, with its own clock.
 struct entry_instance {
   entry_instance(std::uint64_t self, model_log* log, duration ahead)
       : entry(self, log, ShortWindow()), clock_ahead(ahead) {}
@@ -69,15 +70,15 @@
   std::map<std::uint64_t, client_request> requests;
 };
 
-// What a run may meet.
+// The faults that a run may inject.
 struct fault_options {
   bool kills = true;
   bool cuts = true;
-  /// Longest step of the time.
+  /// Maximum time step.
   duration max_step = seconds(40);
 };
 
-// Several entries over one log, driven by random steps.
+// Drives several entries over one log by random steps.
 class claims_run {
  public:
   explicit claims_run(fault_options allowed) : allowed_(allowed) {
@@ -87,7 +88,7 @@
   }
 
   void Step() {
-    // Mostly what keeps requests moving, now and then a fault.
+    // Mostly steps that make progress, occasionally a fault.
     const int what = *rc::gen::weightedElement<int>({{8, 0},
                                                      {12, 1},
                                                      {12, 2},
@@ -146,7 +147,8 @@
     CheckDecisions();
   }
 
-  /// All faults end; then each key that nobody runs can be run.
+  /// Ends all faults, then checks that each key without an active run can be
+  /// run.
   void CheckFreeKeys() {
     for (auto& [stream, records] : std::exchange(delayed_appends_, {})) {
       log_.Append(stream, records);
@@ -180,7 +182,7 @@
     return AnyIn<std::size_t>(0, bound);
   }
 
-  // Clocks differ by up to the skew.
+  // Clocks differ by at most the skew.
   std::unique_ptr<entry_instance> NewInstance() {
     const auto half = ShortWindow().clock_skew.count() / 2;
     const duration ahead(AnyIn(-half, half));
@@ -199,7 +201,8 @@
     instance.entry.Acquire(kKeys[key], last_sequence_, now);
   }
 
-  // An append ends in one of five ways; two of them lie about the stream.
+  // Ends an append: usually it succeeds; otherwise it is rejected, or its
+  // result is unknown and it takes effect now or later.
   void EndAppend(entry_instance& instance, time_point now) {
     instance.entry.CompleteAppendsExcept(kStream, now);
     if (instance.entry.appends().empty()) {
@@ -237,7 +240,7 @@
     now_ += duration(AnyIn<std::int64_t>(0, most.count()));
   }
 
-  // Runs a granted request to its end, or gives it back undispatched.
+  // Completes a granted request, or releases it without dispatch.
   void EndRequest(entry_instance& instance, time_point now) {
     for (auto& [sequence, request] : instance.requests) {
       if (!request.is_granted || request.is_released || request.is_finished) {
@@ -274,7 +277,7 @@
     }
     const std::size_t which = Below(delayed_appends_.size());
     log_.Append(delayed_appends_[which].first, delayed_appends_[which].second);
-    // It may land more than once.
+    // The same append may take effect more than once.
     if (Below(2) == 0) {
       delayed_appends_.erase(delayed_appends_.begin() +
                              static_cast<std::ptrdiff_t>(which));
@@ -289,7 +292,7 @@
       log_.Cut(kStream, 1 + Below(log_.End(kStream) + 1));
       return;
     }
-    // What the platform promises: records of two windows are kept.
+    // The platform guarantees that the records of two windows are retained.
     for (const auto& [at, end] : ends_) {
       if (at + ShortWindow().window * 2 <= now_) {
         log_.Cut(kStream, end + 1);
@@ -303,8 +306,8 @@
            std::exchange(instance->entry.decisions(), {})) {
         client_request& request =
             instance->requests.at(decision.request.sequence);
-        // Each request is decided once: one that was told "not run" is never
-        // granted, one that was granted is never told "not run".
+        // Each request is decided once: one that was reported as not run is
+        // never granted, and one that was granted is never reported as not run.
         RC_ASSERT(!request.is_decided);
         request.is_decided = true;
         if (decision.verdict == claim_verdict::kGranted) {
@@ -315,8 +318,8 @@
     }
   }
 
-  // Another grant that wasn't released is older than the window, so that this
-  // request was no retry of it.
+  // Any other grant that was not released is older than the window, so this
+  // request was not a retry of it.
   void CheckGrant(const client_request& request) {
     ++grants_;
     for (const time_point& other : unreleased_[request.key]) {
@@ -335,17 +338,18 @@
   std::size_t grants_ = 0;
   std::vector<std::unique_ptr<entry_instance>> instances_;
   std::vector<std::pair<stream_name, std::vector<record>>> delayed_appends_;
-  /// The stream's end at some times, for retention.
+  /// The end offset of the stream at different times, for retention.
   std::vector<std::pair<time_point, log_offset>> ends_;
-  /// When the grants that stand were asked for, by key.
+  /// Request times of the active grants, by key.
   std::map<std::size_t, std::vector<time_point>> unreleased_;
 };
 
-// Entries that all take themselves for the home claim the same keys at once,
-// while answers are lost, appends land late and twice, entries freeze, die and
-// come back, clocks differ and the stream is cut anywhere. Whatever the order,
-// a key's retry never runs beside a run that stands.
-TEST_CASE("Random faults never let a key run twice") {
+// Entries that all act as the coordinator claim the same keys at the same time,
+// while answers are lost, appends take effect late and twice, entries are
+// paused, crash and restart, clocks differ and the stream is truncated
+// anywhere. In any order of these events, the retry of a key never runs
+// alongside an active run.
+TEST_CASE("No key runs twice under random faults") {
   const bool holds = rc::check([] {
     claims_run run((fault_options()));
     const int steps = AnyIn(300, 1000);
@@ -357,9 +361,9 @@
   CHECK(holds);
 }
 
-// "Not run" must be of use: without deaths and cuts, each claim that was not
-// granted or was given back ends, and a later request runs.
-TEST_CASE("After random faults a key that nobody ran can be run") {
+// Not-run must lead to progress: without crashes and truncation, each claim
+// that was rejected or released ends, and a later request runs.
+TEST_CASE("After random faults a key without an active run can be run") {
   const bool holds = rc::check([] {
     fault_options mild;
     mild.kills = false;
--- a/tests/core/claims/claims_test.cc
+++ b/tests/core/claims/claims_test.cc
@@ -20,8 +20,8 @@
 constexpr duration kWindow = claim_options().window;
 constexpr duration kSkew = claim_options().clock_skew;
 constexpr duration kClaimTimeout = claim_options().claim_timeout;
-/// How long a claim stands.
-constexpr duration kKept = kWindow + kSkew + kClaimTimeout;
+/// How long a claim stays active.
+constexpr duration kRetention = kWindow + kSkew + kClaimTimeout;
 
 std::optional<claim_verdict> VerdictOf(claims_entry& entry,
                                        std::uint64_t sequence) {
@@ -29,8 +29,7 @@
   return decision ? std::optional(decision->verdict) : std::nullopt;
 }
 
-// Returns the verdict on a new request once all that it needs of the log is
-// done.
+// Returns the verdict on a new request after all log operations that it needs.
 std::optional<claim_verdict> AcquireAndSettle(claims_entry& entry,
                                               std::uint64_t sequence,
                                               time_point now) {
@@ -70,7 +69,7 @@
     coordinator.Read(kStart);
     CHECK(VerdictOf(coordinator, 1) == claim_verdict::kGranted);
 
-    SECTION("a second request is told that the key is in progress") {
+    SECTION("a second request is refused because the key is in progress") {
       coordinator.Acquire(kKey, 2, kStart);
       const auto decision = coordinator.Take(2);
       REQUIRE(decision);
@@ -78,7 +77,7 @@
       CHECK(decision->retry_after > duration::zero());
     }
 
-    SECTION("a retry after its end gets the stored answer") {
+    SECTION("a retry after its completion gets the stored answer") {
       coordinator.Finish(kKey, 1, kStart);
       coordinator.Acquire(kKey, 2, kStart + seconds(1));
       const auto decision = coordinator.Take(2);
@@ -88,14 +87,14 @@
       CHECK(decision->stored->status == 201);
     }
 
-    SECTION("a retry at another home is told that it may have run") {
+    SECTION("a retry at another coordinator is told that it may have run") {
       claims_entry other(2, &log);
       MakeCoordinator(other, kStart);
       CHECK(AcquireAndSettle(other, 1, kStart) == claim_verdict::kAlreadyRun);
     }
   }
 
-  SECTION("with at least the interval between two appends to a stream") {
+  SECTION("with at least the append interval between appends to a stream") {
     claims_entry paced(2, &log, claim_options());
     MakeCoordinator(paced, kStart);
     paced.Acquire(kKey, 1, kStart);
@@ -106,22 +105,24 @@
     CHECK(paced.appends().size() == 1);
   }
 
-  SECTION("with all that wait in one append, and one append in flight") {
+  SECTION("with all pending claims in one append, and one append in flight") {
     for (std::uint64_t i = 2; i <= 400; ++i) {
       coordinator.Acquire(claim_key("other-" + std::to_string(i)), i, kStart);
     }
     CHECK(coordinator.appends().size() == kClaimPartitions);
     coordinator.Settle(kStart);
     CHECK(coordinator.core().stats(kStart).granted == 400);
-    const std::uint64_t marks = kClaimPartitions;
-    CHECK(coordinator.core().stats(kStart).appends == marks + 2 * marks);
+    const std::uint64_t watermarks = kClaimPartitions;
+    CHECK(coordinator.core().stats(kStart).appends ==
+          watermarks + 2 * watermarks);
   }
 }
 
-// Sinmungo's appeal that was logged twice: a view change makes two entries take
-// themselves for the home of one key, and a caller's retry reaches the second
-// while the first still claims. Both records land; only the first may run.
-TEST_CASE("Two homes claim one key at once") {
+// Guards against a request that runs twice: a view change makes two entries act
+// as the coordinator of one key, and a caller's retry reaches the second while
+// the first is still claiming. Both records are appended; only the first may
+// run.
+TEST_CASE("Two coordinators claim one key at the same time") {
   model_log log;
   claims_entry first(1, &log);
   claims_entry second(2, &log);
@@ -134,12 +135,12 @@
   first.Read(kStart);
   second.Read(kStart);
 
-  SECTION("and the order of the log picks the one that runs") {
+  SECTION("and the order of the log decides which one runs") {
     CHECK(VerdictOf(second, 1) == claim_verdict::kGranted);
     CHECK(VerdictOf(first, 1) == claim_verdict::kAlreadyRun);
   }
 
-  SECTION("and the one that lost doesn't bar the key once it is released") {
+  SECTION("and the rejected one does not block the key once it is released") {
     const time_point later = kStart + seconds(1);
     first.Tick(later);
     first.Settle(later);
@@ -150,17 +151,17 @@
   }
 }
 
-// An old claim was forgotten by one home and not yet by the other, whose clock
-// is slow. The first home grants a new claim. The second must count that one,
-// though it saw it behind the old claim, or it would run the key again.
-TEST_CASE("Two homes forget an old claim at different times") {
+// One coordinator has evicted an old claim and the other, whose clock is slow,
+// has not. The first grants a new claim. The second must record that claim,
+// although it read it behind the old one; otherwise it would run the key again.
+TEST_CASE("Two coordinators evict an old claim at different times") {
   model_log log;
   claims_entry dead(1, &log);
   MakeCoordinator(dead, kStart);
   REQUIRE(AcquireAndSettle(dead, 1, kStart) == claim_verdict::kGranted);
 
   const duration lag = kSkew / 2;
-  const time_point later = kStart + kKept;
+  const time_point later = kStart + kRetention;
   claims_entry quick(2, &log);
   claims_entry slow(3, &log);
   MakeCoordinator(slow, later - lag);
@@ -172,8 +173,9 @@
   CHECK(AcquireAndSettle(slow, 1, later) == claim_verdict::kAlreadyRun);
 }
 
-// The platform's store took an append, but its answer was lost. The home can't
-// know, and appends the same record again; the stream may hold it twice.
+// The platform's store accepted an append, but its answer was lost. The
+// coordinator cannot know this and appends the same record again; the stream
+// may contain it twice.
 TEST_CASE("The answer to the append of a claim is lost") {
   model_log log;
   claims_entry coordinator(1, &log);
@@ -182,7 +184,7 @@
   const record_id first_id = coordinator.appends().at(0).records.at(0).id;
   const time_point later = kStart + milliseconds(500);
 
-  SECTION("after it took effect: one grant, the copy changes nothing") {
+  SECTION("after it took effect: one grant, the duplicate has no effect") {
     coordinator.CompleteAppend(kStart, append_result::kUnknown);
     coordinator.Tick(later);
     REQUIRE_FALSE(coordinator.appends().empty());
@@ -206,7 +208,7 @@
     CHECK(VerdictOf(coordinator, 2) == claim_verdict::kGranted);
   }
 
-  SECTION("and it takes effect after its release: the key stays free") {
+  SECTION("and it takes effect after its release: the key stays unclaimed") {
     const append_records lost = coordinator.TakeAppend();
     coordinator.End(lost, append_result::kUnknown, 0, kStart);
     const time_point given_up = kStart + kClaimTimeout;
@@ -223,17 +225,18 @@
   }
 }
 
-// A home is paused after its claim landed. Its caller gave up; after the window
-// the others have forgotten the key and may run it. When the home wakes up and
-// reads its own claim, a grant would run the key a second time.
-TEST_CASE("A claimant is frozen while its claim lands") {
+// A coordinator is paused after its claim was appended. Its caller gave up;
+// after the window the others have evicted the key and may run it. When the
+// coordinator resumes and reads its own claim, a grant would run the key a
+// second time.
+TEST_CASE("A claimant is paused while its claim is appended") {
   model_log log;
   claims_entry frozen(1, &log);
   MakeCoordinator(frozen, kStart);
   frozen.Acquire(kKey, 1, kStart);
   frozen.CompleteAppend(kStart);
 
-  SECTION("and wakes up after the deadline: no grant, and a release") {
+  SECTION("and resumes after the deadline: no grant, and a release") {
     const time_point later = kStart + seconds(31);
     frozen.Read(later);
     CHECK(VerdictOf(frozen, 1) == claim_verdict::kLogUnavailable);
@@ -244,7 +247,8 @@
     CHECK(AcquireAndSettle(other, 1, later) == claim_verdict::kGranted);
   }
 
-  SECTION("and wakes up before a far deadline: its patience ends the claim") {
+  SECTION(
+      "and resumes before a late deadline: the claim timeout ends the claim") {
     const claim_key key("appeal-with-a-patient-caller");
     frozen.Acquire(key, 2, kStart, kWindow * 3);
     frozen.CompleteAppend(kStart);
@@ -252,9 +256,9 @@
     CHECK(VerdictOf(frozen, 2) == claim_verdict::kLogUnavailable);
   }
 
-  SECTION("and its clock stood still: newer records show that it is late") {
+  SECTION("and its clock did not advance: newer records show that it is late") {
     claims_entry other(2, &log);
-    const time_point later = kStart + kKept;
+    const time_point later = kStart + kRetention;
     MakeCoordinator(other, later);
     REQUIRE(AcquireAndSettle(other, 1, later) == claim_verdict::kGranted);
 
@@ -263,10 +267,10 @@
   }
 }
 
-// A claimant dies. Nobody can tell whether it had dispatched the request, so
-// the key stays claimed for the window: the caller's retries are told that the
-// outcome is unknown, and the request is never run a second time.
-TEST_CASE("A claimant is killed") {
+// A claimant crashes. No other entry can tell whether it had dispatched the
+// request, so the key stays claimed for the window: retries are answered with
+// an unknown outcome, and the request is never run a second time.
+TEST_CASE("A claimant crashes") {
   model_log log;
   {
     claims_entry killed(1, &log);
@@ -288,14 +292,14 @@
   // The last retry within the window, by a clock that is ahead.
   const time_point last = kStart + kWindow + kSkew;
   CHECK(AcquireAndSettle(next, 2, last) == claim_verdict::kAlreadyRun);
-  const time_point forgotten = kStart + kKept + seconds(5);
+  const time_point forgotten = kStart + kRetention + seconds(5);
   CHECK(AcquireAndSettle(next, 3, forgotten) == claim_verdict::kGranted);
 }
 
-// The log goes down. Callers are told at once that their requests weren't run,
-// which must stay true when a claim of theirs lands late; and a retry after the
+// The log becomes unavailable. Callers are answered not-run at once, which must
+// stay true if one of their claims is appended late; and a retry after the
 // outage must be able to run.
-TEST_CASE("The log goes down") {
+TEST_CASE("The log becomes unavailable") {
   model_log log;
   claims_entry coordinator(1, &log);
   MakeCoordinator(coordinator, kStart);
@@ -307,7 +311,8 @@
   CHECK(decision->verdict == claim_verdict::kLogUnavailable);
   CHECK(decision->retry_after > duration::zero());
 
-  SECTION("while it is known to be down claims are refused without an append") {
+  SECTION(
+      "while it is known to be unavailable, claims fail without an append") {
     coordinator.Acquire(claim_key("another"), 2, kStart);
     coordinator.Acquire(kKey, 3, kStart);
     CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
@@ -316,7 +321,8 @@
     CHECK(coordinator.core().stats(kStart).refusing == kClaimPartitions);
   }
 
-  SECTION("and the claim landed late: never granted, released, retry runs") {
+  SECTION(
+      "and the claim is appended late: never granted, released, retry runs") {
     const log_offset first = log.Append(kStream, pending.records);
     const time_point back = kStart + seconds(60);
     coordinator.End(pending, append_result::kAppended, first, back);
@@ -337,8 +343,8 @@
   }
 }
 
-// The log is slow: appends end after seconds. A caller must not wait for it
-// without bound, nor must every later caller wait as long again.
+// The log is slow: appends take seconds. A caller must not wait for it
+// indefinitely, and later callers must not each wait as long again.
 TEST_CASE("The log is slow") {
   model_log log;
   claims_entry coordinator(1, &log);
@@ -355,13 +361,13 @@
     CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
   }
 
-  SECTION("a mark that comes back late doesn't end the refusal") {
+  SECTION("a watermark that is read back late does not end the refusal") {
     coordinator.Settle(late + kClaimTimeout);
     coordinator.Acquire(kKey, 2, late + kClaimTimeout);
     CHECK(VerdictOf(coordinator, 2) == claim_verdict::kLogUnavailable);
   }
 
-  SECTION("a mark that comes back in time does, and a retry runs once") {
+  SECTION("a watermark that is read back in time does, and a retry runs once") {
     coordinator.Settle(late + seconds(1));
     const time_point again = late + kClaimTimeout;
     coordinator.Tick(again);
@@ -373,11 +379,11 @@
   }
 }
 
-// Retention drops records that the home has not read, or a new home finds a
-// stream whose oldest records are gone. A claim may have been among them: a
-// grant could run its key twice. All claims of that time are old after a
-// window.
-TEST_CASE("A claim stream was cut by retention") {
+// Retention removes records that the coordinator has not read, or a new
+// coordinator finds a stream whose oldest records are missing. A claim may have
+// been among them, so a grant could run its key twice. After a window all
+// claims of that time are expired.
+TEST_CASE("A claim stream was truncated by retention") {
   model_log log;
   claims_entry old_coordinator(1, &log);
   MakeCoordinator(old_coordinator, kStart);
@@ -386,7 +392,7 @@
           claim_verdict::kGranted);
   const time_point later = kStart + seconds(30);
 
-  SECTION("before a new home has read it: it waits for a window") {
+  SECTION("before a new coordinator has read it: it waits for a window") {
     log.Cut(kStream, log.End(kStream) + 1);
     claims_entry coordinator(2, &log);
     MakeCoordinator(coordinator, later);
@@ -394,9 +400,9 @@
     const auto decision = coordinator.Take(1);
     REQUIRE(decision);
     CHECK(decision->verdict == claim_verdict::kLogUnavailable);
-    CHECK(decision->retry_after == kKept);
+    CHECK(decision->retry_after == kRetention);
 
-    const time_point end = later + kKept;
+    const time_point end = later + kRetention;
     CHECK(AcquireAndSettle(coordinator, 2, end - seconds(1)) ==
           claim_verdict::kLogUnavailable);
     coordinator.Tick(end);
@@ -404,7 +410,7 @@
     CHECK(AcquireAndSettle(coordinator, 3, end) == claim_verdict::kGranted);
   }
 
-  SECTION("ahead of a reader that fell behind: its claims are given up") {
+  SECTION("ahead of a reader that fell behind: its claims are rejected") {
     claims_entry coordinator(2, &log);
     MakeCoordinator(coordinator, kStart);
     old_coordinator.Release(lost, 1, later);
@@ -423,7 +429,7 @@
     CHECK(coordinator.core().stats(later).unreadable_gaps == 1);
   }
 
-  SECTION("ahead of a reader that stops there: it follows on behind the cut") {
+  SECTION("ahead of a reader that stops there: it continues after the gap") {
     claims_entry coordinator(2, &log);
     MakeCoordinator(coordinator, later);
     log_read cut;
@@ -435,7 +441,7 @@
     CHECK(coordinator.core().stats(later).refusing == 1);
   }
 
-  SECTION("outside of the window: the marks of a quiet stream show it") {
+  SECTION("outside of the window: the watermarks of an idle stream show it") {
     time_point now = kStart;
     log_offset kept_for_two_windows = 0;
     for (int half_windows = 1; half_windows <= 5; ++half_windows) {
@@ -452,8 +458,8 @@
     CHECK(AcquireAndSettle(coordinator, 1, now) == claim_verdict::kGranted);
   }
 
-  SECTION("behind an old record that landed late: it proves nothing") {
-    const time_point now = kStart + kKept;
+  SECTION("behind an old record that was appended late: grants stay blocked") {
+    const time_point now = kStart + kRetention;
     record late;
     late.body = claim_request{claim_key("x"), old_coordinator.self(),
                               old_coordinator.Request(7), kStart};
@@ -469,7 +475,7 @@
   }
 }
 
-TEST_CASE("A log that comes back shorter is not followed") {
+TEST_CASE("Grants are blocked after the log was reset") {
   model_log log;
   claims_entry coordinator(1, &log);
   MakeCoordinator(coordinator, kStart);
@@ -482,49 +488,49 @@
   CHECK(coordinator.core().stats(kStart).unreadable_gaps == 1);
   CHECK(coordinator.core().stats(kStart).refusing == 1);
 
-  SECTION("nor trusted again because of an old mark behind a cut") {
-    const time_point old = kStart - kKept;
-    record mark;
-    mark.body = claim_request{
+  SECTION("and an old watermark behind a gap does not unblock them") {
+    const time_point old = kStart - kRetention;
+    record watermark;
+    watermark.body = claim_request{
         claim_key(), coordinator.self(), {coordinator.self(), 1000}, old};
     log_read cut;
     cut.stream = kStream;
     cut.begin = cut.end = 500;
-    cut.entries.push_back({500, mark});
+    cut.entries.push_back({500, watermark});
     coordinator.ApplyRead(cut, kStart);
     CHECK(coordinator.core().stats(kStart).refusing == 1);
   }
 
-  // Offsets start anew: a mark with an old offset would speak for records that
-  // its writer never saw.
-  SECTION("and a mark that is written meanwhile speaks for no record") {
+  // Offsets restart: a watermark with an old offset would cover records that
+  // its writer never read.
+  SECTION("and a watermark that is written meanwhile covers no record") {
     const time_point later = kStart + kWindow / 2;
     coordinator.Tick(later);
     coordinator.CompleteAppendsExcept(kStream, later);
     const append_records append = coordinator.TakeAppend();
     REQUIRE(append.records.size() == 1);
-    const auto& mark = std::get<claim_request>(append.records[0].body);
-    CHECK(mark.key.empty());
-    CHECK(mark.request.sequence == 0);
+    const auto& watermark = std::get<claim_request>(append.records[0].body);
+    CHECK(watermark.key.empty());
+    CHECK(watermark.request.sequence == 0);
   }
 
-  SECTION("but after a window all that it lost is old") {
-    CHECK(coordinator.core().stats(kStart + kKept).refusing == 0);
+  SECTION("but after a window all lost claims are expired") {
+    CHECK(coordinator.core().stats(kStart + kRetention).refusing == 0);
   }
 }
 
-TEST_CASE("Reads that overlap or leave out records are no cut") {
+TEST_CASE("Reads that overlap or skip records are not a truncation") {
   model_log log;
   claims_entry coordinator(1, &log);
   MakeCoordinator(coordinator, kStart);
   REQUIRE(AcquireAndSettle(coordinator, 1, kStart) == claim_verdict::kGranted);
 
-  SECTION("records that were read before change nothing") {
+  SECTION("records that were read before have no effect") {
     coordinator.ApplyRead(log.Read(kStream, 0), kStart);
     CHECK(coordinator.decisions().empty());
   }
 
-  SECTION("records that are left out are read again") {
+  SECTION("records that were skipped are read again") {
     const log_offset last_read = log.End(kStream);
     coordinator.Release(kKey, 1, kStart);
     coordinator.CompleteAppend(kStart);
@@ -539,8 +545,9 @@
   CHECK(coordinator.core().stats(kStart).unreadable_gaps == 0);
 }
 
-// The view changes while a claim is in the making or granted: another entry
-// becomes the home. What the old home wrote stands, and only it may run it.
+// The view changes while a claim is pending or granted: another entry becomes
+// the coordinator. The records of the old coordinator stay valid, and only it
+// may run the request.
 TEST_CASE("The view changes between claim and dispatch") {
   model_log log;
   claims_entry old_coordinator(1, &log);
@@ -548,7 +555,7 @@
   MakeCoordinator(old_coordinator, kStart);
   old_coordinator.Acquire(kKey, 1, kStart);
 
-  SECTION("before the claim was read back: the old home completes it") {
+  SECTION("before the claim was read back: the old coordinator completes it") {
     old_coordinator.SetCoordinator(false, kStart);
     MakeCoordinator(new_coordinator, kStart);
     old_coordinator.Settle(kStart);
@@ -558,7 +565,7 @@
     CHECK(old_coordinator.followed().empty());
   }
 
-  SECTION("before the new home has read the stream: it writes nothing yet") {
+  SECTION("before the new coordinator has read the stream: it writes nothing") {
     old_coordinator.CompleteAppend(kStart);
     new_coordinator.SetCoordinator(true, kStart);
     new_coordinator.Acquire(kKey, 1, kStart);
@@ -568,7 +575,7 @@
     CHECK(new_coordinator.appends().empty());
   }
 
-  SECTION("after the grant: the old home may still release it") {
+  SECTION("after the grant: the old coordinator may still release it") {
     old_coordinator.Settle(kStart);
     REQUIRE(VerdictOf(old_coordinator, 1) == claim_verdict::kGranted);
     old_coordinator.SetCoordinator(false, kStart);
@@ -583,14 +590,14 @@
           claim_verdict::kGranted);
   }
 
-  SECTION("an entry that isn't the home refuses") {
+  SECTION("an entry that is not the coordinator refuses") {
     CHECK(AcquireAndSettle(new_coordinator, 1, kStart) ==
           claim_verdict::kLogUnavailable);
   }
 }
 
-// A granted request never got a slot before its deadline. Its caller is told
-// that it wasn't run; the release makes that of use: a retry runs, once.
+// A granted request got no slot before its deadline. Its caller is answered
+// not-run; because of the release a retry can run, once.
 TEST_CASE("A granted claim is released") {
   model_log log;
   claims_entry coordinator(1, &log);
@@ -605,7 +612,7 @@
           claim_verdict::kInProgress);
   }
 
-  SECTION("twice: the second release doesn't free the retry's claim") {
+  SECTION("twice: the second release does not end the retry's claim") {
     coordinator.Release(kKey, 1, later);
     coordinator.Settle(later);
     REQUIRE(AcquireAndSettle(coordinator, 2, later + seconds(1)) ==
@@ -616,7 +623,7 @@
           claim_verdict::kInProgress);
   }
 
-  SECTION("after it was finished: ignored, the key has run") {
+  SECTION("after it was completed: ignored, the key has run") {
     coordinator.Finish(kKey, 1, later);
     coordinator.Release(kKey, 1, later);
     CHECK(coordinator.appends().empty());
@@ -636,7 +643,7 @@
   }
 }
 
-TEST_CASE("A key that tells its age is refused once it is too old") {
+TEST_CASE("A key with a timestamp is refused once it is too old") {
   model_log log;
   claims_entry coordinator(1, &log);
   const time_point made{milliseconds(0x018F00000000)};
@@ -654,7 +661,7 @@
   CHECK(VerdictOf(coordinator, 3) == claim_verdict::kGranted);
 }
 
-TEST_CASE("What the claims hold is bounded") {
+TEST_CASE("The memory of the claims is bounded") {
   model_log log;
   claim_options options = UnthrottledOptions();
   options.max_claims = 10;
@@ -673,22 +680,22 @@
   CHECK(full.answer_bytes <= options.max_stored_bytes);
   CHECK(full.answer_bytes > 0);
 
-  SECTION("claims: new ones are refused, none is forgotten early") {
+  SECTION("claims: new ones are refused, none is evicted early") {
     CHECK(AcquireAndSettle(coordinator, 20, kStart) ==
           claim_verdict::kLogUnavailable);
     coordinator.Acquire(claim_key("k1"), 21, kStart);
     CHECK(VerdictOf(coordinator, 21) == claim_verdict::kAlreadyRun);
   }
 
-  SECTION("and given back after the window") {
-    const time_point later = kStart + kKept;
+  SECTION("and released after the window") {
+    const time_point later = kStart + kRetention;
     coordinator.Tick(later);
     CHECK(coordinator.core().stats(later).claims_held == 0);
     CHECK(coordinator.core().stats(later).answer_bytes == 0);
   }
 }
 
-TEST_CASE("Each partition has one home") {
+TEST_CASE("Each partition has one coordinator") {
   fleet_state state;
   for (std::uint64_t i = 1; i <= 9; ++i) {
     const auto who = static_cast<incarnation>(i * 1000003);
@@ -696,7 +703,7 @@
   }
   const auto gone = static_cast<incarnation>(3 * 1000003);
 
-  SECTION("and only those of a member that leaves get another") {
+  SECTION("and only those of a member that leaves get another one") {
     for (std::uint32_t partition = 0; partition < kClaimPartitions;
          ++partition) {
       const incarnation before = CoordinatorOf(partition, state, {});
@@ -706,7 +713,7 @@
     }
   }
 
-  SECTION("and none when there is no member") {
+  SECTION("and none if there is no member") {
     CHECK(CoordinatorOf(0, {}, {}) == incarnation::kNone);
   }
 }
--- a/tests/core/requests/endpoint_health_test.cc
+++ b/tests/core/requests/endpoint_health_test.cc
@@ -33,25 +33,25 @@
   }
 };
 
-// A worker fails every task that it starts. It answers faster than the others,
-// so the least busy choice would send it most of the requests.
-TEST_CASE("An endpoint fails again and again") {
+// An endpoint fails every request immediately. It answers faster than the
+// others, so least-loaded selection would send it most of the requests.
+TEST_CASE("An endpoint fails repeatedly") {
   health_fixture fixture;
 
   SECTION("and is ejected") {
     REQUIRE(fixture.FailOften());
     CHECK(fixture.AllowedCalls() == 0);
 
-    SECTION("until it gets one request to prove itself") {
+    SECTION("until one request is sent to it as a probe") {
       fixture.now += endpoint_health::kInitialEjection;
       CHECK(fixture.AllowedCalls() == 1);
 
-      SECTION("which it answers") {
+      SECTION("which succeeds") {
         fixture.health.OnSuccess(fixture.vm);
         CHECK(fixture.AllowedCalls() == kSlots);
       }
 
-      SECTION("which it fails, and is ejected for longer") {
+      SECTION("which fails, and it is ejected for longer") {
         CHECK(fixture.Fail());
         fixture.now += endpoint_health::kInitialEjection;
         CHECK(fixture.AllowedCalls() == 0);
@@ -61,7 +61,7 @@
     }
   }
 
-  SECTION("but not in a row, and stays") {
+  SECTION("but not consecutively, and is not ejected") {
     for (int i = 0; i < 100; ++i) {
       CHECK_FALSE(fixture.Fail());
       fixture.health.OnSuccess(fixture.vm);
@@ -69,12 +69,12 @@
     CHECK(fixture.AllowedCalls() == kSlots);
   }
 
-  SECTION("like most others, and stays, since the fault isn't its own") {
+  SECTION("like most others, and is not ejected, since it is not the cause") {
     CHECK_FALSE(fixture.FailOften(kServiceSlots / 3));
     CHECK(fixture.AllowedCalls() == kSlots);
   }
 
-  SECTION("for ever, and is tried at least every half minute") {
+  SECTION("permanently, and is probed at least every 32 seconds") {
     fixture.FailOften();
     for (int i = 0; i < 20; ++i) {
       fixture.now += endpoint_health::kMaxEjection;
@@ -84,7 +84,8 @@
   }
 }
 
-TEST_CASE("An endpoint that is full is left alone for a moment") {
+TEST_CASE(
+    "An endpoint that reported that it is full gets no calls for a moment") {
   health_fixture fixture;
   fixture.health.OnFull(fixture.vm, fixture.now + milliseconds(50));
   CHECK(fixture.health.IsFull(fixture.vm, fixture.now));
--- a/tests/core/requests/endpoint_table_test.cc
+++ b/tests/core/requests/endpoint_table_test.cc
@@ -9,7 +9,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// 33 members in 11 zones, 520 endpoints of 5 services.
+/// A fleet of 33 members in 11 zones with 520 endpoints of 5 services.
 struct large_fleet {
   fleet_state fleet;
   std::vector<vm_listing> listings;
@@ -51,14 +51,14 @@
   large_fleet harness;
   const std::map<vm_id, incarnation> before = harness.Owners();
 
-  SECTION("in its own zone, when that has members") {
+  SECTION("in its own zone, if the zone has members") {
     for (const vm_listing& listing : harness.listings) {
       const incarnation owner = before.at(listing.vm);
       CHECK(harness.fleet.members.at(owner).zone == listing.zone);
     }
   }
 
-  SECTION("that stays when another member goes") {
+  SECTION("that stays the same when another member leaves") {
     const incarnation gone = harness.fleet.members.begin()->first;
     harness.fleet.members.erase(gone);
     for (const auto& [vm, owner] : harness.Owners()) {
@@ -67,7 +67,7 @@
     }
   }
 
-  SECTION("somewhere, when its zone has no member left") {
+  SECTION("in any zone, if its own zone has no member left") {
     std::erase_if(harness.fleet.members, [](const auto& member) {
       return member.second.zone == zone_id("zone-3");
     });
@@ -76,7 +76,7 @@
     }
   }
 
-  SECTION("that isn't stopping") {
+  SECTION("that is not stopping") {
     const incarnation stopping = harness.fleet.members.begin()->first;
     endpoint_table table;
     table.Rebuild(harness.fleet, harness.listings, stopping, {stopping});
@@ -94,22 +94,22 @@
   }
 }
 
-TEST_CASE("An endpoint takes new work only if nothing speaks against it") {
+TEST_CASE("An endpoint takes new work only if no state excludes it") {
   request_harness harness;
   harness.AddEndpoint("runner-1", "suwon");
   vm_state& state = harness.fleet.vms[vm_id("runner-1")];
   bool expected = false;
 
-  SECTION("neither the list nor the fold") {
+  SECTION("neither the list nor the fold excludes it") {
     expected = true;
   }
-  SECTION("not the list") {
+  SECTION("the list excludes it") {
     harness.listings[0].state = vm_listing_state::kLeaving;
   }
-  SECTION("not the fold's phase") {
+  SECTION("the phase in the fold excludes it") {
     state.phase = vm_phase::kDraining;
   }
-  SECTION("not its quarantine") {
+  SECTION("its quarantine excludes it") {
     state.quarantined = true;
   }
 
--- a/tests/core/requests/golden_session_test.cc
+++ b/tests/core/requests/golden_session_test.cc
@@ -7,8 +7,9 @@
 namespace plantainhead::core {
 namespace {
 
-/// One entry's fold, endpoints and requests, with all that goes in and out
-/// written down. The claims' decisions are the script's.
+/// Drives the fold, endpoints and requests of one entry and writes a transcript
+/// of all events and actions. The test script makes the decisions of the
+/// claims.
 class request_session {
  public:
   void Title(const std::string& words) { text_.Title(words); }
@@ -54,7 +55,7 @@
 
   void AdvanceTime(duration time) { now_ += time; }
 
-  /// Records come in as if read from the control stream.
+  /// Applies records as if they were read from the control stream.
   void Fold(std::vector<record_body> bodies) {
     log_read read;
     read.stream = kControlStream;
@@ -233,7 +234,7 @@
   session.HandleEvent(peer_disconnected{kPeer});
 }
 
-TEST_CASE("A session of one entry's requests is as it was agreed") {
+TEST_CASE("The transcript of one entry's requests matches the golden file") {
   request_session session;
   Prepare(session);
   Serve(session);
--- a/tests/core/requests/owner_loads_test.cc
+++ b/tests/core/requests/owner_loads_test.cc
@@ -42,7 +42,7 @@
 TEST_CASE("An owner is chosen for a request") {
   routing_fixture fixture;
 
-  SECTION("among those with endpoints, by their slots") {
+  SECTION("among those with endpoints, weighted by slots") {
     const auto owner_counts = fixture.DrawOwners(1000);
     CHECK(owner_counts.size() == 2);
     CHECK(owner_counts.at(kPeer) > 400);
@@ -57,13 +57,13 @@
     CHECK(fixture.DrawOwners(100)[kSelf] < 100);
   }
 
-  SECTION("the one that is less full of two") {
+  SECTION("the less loaded of two") {
     fixture.Report(kPeer, 8, 20);
     fixture.Report(kOther, 8, 2);
     CHECK(fixture.DrawOwners(100).at(kOther) == 100);
   }
 
-  SECTION("with what was sent since its last report counted in") {
+  SECTION("counting requests forwarded since its last report") {
     fixture.Report(kPeer, 0, 0);
     fixture.Report(kOther, 0, 0);
     for (int i = 0; i < 20; ++i) {
@@ -72,12 +72,12 @@
     CHECK(fixture.DrawOwners(100).at(kOther) == 100);
   }
 
-  SECTION("the one in this entry's zone when they tie") {
+  SECTION("the one in this entry's zone on a tie") {
     fixture.harness.fleet.members[kPeer].zone = zone_id("suwon");
     fixture.harness.listings[0].zone = zone_id("suwon");
     fixture.harness.fleet.members.erase(kSelf);
     fixture.harness.fleet.members[kSelf].zone = zone_id("suwon");
-    // Owned by the peer as the only other member of the zone is this entry.
+    // The peer owns it, since this entry is the only other member of the zone.
     fixture.harness.stopping = {kSelf};
     fixture.harness.table.Rebuild(fixture.harness.fleet,
                                   fixture.harness.listings, kSelf, {kSelf});
@@ -90,7 +90,7 @@
     CHECK(owner_counts[kPeer] == 1000);
   }
 
-  SECTION("never a suspect or one that was tried") {
+  SECTION("never a suspect or one that was already tried") {
     fixture.harness.suspects = {kPeer};
     CHECK(fixture.DrawOwners(100).at(kOther) == 100);
     fixture.avoid = {kOther};
@@ -98,26 +98,26 @@
   }
 }
 
-// The connection to an owner breaks. Until heartbeats stop for long enough to
-// suspect it, each request sent to it would be lost as well.
-TEST_CASE("An owner whose connection was lost isn't chosen") {
+// The connection to an owner is lost. Until missing heartbeats make it a
+// suspect, each request sent to it would be lost as well.
+TEST_CASE("An owner whose connection was lost is not chosen") {
   routing_fixture fixture;
   fixture.loads.OnDisconnected(kPeer);
   CHECK(fixture.DrawOwners(100).at(kOther) == 100);
 
-  SECTION("until it is heard again") {
+  SECTION("until it reports again") {
     fixture.Report(kPeer, 0, 0);
     CHECK(fixture.DrawOwners(100).size() == 2);
   }
 
-  SECTION("and is forgotten once it is no member") {
+  SECTION("and is removed once it is not a member") {
     fixture.harness.fleet.members.erase(kPeer);
     fixture.loads.Prune(fixture.harness.fleet);
     CHECK_FALSE(fixture.loads.IsDisconnected(kPeer));
   }
 }
 
-TEST_CASE("Owners report slots that are out of use") {
+TEST_CASE("Owners report unavailable slots") {
   routing_fixture fixture;
   fixture.DrawOwners(1);
   const service_routes& routes = *fixture.harness.table.Find(kIntake);
--- a/tests/core/requests/request_cluster.h
+++ b/tests/core/requests/request_cluster.h
@@ -15,13 +15,14 @@
 
 namespace plantainhead::core {
 
-/// Thrown as soon as a rule is broken.
+/// Thrown when an invariant is violated.
 struct invariant_violation : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// A few entries with links between them, endpoints and a log of claims, all
-/// driven one step at a time by the test, which checks the rules at each step.
+/// Simulates a few entries with links between them, endpoints and a log of
+/// claims. The test drives it one step at a time; the invariants are checked at
+/// each step.
 class request_cluster {
  public:
   static constexpr std::uint32_t kSlots = 2;
@@ -77,7 +78,8 @@
     });
   }
 
-  /// Hands over the oldest frame of a link, perhaps twice.
+  /// Delivers the oldest frame of a link; the frame stays queued for a
+  /// duplicate delivery if `twice` is true.
   void Deliver(std::size_t from, std::size_t to, bool twice) {
     std::deque<peer_message>& link = links_[{from, to}];
     if (link.empty() || entries_[to]->frozen) {
@@ -119,8 +121,9 @@
     });
   }
 
-  /// Ends a call. `how` 0 and 1: it ran and answered; 2: ran, answer lost; 3:
-  /// bytes left, not run; 4: not sent; 5: refused; 6: refused, leaving.
+  /// Ends a call. `how` is 0 or 1: it ran and was answered; 2: it ran, the
+  /// answer was lost; 3: bytes were sent, it did not run; 4: not sent; 5:
+  /// refused; 6: refused because the endpoint is leaving.
   void EndCall(std::size_t which, std::size_t how) {
     if (calls_.empty()) {
       return;
@@ -152,7 +155,8 @@
     });
   }
 
-  /// The log gets to the oldest question of an entry; `out` says it can't.
+  /// Executes the oldest claim command of an entry; if `is_log_unavailable`, an
+  /// acquisition fails.
   void Claim(std::size_t at, bool is_log_unavailable) {
     entry& where = *entries_[at];
     if (where.claim_commands.empty() || where.frozen) {
@@ -185,7 +189,7 @@
     });
   }
 
-  /// Time passes for all; a frozen entry does nothing with it.
+  /// Advances the time for all entries; a paused entry handles no tick.
   void AdvanceTime(duration time) {
     now_ += time;
     for (std::size_t at = 0; at < kEntries; ++at) {
@@ -195,13 +199,14 @@
     }
   }
 
-  /// A frozen entry learns what was lost when it wakes up.
+  /// Pauses or resumes an entry. It handles lost connections when it resumes.
   void Freeze(std::size_t at, bool frozen) {
     entries_[at]->frozen = frozen;
     ReportDisconnects(at);
   }
 
-  /// A member leaves the view or comes back. Frozen entries learn it later.
+  /// Removes a member from the view or adds it again. Paused entries learn it
+  /// later.
   void ChangeView(std::size_t who) {
     if (fleet_.members.erase(entries_[who]->who) == 0) {
       AddMember(who);
@@ -218,7 +223,7 @@
     PublishView();
   }
 
-  /// Lets everything end, and checks that each arrival was answered.
+  /// Finishes all work, and checks that each arrival was answered.
   void Settle() {
     for (std::size_t at = 0; at < kEntries; ++at) {
       Freeze(at, false);
@@ -256,7 +261,7 @@
     std::set<incarnation> suspects;
     std::deque<claim_command> claim_commands;
     std::map<vm_id, std::uint32_t> in_flight;
-    /// Peers whose loss it has not been told.
+    /// Peers whose lost connection has not been reported to it.
     std::vector<incarnation> lost;
     bool frozen = false;
   };
@@ -388,11 +393,13 @@
     const response& answer = done.answer;
     if (answer.result == outcome::kNotRun) {
       Require(of.running == 0 && !of.may_have_run, "not-run after a send", of);
-      Require(answer.retry_after.has_value(), "no retry_after", of);
+      Require(answer.retry_after.has_value(), "not-run without retry_after",
+              of);
       of.told_not_run = true;
     }
     if (answer.result == outcome::kDone) {
-      Require(*answer.body == of.envelope.path, "another's answer", of);
+      Require(*answer.body == of.envelope.path,
+              "the answer belongs to another request", of);
     }
   }
 
--- a/tests/core/requests/request_core_claims_test.cc
+++ b/tests/core/requests/request_core_claims_test.cc
@@ -5,7 +5,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// Returns a key whose first home is `coordinator`.
+/// Returns a key whose first coordinator is `coordinator`.
 std::string KeyCoordinatedBy(const request_harness& harness,
                              incarnation coordinator) {
   for (int i = 0;; ++i) {
@@ -38,7 +38,7 @@
     REQUIRE(harness.Calls().size() == 1);
     const call_id call = harness.Calls()[0].call;
 
-    SECTION("whose answer is kept for a retry") {
+    SECTION("whose answer is stored for a retry") {
       harness.Reply(call);
       CHECK(harness.Answer().result == outcome::kDone);
       const claim_command finished = OnlyClaimCommand(harness);
@@ -51,20 +51,20 @@
       CHECK(harness.out.actions.empty());
     }
 
-    SECTION("and a surely unsent one gives the claim back") {
+    SECTION("and one that was certainly not sent releases the claim") {
       harness.Fail(call, endpoint_failure::kNotSent);
       CHECK(harness.Answer().result == outcome::kNotRun);
       CHECK(OnlyClaimCommand(harness).operation == claim_operation::kRelease);
     }
 
-    SECTION("and one that may have run keeps it") {
+    SECTION("and one that may have run keeps the claim") {
       harness.Fail(call, endpoint_failure::kMaybeSent);
       CHECK(harness.Answer().result == outcome::kUnknown);
       CHECK(OnlyClaimCommand(harness).operation == claim_operation::kComplete);
     }
   }
 
-  SECTION("or refused with what is known of the key") {
+  SECTION("or refused with the reason for the verdict") {
     struct expectation {
       claim_verdict verdict;
       outcome result;
@@ -97,9 +97,10 @@
     CHECK(harness.Calls().empty());
   }
 
-  // The caller's time is up while the log is slow; the claim is granted later.
-  // Without the release its retry would be refused although nothing ran.
-  SECTION("and a grant that comes after the deadline is released") {
+  // The caller's deadline passes while the log is slow, and the claim is
+  // granted later. Without the release a retry would be refused although
+  // nothing ran.
+  SECTION("and a grant after the deadline is released") {
     harness.Tick(seconds(3));
     CHECK(harness.Answer().result == outcome::kNotRun);
     CHECK(harness.Answer().reason == answer_reason::kDeadline);
@@ -110,32 +111,34 @@
   }
 }
 
-TEST_CASE("A request with a key goes to the key's home") {
+TEST_CASE("A request with a key goes to the coordinator of the key") {
   request_harness harness;
   harness.AddMember(kPeer, "goyang");
   harness.AddEndpoint("runner-1", "suwon");
   harness.Rebuild();
 
-  SECTION("on another entry, which answers") {
+  SECTION("on another entry") {
     harness.Arrive(harness.WithKey(KeyCoordinatedBy(harness, kPeer)));
     const auto sent = Sent<forward_request>(harness.out, kPeer);
     REQUIRE(sent.size() == 1);
     CHECK(sent[0].stage == forward_stage::kClaim);
 
-    // The home may have claimed and sent it before it was lost. The log tells:
-    // the next home is refused if the key was claimed.
-    SECTION("or is lost, and the next home claims it") {
+    // The coordinator may have claimed the key and dispatched the request
+    // before the connection was lost. The log shows this: the next coordinator
+    // is refused if the key was claimed.
+    SECTION(
+        "whose connection is lost, and the next coordinator claims the key") {
       harness.Disconnect(kPeer);
       const claim_command command = OnlyClaimCommand(harness);
       CHECK(command.operation == claim_operation::kAcquire);
 
-      SECTION("whose refusal by the log isn't not-run") {
+      SECTION("whose refusal by the log is not reported as not-run") {
         harness.Decide(command.request, claim_verdict::kLogUnavailable);
         CHECK(harness.Answer().result == outcome::kUnknown);
       }
     }
 
-    SECTION("or is stopping, and the next home claims it") {
+    SECTION("which is stopping, and the next coordinator claims the key") {
       response stopping;
       stopping.result = outcome::kNotRun;
       stopping.reason = answer_reason::kStopping;
@@ -144,7 +147,7 @@
     }
   }
 
-  SECTION("which is this entry, for a request of another") {
+  SECTION("which is this entry, for a request of another entry") {
     const request_id id = harness.Receive(
         kPeer, harness.WithKey(KeyCoordinatedBy(harness, kSelf)),
         forward_stage::kClaim);
@@ -157,7 +160,7 @@
     CHECK(replies[0].id == id);
   }
 
-  SECTION("and a frame that comes twice is claimed once") {
+  SECTION("and a duplicate frame is claimed once") {
     const request_envelope envelope =
         harness.WithKey(KeyCoordinatedBy(harness, kSelf));
     harness.Receive(kPeer, envelope, forward_stage::kClaim);
--- a/tests/core/requests/request_core_failures_test.cc
+++ b/tests/core/requests/request_core_failures_test.cc
@@ -14,16 +14,16 @@
   return harness;
 }
 
-// The endpoint's connection breaks after bytes left. The caller of a request
-// that isn't idempotent is told unknown at once: running it again might log a
-// second appeal.
-TEST_CASE("An endpoint is lost in the middle of a call") {
+// The connection to the endpoint breaks after bytes were sent. The caller of a
+// request that is not idempotent is answered unknown at once, since running the
+// request again could have its effect twice.
+TEST_CASE("The connection to an endpoint is lost during a call") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon");
   harness.AddEndpoint("runner-2", "suwon");
   harness.Rebuild();
 
-  SECTION("by a request that isn't idempotent, which is never sent again") {
+  SECTION("a request that is not idempotent is never sent again") {
     harness.Arrive(harness.Envelope(false));
     harness.Fail(harness.Calls()[0].call, endpoint_failure::kMaybeSent);
     CHECK(harness.Calls().empty());
@@ -32,14 +32,14 @@
     CHECK(harness.Answer().status == 502);
   }
 
-  SECTION("by an idempotent one, which goes to another endpoint") {
+  SECTION("an idempotent request goes to another endpoint") {
     harness.Arrive(harness.Envelope());
     const call_endpoint first = harness.Calls()[0];
     harness.Fail(first.call, endpoint_failure::kMaybeSent);
     REQUIRE(harness.Calls().size() == 1);
     CHECK(harness.Calls()[0].vm != first.vm);
 
-    SECTION("and whose refusal there doesn't make it not-run") {
+    SECTION("and a refusal there is not reported as not-run") {
       harness.Fail(harness.Calls()[0].call, endpoint_failure::kRefused);
       CHECK(harness.Answer().result == outcome::kUnknown);
     }
@@ -61,13 +61,13 @@
   }
 }
 
-// The endpoint is up but says that it didn't run the request, or can't be
-// reached at all. Nothing ran, so any request may go elsewhere.
-TEST_CASE("An endpoint doesn't take a request that isn't idempotent") {
+// The endpoint reports that it did not run the request, or cannot be reached at
+// all. Nothing ran, so any request may be sent elsewhere.
+TEST_CASE("An endpoint refuses a request that is not idempotent") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon");
 
-  SECTION("and another endpoint of the same owner does") {
+  SECTION("and another endpoint of the same owner accepts it") {
     harness.AddEndpoint("runner-2", "suwon");
     harness.Rebuild();
     harness.Arrive(harness.Envelope(false));
@@ -77,7 +77,7 @@
     CHECK(harness.Answer().result == outcome::kDone);
   }
 
-  SECTION("and an endpoint of another owner does") {
+  SECTION("and an endpoint of another owner accepts it") {
     harness.AddEndpoint("runner-2", "goyang");
     harness.Rebuild();
     harness.Arrive(harness.Envelope(false));
@@ -85,7 +85,7 @@
     CHECK(Sent<forward_request>(harness.out, kPeer).size() == 1);
   }
 
-  SECTION("and there is no other: the caller hears not-run") {
+  SECTION("and there is no other: the caller is answered not-run") {
     harness.Rebuild();
     harness.Arrive(harness.Envelope(false));
     harness.Fail(harness.Calls()[0].call, endpoint_failure::kRefused);
@@ -97,19 +97,19 @@
 
 // A request was forwarded and the connection to its owner is lost. The owner
 // may have sent it to an endpoint.
-TEST_CASE("The owner of a forwarded request is lost") {
+TEST_CASE("The connection to the owner of a forwarded request is lost") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "goyang");
   harness.Rebuild();
 
-  SECTION("by a request that isn't idempotent: the caller hears unknown") {
+  SECTION("a request that is not idempotent is answered unknown") {
     harness.Arrive(harness.Envelope(false));
     harness.Disconnect(kPeer);
     CHECK(harness.Answer().result == outcome::kUnknown);
     CHECK(harness.Answer().reason == answer_reason::kPeerLost);
   }
 
-  SECTION("by an idempotent one, which goes to another owner") {
+  SECTION("an idempotent request goes to another owner") {
     harness.AddEndpoint("runner-2", "seongnam");
     harness.suspects = {kOther};
     harness.Rebuild();
@@ -121,7 +121,7 @@
     const auto second = Sent<forward_request>(harness.out, kOther);
     REQUIRE(second.size() == 1);
 
-    SECTION("while the first owner's late answer meets a dead id") {
+    SECTION("and the late answer of the first owner is ignored") {
       response late;
       late.result = outcome::kDone;
       harness.PeerReply(kPeer, first[0].id, late);
@@ -129,7 +129,7 @@
     }
   }
 
-  SECTION("and an answer to an earlier life of this entry meets nothing") {
+  SECTION("and an answer to an earlier incarnation of this entry is ignored") {
     harness.Arrive(harness.Envelope());
     response late;
     late.result = outcome::kDone;
@@ -138,7 +138,8 @@
   }
 }
 
-// Nothing is heard from an owner, but its connection stands: it may be frozen.
+// An owner sends no heartbeats but its connection is open: its process may be
+// paused.
 TEST_CASE("The owner of a forwarded request is suspected") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "goyang");
@@ -153,14 +154,15 @@
                                  harness.out);
   };
 
-  SECTION("an idempotent request moves, and the owner is told") {
+  SECTION(
+      "an idempotent request moves, and a cancellation is sent to the owner") {
     harness.Arrive(harness.Envelope());
     suspect();
     CHECK(Sent<cancel_forward>(harness.out, kPeer).size() == 1);
     CHECK(Sent<forward_request>(harness.out, kOther).size() == 1);
   }
 
-  SECTION("another waits, since it may still be answered") {
+  SECTION("any other request waits, since it may still be answered") {
     harness.Arrive(harness.Envelope(false));
     const request_id id = Sent<forward_request>(harness.out, kPeer)[0].id;
     suspect();
@@ -172,8 +174,8 @@
   }
 }
 
-// An owner is frozen while a request waits in its queue, and wakes up after the
-// caller has given up. It must not start it then.
+// An owner is paused while a request waits in its queue, and resumes after the
+// caller has given up. It must not start the request then.
 TEST_CASE("A deadline passes") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon", 1);
@@ -181,7 +183,7 @@
   harness.Arrive(harness.Envelope(false));
   const call_endpoint first = harness.Calls()[0];
 
-  SECTION("for a queued request of a frozen owner: not-run") {
+  SECTION("for a queued request of a paused owner: not-run") {
     const request_id id = harness.Receive(kPeer, harness.Envelope(false));
     CHECK(harness.Calls().empty());
     harness.now += seconds(5);
@@ -194,7 +196,7 @@
     CHECK(replies[0].answer.reason == answer_reason::kDeadline);
   }
 
-  SECTION("for one that another entry sent too late: not-run") {
+  SECTION("for one that another entry forwarded too late: not-run") {
     harness.Reply(first.call);
     request_envelope late = harness.Envelope(false);
     late.deadline = harness.now;
@@ -205,7 +207,7 @@
     CHECK(replies[0].answer.reason == answer_reason::kDeadline);
   }
 
-  SECTION("for one that was dispatched: unknown, and the slot stays taken") {
+  SECTION("for one that was dispatched: unknown, and its slot stays in use") {
     harness.Tick(seconds(2));
     CHECK(harness.Answer().result == outcome::kUnknown);
     CHECK(harness.Answer().status == 504);
@@ -225,11 +227,11 @@
   }
 }
 
-// The entry's VM is paused for five seconds. Requests that others forwarded
-// meanwhile are read when it wakes, with their time left as it was when they
-// were sent, and behind them the news that nobody waits any more. Their callers
-// were told unknown and may have asked again: none may be started.
-TEST_CASE("An owner wakes up with old requests before it") {
+// The VM of the entry is paused for five seconds. When it resumes, it reads
+// requests that others forwarded meanwhile, with the remaining time that they
+// had when they were sent, followed by their cancellations. Their callers were
+// answered unknown and may have retried, so none may be started.
+TEST_CASE("An owner resumes from a pause and reads old requests") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon");
   harness.Rebuild();
@@ -243,7 +245,7 @@
   const request_id old = harness.Receive(kPeer, harness.Envelope(false));
   CHECK(harness.Calls().empty());
 
-  SECTION("and drops those that were given up") {
+  SECTION("and drops those that were cancelled") {
     harness.out = {};
     harness.core.OnCancel(kPeer, {old}, harness.Context(), harness.now,
                           harness.out);
@@ -264,7 +266,7 @@
   }
 }
 
-TEST_CASE("A caller hangs up") {
+TEST_CASE("A caller closes its connection") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon", 1);
   harness.Rebuild();
@@ -284,14 +286,14 @@
     CHECK(harness.Calls().empty());
   }
 
-  SECTION("while it runs: the call is waited for") {
+  SECTION("while the call is in flight: its answer is awaited") {
     disconnect_caller(harness.last_sequence);
     CHECK(harness.out.actions.empty());
     harness.Reply(first.call);
     CHECK(All<answer_caller>(harness.out).size() == 1);
   }
 
-  SECTION("while another entry has it: that entry is told") {
+  SECTION("while it is forwarded: a cancellation is sent to the owner") {
     harness.AddEndpoint("runner-2", "goyang");
     harness.Rebuild();
     const std::uint64_t forwarded = harness.Arrive(harness.Envelope());
@@ -304,8 +306,8 @@
   }
 }
 
-// A VM is drained while its requests run and others wait.
-TEST_CASE("An endpoint leaves") {
+// A VM is drained while some of its requests run and others are queued.
+TEST_CASE("An endpoint stops taking new work") {
   request_harness harness = MakeHarness();
   harness.AddEndpoint("runner-1", "suwon", 1);
   harness.AddEndpoint("runner-2", "goyang", 1);
@@ -313,7 +315,8 @@
   harness.Arrive(harness.Envelope());
   const call_endpoint first = harness.Calls().at(0);
 
-  SECTION("by the fold: it gets nothing new, and what runs ends") {
+  SECTION(
+      "by its phase in the fold: calls in flight finish, no new ones start") {
     harness.fleet.vms[vm_id("runner-1")].phase = vm_phase::kDraining;
     harness.Rebuild();
     harness.Arrive(harness.Envelope());
@@ -323,21 +326,22 @@
     CHECK(harness.Answer().result == outcome::kDone);
   }
 
-  SECTION("by the list") {
+  SECTION("by the platform's list") {
     harness.listings[0].state = vm_listing_state::kLeaving;
     harness.Rebuild();
     harness.Arrive(harness.Envelope());
     CHECK(harness.Calls().empty());
   }
 
-  SECTION("by its own word, long before the list shows it") {
+  SECTION("by its own announcement, long before the list shows it") {
     harness.Fail(first.call, endpoint_failure::kRefused, true);
     CHECK(Sent<forward_request>(harness.out, kPeer).size() == 1);
     harness.now += seconds(60);
     harness.Arrive(harness.Envelope());
     CHECK(harness.Calls().empty());
 
-    SECTION("and takes part again once it was seen leaving and back") {
+    SECTION(
+        "and takes new work again after the list showed it leaving and live") {
       harness.listings[0].state = vm_listing_state::kLeaving;
       harness.Rebuild();
       harness.listings[0].state = vm_listing_state::kLive;
@@ -347,7 +351,7 @@
     }
   }
 
-  SECTION("and the requests that wait for it follow to another owner") {
+  SECTION("and the requests queued for it move to another owner") {
     harness.suspects = {kPeer};
     harness.Arrive(harness.Envelope());
     CHECK(harness.Calls().empty());
@@ -358,9 +362,9 @@
   }
 }
 
-// A worker fails every task at once. Being the least busy, it would get most of
-// the requests; it is ejected, and the others get them.
-TEST_CASE("An endpoint fails all it gets") {
+// An endpoint fails every request immediately. Being the least loaded, it would
+// get most of the requests; it is ejected, and the others get them.
+TEST_CASE("An endpoint fails all of its requests") {
   request_harness harness = MakeHarness();
   for (const char* vm : {"runner-1", "runner-2", "runner-3"}) {
     harness.AddEndpoint(vm, "suwon");
@@ -380,18 +384,18 @@
     return served;
   };
 
-  SECTION("and gets no more") {
+  SECTION("and gets no more requests") {
     serve(20, false);
     CHECK(serve(100, false).count(vm_id("runner-1")) == 0);
     CHECK(harness.core.Load(harness.Context(), harness.now)[0].slots == 16);
 
-    SECTION("until it is tried again") {
+    SECTION("until it is probed") {
       harness.now += seconds(1);
       CHECK(serve(100, false)[vm_id("runner-1")] == 1);
     }
   }
 
-  SECTION("like all others, and never more than a third is ejected") {
+  SECTION("like all others, and at most a third of the slots is ejected") {
     serve(200, true);
     CHECK(harness.core.Load(harness.Context(), harness.now)[0].slots == 16);
   }
@@ -406,7 +410,7 @@
   harness.Arrive(harness.Envelope());
   harness.core.OnStop();
 
-  SECTION("and takes nothing new") {
+  SECTION("and accepts no new requests") {
     harness.Arrive(harness.Envelope());
     CHECK(harness.Answer().result == outcome::kNotRun);
     CHECK(harness.Answer().reason == answer_reason::kStopping);
@@ -416,7 +420,7 @@
     CHECK(replies[0].answer.reason == answer_reason::kStopping);
   }
 
-  SECTION("but ends what runs and what waits, and is idle then") {
+  SECTION("but finishes running and queued requests, and is then idle") {
     harness.Reply(running.call);
     CHECK(harness.Answer().result == outcome::kDone);
     REQUIRE(harness.Calls().size() == 1);
--- a/tests/core/requests/request_core_property_test.cc
+++ b/tests/core/requests/request_core_property_test.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core {
 namespace {
 
-/// Takes one small number after another out of a random word.
+/// Derives a sequence of small numbers from a random word.
 class step_reader {
  public:
   explicit step_reader(std::uint32_t word) : word_(word) {}
@@ -51,11 +51,11 @@
   }
 }
 
-// Callers get one answer each, never a false not-run, never another's answer,
-// and nothing that isn't idempotent runs twice, in whatever order arrivals,
-// messages, answers, failures, lost connections, freezes and changes of the
-// view come.
-TEST_CASE("The rules hold for any order of events") {
+// Each caller gets exactly one answer, never a false not-run and never the
+// answer to another request, and no request that is not idempotent runs twice,
+// for any order of arrivals, messages, answers, failures, lost connections,
+// pauses and changes of the view.
+TEST_CASE("The invariants hold for any order of events") {
   const bool held = rc::check("any order of events", [] {
     const auto words = *rc::gen::resize(
         600, rc::gen::container<std::vector<std::uint32_t>>(
--- a/tests/core/requests/request_core_test.cc
+++ b/tests/core/requests/request_core_test.cc
@@ -16,7 +16,7 @@
   const call_endpoint call = harness.Calls()[0];
   CHECK(call.vm == vm_id("runner-1"));
 
-  SECTION("whose whole answer goes to the caller") {
+  SECTION("whose complete answer goes to the caller") {
     harness.Reply(call.call, 201);
 
     const auto answers = All<answer_caller>(harness.out);
@@ -27,7 +27,7 @@
     CHECK(*answers[0].answer.body == "whole answer");
     CHECK(harness.core.Idle());
 
-    SECTION("and a second answer to the same call meets no one") {
+    SECTION("and a second answer to the same call is ignored") {
       harness.Reply(call.call, 500);
       CHECK(harness.out.actions.empty());
     }
@@ -72,34 +72,34 @@
   CHECK(replies[0].load[0].slots == 8);
 }
 
-TEST_CASE("A request that can't be taken is answered at once") {
+TEST_CASE("A request that cannot be accepted is answered at once") {
   request_harness harness;
   harness.AddEndpoint("runner-1", "suwon");
   request_envelope envelope = harness.Envelope();
   int status = 0;
   answer_reason reason = answer_reason::kNone;
 
-  SECTION("since its service isn't known") {
+  SECTION("because its service is unknown") {
     envelope.service = service_name("nowhere");
     status = 404;
     reason = answer_reason::kUnknownService;
   }
-  SECTION("since its class isn't known: the known ones are named") {
+  SECTION("because its class is unknown: the answer lists the known ones") {
     envelope.work = class_name("other");
     status = 400;
     reason = answer_reason::kUnknownClass;
   }
-  SECTION("since it names none of several classes") {
+  SECTION("because it names none of several classes") {
     envelope.work = class_name();
     status = 400;
     reason = answer_reason::kUnknownClass;
   }
-  SECTION("since the entry isn't ready") {
+  SECTION("because the entry is not ready") {
     harness.ready = false;
     status = 503;
     reason = answer_reason::kNotReady;
   }
-  SECTION("since the service has no endpoint") {
+  SECTION("because the service has no endpoint") {
     harness.listings.clear();
     status = 503;
     reason = answer_reason::kNoEndpoint;
@@ -129,7 +129,7 @@
   CHECK(harness.Calls()[0].envelope.work == kUrgent);
 }
 
-TEST_CASE("Requests beyond the slots wait, and beyond their time are refused") {
+TEST_CASE("Requests without a free slot are queued, or refused if too late") {
   request_harness harness;
   harness.AddEndpoint("runner-1", "suwon", 2);
   harness.Rebuild();
--- a/tests/core/requests/request_harness.h
+++ b/tests/core/requests/request_harness.h
@@ -56,8 +56,8 @@
   return work;
 }
 
-/// One entry's `request_core` with a small fleet around it. Each step clears
-/// `out` first.
+/// Drives one entry's `request_core` in a small fleet. Each step clears `out`
+/// first.
 struct request_harness {
   fleet_state fleet;
   std::vector<vm_listing> listings;
@@ -182,7 +182,8 @@
     core.OnTick(Context(), now, out);
   }
 
-  /// Precondition: the last step gave exactly one answer to a caller.
+  /// Returns the answer of the last step. Precondition: the step gave exactly
+  /// one answer to a caller.
   response Answer() const { return All<answer_caller>(out).at(0).answer; }
   std::vector<call_endpoint> Calls() const { return All<call_endpoint>(out); }
 };
--- a/tests/core/requests/request_meter_test.cc
+++ b/tests/core/requests/request_meter_test.cc
@@ -27,7 +27,7 @@
   return answer;
 }
 
-TEST_CASE("An entry counts what became of its callers' requests") {
+TEST_CASE("An entry counts the SLO outcomes of its callers' requests") {
   request_meter meter;
   meter.OnArrival(1, Petitions(), kStart);
   const auto count = [&](slo_outcome fate) {
@@ -45,22 +45,22 @@
                    kStart + std::chrono::seconds(1));
     CHECK(count(slo_outcome::kLate) == 1);
   }
-  SECTION("refused while maintenance keeps VMs from work") {
+  SECTION("refused while maintenance keeps VMs out of use") {
     meter.OnAnswer({1, Answer(outcome::kNotRun, answer_reason::kOverload)},
                    true, kStart);
     CHECK(count(slo_outcome::kMaintenance) == 1);
   }
-  SECTION("lost with an endpoint") {
+  SECTION("lost because of an endpoint failure") {
     meter.OnAnswer({1, Answer(outcome::kUnknown, answer_reason::kEndpointLost)},
                    true, kStart);
     CHECK(count(slo_outcome::kFailure) == 1);
   }
-  SECTION("wrong, which costs no budget") {
+  SECTION("invalid, which consumes no budget") {
     meter.OnAnswer({1, Answer(outcome::kNotRun, answer_reason::kUnknownClass)},
                    false, kStart);
     CHECK(meter.Classes().empty());
   }
-  SECTION("and records each once") {
+  SECTION("and records each request once") {
     meter.OnAnswer({1, Answer(outcome::kDone, answer_reason::kNone)}, false,
                    kStart);
     CHECK(meter.TakeUnrecorded().at(kPetitions).Total() == 1);
@@ -68,7 +68,7 @@
   }
 }
 
-TEST_CASE("The planner learns demand and burn from the entries' counts") {
+TEST_CASE("The planner derives demand and burn rate from the entries' counts") {
   fleet_meter meter;
   fleet_state fleet;
   fleet.targets.classes = {Petitions()};
@@ -99,7 +99,7 @@
           std::chrono::milliseconds(50));
     CHECK(meter.Budgets(fleet, now).at(kPetitions).rate == Approx(5));
   }
-  SECTION("and forgets it after that") {
+  SECTION("and removes it after that") {
     report(1095, 5, 1095, kStart + std::chrono::seconds(10));
     report(1096, 5, 1096, kStart + std::chrono::minutes(5));
     const auto budgets = meter.Budgets(fleet, kStart + std::chrono::minutes(5));
--- a/tests/core/requests/request_queue_test.cc
+++ b/tests/core/requests/request_queue_test.cc
@@ -19,8 +19,9 @@
 const work_class kDeferrable =
     MakeClass(class_name("waits"), seconds(600), true);
 
-/// One service with `kSlots` slots in virtual time, fed by Poisson arrivals of
-/// three classes and served in 20 ms on average, exponentially distributed.
+/// Simulates one service with `kSlots` slots in virtual time. Requests of three
+/// classes arrive in a Poisson process; service times are exponentially
+/// distributed with a mean of 20 ms.
 class overload_simulation {
  public:
   static constexpr std::uint32_t kSlots = 16;
@@ -35,8 +36,8 @@
     int late = 0;
   };
 
-  /// Runs for `time` with `load` times the capacity, of which the tight and the
-  /// waiting class make the given parts.
+  /// Runs for `time` with an offered load of `load` times the capacity; `tight`
+  /// and `deferrable` are the shares of these two classes.
   void Run(double load, double tight, double deferrable, duration time) {
     const time_point end = now_ + time;
     std::exponential_distribution<double> gap(load * kCapacity / 1e6);
@@ -139,10 +140,10 @@
       running_;
 };
 
-// Twice and five times more arrives than can be served. If requests that can't
-// be served in time were let in, they would take slots for nothing, and callers
-// of the tight class would wait behind them.
-TEST_CASE("Overload leaves the goodput and the tight class alone") {
+// The offered load is two or five times the capacity. If requests that cannot
+// be served in time were admitted, they would waste slots, and callers of the
+// tight class would wait behind them.
+TEST_CASE("Overload reduces neither the goodput nor the tight class") {
   const double load = GENERATE(2.0, 5.0);
   overload_simulation harness;
   harness.Run(load, 0.1, 0, seconds(60));
@@ -156,7 +157,7 @@
   CHECK(loose.refused_later <= 0.05 * loose.refused_at_once);
 }
 
-TEST_CASE("Work that can wait finishes under overload of the others") {
+TEST_CASE("Requests that can wait finish while other classes are overloaded") {
   overload_simulation harness;
   harness.Run(3.0, 0.1, 0.01, seconds(60));
   const auto& deferrable = harness.by_class[kDeferrable.name];
@@ -175,7 +176,7 @@
   }
 }
 
-TEST_CASE("The queue orders what waits") {
+TEST_CASE("The queue orders its requests") {
   request_queue queue;
   const time_point now(std::chrono::hours(1));
   std::vector<std::uint64_t> refused;
@@ -196,7 +197,7 @@
     CHECK(queue.Pop(now, refused) == std::nullopt);
   }
 
-  SECTION("with a class that burns its budget a little earlier") {
+  SECTION("with a class that consumes its budget slightly earlier") {
     const work_class other =
         MakeClass(class_name("other"), milliseconds(900), false);
     for (int i = 0; i < 100; ++i) {
@@ -207,7 +208,7 @@
     CHECK(queue.Pop(now, refused) == burning);
   }
 
-  SECTION("and a class that burns more than before keeps its own order") {
+  SECTION("and a class whose burn rate rises keeps its own order") {
     const std::uint64_t first = add(kLoose);
     for (int i = 0; i < 100; ++i) {
       queue.OnUnserved(kLoose);
@@ -216,7 +217,7 @@
     CHECK(queue.Pop(now, refused) == first);
   }
 
-  SECTION("with a share for work that can wait") {
+  SECTION("with a share for classes that can wait") {
     const std::uint64_t deferrable = add(kDeferrable);
     for (int i = 0; i < 100; ++i) {
       add(kLoose);
@@ -229,7 +230,7 @@
     CHECK(turn <= 1 / request_queue::kMinDeferrableShare + 1);
   }
 
-  SECTION("and leaves out what was taken back") {
+  SECTION("and leaves out removed requests") {
     const std::uint64_t first = add(kLoose);
     const std::uint64_t second = add(kLoose);
     CHECK(queue.Erase(first));
@@ -237,22 +238,22 @@
     CHECK(queue.Pop(now, refused) == second);
   }
 
-  SECTION("and refuses what can't end in time while others can") {
+  SECTION("and refuses requests that cannot finish in time while others can") {
     const std::uint64_t hopeless = add(kTight, milliseconds(300));
     const std::uint64_t other = add(kTight);
     CHECK(queue.Pop(now, refused) == other);
     CHECK(refused == std::vector<std::uint64_t>{hopeless});
   }
 
-  SECTION("but runs it late when nothing else waits") {
+  SECTION("but runs such a request late if nothing else is queued") {
     const std::uint64_t hopeless = add(kTight, milliseconds(300));
     CHECK(queue.Pop(now, refused) == hopeless);
   }
 }
 
-// Once a tight class was published and taken back, the loose one alone may wait
-// as long as before.
-TEST_CASE("A class that is gone has no say") {
+// After a tight class was published and removed again, the remaining loose
+// class may wait as long as before.
+TEST_CASE("A removed class does not affect admission") {
   request_queue queue;
   const time_point now(std::chrono::hours(1));
   queue.OnServed(kTight, milliseconds(10), true);
@@ -271,7 +272,7 @@
   CHECK(fill() > before / 3);
 }
 
-TEST_CASE("A class whose target is shorter than its service still runs") {
+TEST_CASE("A class whose target is shorter than its service time still runs") {
   request_queue queue;
   const time_point now(std::chrono::hours(1));
   for (int i = 0; i < 100; ++i) {
--- a/tests/core/requests/session_text.h
+++ b/tests/core/requests/session_text.h
@@ -12,7 +12,7 @@
 #include "plantainhead/core/visit.h"
 #include "plantainhead/platform/record_codec.h"
 
-/// Events and actions as lines of text, for golden files of sessions.
+/// Formats events and actions as lines of text, for golden files of sessions.
 namespace plantainhead::core {
 
 template <typename Number>
@@ -198,8 +198,8 @@
          item.key.value() + " for " + Text(item.request);
 }
 
-/// The text of a session, in the order in which it happens: "< " what comes in,
-/// "> " what goes out.
+/// Collects the transcript of a session in chronological order. Input lines
+/// start with "< ", output lines with "> ".
 class session_text {
  public:
   void Title(const std::string& words) { text_ << "\n# " << words << "\n"; }
@@ -220,8 +220,9 @@
   std::ostringstream text_;
 };
 
-/// Returns the golden text called `name`. With `PLANTAINHEAD_UPDATE_GOLDEN=1`
-/// in the environment, which CI never sets, it first becomes `current`.
+/// Returns the content of the golden file `name`. With
+/// `PLANTAINHEAD_UPDATE_GOLDEN=1` in the environment, which CI never sets, the
+/// file is first replaced by `current`.
 inline std::string GoldenText(const std::string& name,
                               const std::string& current) {
   const std::string path = std::string(PLANTAINHEAD_GOLDEN_DIR) + "/" + name;
