--- a/include/plantainhead/core/claims/claims.h
+++ b/include/plantainhead/core/claims/claims.h
@@ -58,7 +58,7 @@
 /// Statistics of `claims` for metrics: counters since the start, then current
 /// values.
 struct claim_stats {
-  std::uint64_t asked = 0;
+  std::uint64_t requested = 0;
   std::uint64_t granted = 0;
   std::uint64_t in_progress = 0;
   std::uint64_t stored_answers = 0;
--- a/include/plantainhead/core/requests/request_counts.h
+++ b/include/plantainhead/core/requests/request_counts.h
@@ -42,11 +42,11 @@
 struct request_counts {
   std::array<std::uint64_t, kSloOutcomeNames.size()> by_fate{};
 
-  std::uint64_t& operator[](slo_outcome fate) {
-    return by_fate[static_cast<std::size_t>(fate)];
+  std::uint64_t& operator[](slo_outcome outcome_kind) {
+    return by_fate[static_cast<std::size_t>(outcome_kind)];
   }
-  std::uint64_t operator[](slo_outcome fate) const {
-    return by_fate[static_cast<std::size_t>(fate)];
+  std::uint64_t operator[](slo_outcome outcome_kind) const {
+    return by_fate[static_cast<std::size_t>(outcome_kind)];
   }
 
   std::uint64_t Total() const {
--- a/include/plantainhead/core/requests/request_queue.h
+++ b/include/plantainhead/core/requests/request_queue.h
@@ -150,9 +150,9 @@
 
   class_queue& ClassQueueFor(const work_class& work);
   const class_queue* FindClassQueue(const class_name& name) const;
-  queued_request MakeWaiting(const queue_item& item,
-                             const work_class& work,
-                             const class_queue& queue) const;
+  queued_request MakeQueuedRequest(const queue_item& item,
+                                   const work_class& work,
+                                   const class_queue& queue) const;
   void Insert(class_queue& queue, const queued_request& item);
   void CountOutcome(class_queue& queue, const work_class& work, bool served);
   /// Returns by how much a class that consumes its error budget is moved
--- a/src/core/claims/claim_partition.cc
+++ b/src/core/claims/claim_partition.cc
@@ -96,10 +96,10 @@
 }
 
 void claim_partition::Start(const key_hash& hash, pending_claim claim) {
-  claim.record_number = writer_.Add(
-      claim_request{claim.key, context_.self, claim.request, claim.asked});
-  next_timeout_ = std::min(
-      {next_timeout_, claim.deadline, claim.asked + options_.claim_timeout});
+  claim.record_number = writer_.Add(claim_request{
+      claim.key, context_.self, claim.request, claim.requested_at});
+  next_timeout_ = std::min({next_timeout_, claim.deadline,
+                            claim.requested_at + options_.claim_timeout});
   pending_.emplace(hash, std::move(claim));
 }
 
@@ -176,7 +176,7 @@
   for (auto it = pending_.begin(); it != pending_.end();) {
     const auto here = it++;
     const pending_claim& claim = here->second;
-    const time_point timeout = claim.asked + options_.claim_timeout;
+    const time_point timeout = claim.requested_at + options_.claim_timeout;
     if (now >= timeout) {
       watermarks_.SetUnavailable();
     }
--- a/src/core/claims/claim_partition.h
+++ b/src/core/claims/claim_partition.h
@@ -73,7 +73,7 @@
     claim_key key;
     request_id request;
     time_point deadline;
-    time_point asked;
+    time_point requested_at;
     std::uint64_t record_number = 0;
   };
   using pending_map =
--- a/src/core/claims/claim_partition_reading.cc
+++ b/src/core/claims/claim_partition_reading.cc
@@ -92,7 +92,7 @@
   // ago: the claim that blocked it at that time may be evicted by now.
   const pending_claim& pending = it->second;
   const time_point end =
-      std::min(pending.deadline, pending.asked + options_.claim_timeout);
+      std::min(pending.deadline, pending.requested_at + options_.claim_timeout);
   if (status != claim_status::kFirst || cursor_.IsBlocked(now) ||
       grant_time >= end) {
     Reject(it, claim_verdict::kLogUnavailable, options_.retry_after, now,
--- a/src/core/claims/claims.cc
+++ b/src/core/claims/claims.cc
@@ -28,7 +28,7 @@
                      time_point now,
                      effects& out,
                      std::vector<claim_decision>& decisions) {
-  ++stats_.asked;
+  ++stats_.requested;
   const std::size_t before = decisions.size();
   if (const response* stored = answers_->Find(HashOf(key))) {
     decisions.push_back({request, claim_verdict::kStoredAnswer, *stored, {}});
--- a/src/core/requests/request_queue.cc
+++ b/src/core/requests/request_queue.cc
@@ -39,7 +39,7 @@
   return found == class_queues_.end() ? nullptr : &found->second;
 }
 
-request_queue::queued_request request_queue::MakeWaiting(
+request_queue::queued_request request_queue::MakeQueuedRequest(
     const queue_item& item,
     const work_class& work,
     const class_queue& queue) const {
@@ -73,7 +73,7 @@
                                std::uint32_t free,
                                time_point now) {
   class_queue& queue = ClassQueueFor(work);
-  const queued_request made = MakeWaiting(item, work, queue);
+  const queued_request made = MakeQueuedRequest(item, work, queue);
   admission result;
   result.predicted_wait = PredictWait(queue, made.key, slots, free);
   const duration most = MaxWait(queue, made.effective_deadline - now);
@@ -96,7 +96,7 @@
 
 void request_queue::Requeue(const queue_item& item, const work_class& work) {
   class_queue& queue = ClassQueueFor(work);
-  Insert(queue, MakeWaiting(item, work, queue));
+  Insert(queue, MakeQueuedRequest(item, work, queue));
 }
 
 // Moves the whole class forward, so that its own requests keep their order.
--- a/tests/core/claims/claims_property_test.cc
+++ b/tests/core/claims/claims_property_test.cc
@@ -52,7 +52,7 @@
 // A request from its caller's point of view.
 struct client_request {
   std::size_t key = 0;
-  time_point asked;
+  time_point requested_at;
   bool is_decided = false;
   bool is_granted = false;
   bool is_released = false;
@@ -248,7 +248,7 @@
       }
       if (Below(2) == 0) {
         request.is_released = true;
-        std::erase(unreleased_[request.key], request.asked);
+        std::erase(unreleased_[request.key], request.requested_at);
         instance.entry.Release(kKeys[request.key], sequence, now);
       } else {
         request.is_finished = true;
@@ -324,10 +324,10 @@
     ++grants_;
     for (const time_point& other : unreleased_[request.key]) {
       const duration apart =
-          std::max(request.asked - other, other - request.asked);
+          std::max(request.requested_at - other, other - request.requested_at);
       RC_ASSERT(apart >= ShortWindow().window);
     }
-    unreleased_[request.key].push_back(request.asked);
+    unreleased_[request.key].push_back(request.requested_at);
   }
 
   const fault_options allowed_;
