--- a/src/core/claims/claim_cursor.h
+++ b/src/core/claims/claim_cursor.h
@@ -56,7 +56,8 @@
   /// Returns true once for each period in which grants are blocked.
   bool TakeReport();
 
-  /// Returns the offset for a watermark that is written now.
+  /// Returns the offset up to which a watermark that is written now may cover
+  /// the stream.
   log_offset WatermarkOffset(time_point now) const;
 
   bool caught_up() const { return caught_up_; }
