--- a/include/plantainhead/core/requests/request_core.h
+++ b/include/plantainhead/core/requests/request_core.h
@@ -56,7 +56,7 @@
                  effects& out);
   /// Handles the loss of the caller's connection: the request ends unless it
   /// was dispatched. It is still answered, so that it is counted.
-  void OnCallerGone(const caller_gone& event,
+  void OnCallerGone(const caller_disconnected& event,
                     const routing_context& context,
                     time_point now,
                     effects& out);
--- a/src/core/claims/claim_partition_reading.cc
+++ b/src/core/claims/claim_partition_reading.cc
@@ -115,11 +115,11 @@
   }
   if (cursor_.TakeReport()) {
     ++context_.stats->unreadable_gaps;
-    out.Note(note_level::kError,
-             "records of the claim window cannot be read; the stream was "
-             "truncated or reset",
-             {{"stream", stream_.value()},
-              {"last_read", std::to_string(cursor_.last_read())}});
+    out.Log(log_severity::kError,
+            "records of the claim window cannot be read; the stream was "
+            "truncated or reset",
+            {{"stream", stream_.value()},
+             {"last_read", std::to_string(cursor_.last_read())}});
   }
   RejectAll(cursor_.BlockedFor(now), now, decisions);
 }
--- a/src/core/fleet/job_placement.cc
+++ b/src/core/fleet/job_placement.cc
@@ -8,7 +8,7 @@
 
 /// An urgent job may share processors up to this many times over while jobs
 /// that can wait are being checkpointed.
-constexpr std::int64_t kOvercommit = 2;
+constexpr std::int64_t kProcessorOvercommit = 2;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void job_placement::AddWorkers() {
-  std::map<pool_id, std::vector<const wave_progress*>> waves;
+  std::map<pool_id, std::vector<const fleet_wave*>> waves;
   for (const auto& [id, wave] : context_.inputs.state.waves) {
     if (wave.state != wave_state::kRunning) {
       continue;
@@ -44,10 +44,9 @@
     item.accelerators = vm.listing->accelerators;
     const auto found = waves.find(vm.state->pool);
     if (found != waves.end()) {
-      item.awaits_wave = std::any_of(found->second.begin(), found->second.end(),
-                                     [&id = id](const wave_progress* w) {
-                                       return !w->visited.contains(id);
-                                     });
+      item.awaits_wave = std::any_of(
+          found->second.begin(), found->second.end(),
+          [&id = id](const fleet_wave* w) { return !w->visited.contains(id); });
     }
     by_pool_[vm.state->pool].push_back(&item);
   }
@@ -73,11 +72,11 @@
   }
 }
 
-void job_placement::Place(const job_spec& spec, const vm_id& vm) {
+void job_placement::Place(const job_requirements& spec, const vm_id& vm) {
   Occupy(spec, vm, spec.name);
 }
 
-void job_placement::Occupy(const job_spec& spec,
+void job_placement::Occupy(const job_requirements& spec,
                            const vm_id& vm,
                            const job_id& job) {
   team_use& use = teams_[spec.team];
@@ -104,7 +103,8 @@
          item.accelerators >= size.accelerators;
 }
 
-std::optional<job_placement::choice> job_placement::Find(const job_spec& spec) {
+std::optional<job_placement::choice> job_placement::Find(
+    const job_requirements& spec) {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return std::nullopt;
@@ -138,8 +138,8 @@
   return choice{best->vm, {}, true};
 }
 
-std::optional<job_placement::choice> job_placement::FindByDisplacing(
-    const job_spec& spec) const {
+std::optional<job_placement::choice> job_placement::FindByPreemption(
+    const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return std::nullopt;
@@ -147,14 +147,14 @@
   const job_size size = history_.SizeOf(spec);
   std::optional<choice> best;
   const auto key = [](const choice& item) {
-    return std::make_tuple(!item.can_start_now, item.displaced.size());
+    return std::make_tuple(!item.can_start_now, item.preempted.size());
   };
   for (const worker* item : pool->second) {
     if (!item->vm->available() || IsAvoided(spec.name, item->vm->id) ||
         !TeamMayUse(spec.team, item->vm->id)) {
       continue;
     }
-    const std::optional<choice> found = Displace(*item, size);
+    const std::optional<choice> found = Preempt(*item, size);
     if (found && (!best || key(*found) < key(*best))) {
       best = found;
     }
@@ -162,13 +162,13 @@
   return best;
 }
 
-std::optional<job_placement::choice> job_placement::Displace(
+std::optional<job_placement::choice> job_placement::Preempt(
     const worker& item,
     const job_size& size) const {
   const std::int64_t all = item.vm->listing->processors;
   const bool can_start_now =
       FitsButProcessors(item, size) &&
-      size.processors <= item.processors + all * (kOvercommit - 1);
+      size.processors <= item.processors + all * (kProcessorOvercommit - 1);
   worker left = item;
   std::vector<std::pair<time_point, job_id>> waiting;
   for (const job_id& id : item.jobs) {
@@ -176,13 +176,13 @@
     if (job == context_.inputs.state.jobs.end() || job->second.spec.urgent) {
       continue;
     }
-    if (job->second.state == job_state::kCheckpointing) {
+    if (job->second.state == job_status::kCheckpointing) {
       // It leaves already; its room will be there.
       const job_size gone = history_.SizeOf(job->second.spec);
       left.processors += gone.processors;
       left.memory_mb += gone.memory_mb;
       left.accelerators += gone.accelerators;
-    } else if (job->second.state == job_state::kPlaced) {
+    } else if (job->second.state == job_status::kPlaced) {
       const time_point by = job->second.spec.finish_by;
       waiting.emplace_back(by == time_point() ? time_point::max() : by, id);
     }
@@ -199,7 +199,7 @@
     left.processors += gone.processors;
     left.memory_mb += gone.memory_mb;
     left.accelerators += gone.accelerators;
-    found.displaced.push_back(id);
+    found.preempted.push_back(id);
   }
   if (!Fits(left, size)) {
     return std::nullopt;
@@ -207,7 +207,8 @@
   return found;
 }
 
-std::string job_placement::WhyNever(const job_spec& spec) const {
+std::string job_placement::UnplaceableReason(
+    const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return "";
@@ -234,7 +235,8 @@
          std::to_string(memory_mb) + " MB, " + std::to_string(accelerators);
 }
 
-std::string job_placement::WhyOverQuota(const job_spec& spec) const {
+std::string job_placement::QuotaExceededReason(
+    const job_requirements& spec) const {
   const team_spec* team = FindTeam(spec.team);
   const auto use = teams_.find(spec.team);
   if (team == nullptr || use == teams_.end()) {
@@ -259,10 +261,10 @@
 bool job_placement::IsAvoided(const job_id& job, const vm_id& vm) const {
   return history_.FailedOn(job).contains(vm) ||
          history_.WasRefused(job, vm,
-                             context_.now - context_.options.refusal_time);
+                             context_.now - context_.options.refusal_backoff);
 }
 
-bool job_placement::IsKnownFull(const job_spec& spec) const {
+bool job_placement::IsKnownFull(const job_requirements& spec) const {
   return full_.contains({spec.pool, history_.SizeOf(spec)});
 }
 
--- a/src/core/fleet/job_planner_tasks.cc
+++ b/src/core/fleet/job_planner_tasks.cc
@@ -21,53 +21,53 @@
 
 }  // namespace
 
-void job_planner::DriveJobs(const planner_context& context) {
+void job_planner::AdvanceJobs(const planner_context& context) {
   for (const auto& [id, job] : context.inputs.state.jobs) {
     if (!HoldsTask(job) ||
         context.gate.IsPending(ObjectOf(id), job.version, context.now)) {
       continue;
     }
-    if (job.state == job_state::kPlaced) {
-      DrivePlaced(context, id, job);
+    if (job.state == job_status::kPlaced) {
+      AdvancePlaced(context, id, job);
     } else {
-      DriveCheckpointing(context, id, job);
+      AdvanceCheckpointing(context, id, job);
     }
   }
 }
 
-void job_planner::DrivePlaced(const planner_context& context,
-                              const job_id& id,
-                              const job_progress& job) {
-  if (RecordEnd(context, id, job)) {
+void job_planner::AdvancePlaced(const planner_context& context,
+                                const job_id& id,
+                                const fleet_job& job) {
+  if (RecordTaskEnd(context, id, job)) {
     return;
   }
   // A task on the list needs no start; a planner that takes over need not send
   // the starts of all jobs again.
   const bool is_running = FindTask(id, job) != nullptr;
   if (!is_running && IsWorkerGone(context, job)) {
-    GiveUpLost(context, id, job);
+    ReleaseLostTask(context, id, job);
     return;
   }
-  if (!is_running && !DriveStart(context, id, job)) {
+  if (!is_running && !AdvanceStart(context, id, job)) {
     return;
   }
-  if (GiveUpLost(context, id, job)) {
+  if (ReleaseLostTask(context, id, job)) {
     return;
   }
-  if (MustLeave(context, job)) {
-    SetState(context, id, job, job_state::kCheckpointing, job.vm, kCheckpoint,
+  if (MustVacateWorker(context, job)) {
+    SetState(context, id, job, job_status::kCheckpointing, job.vm, kCheckpoint,
              "worker " + job.vm.value() + " is leaving or in maintenance");
     return;
   }
   Renew(context, id, job);
 }
 
-bool job_planner::DriveStart(const planner_context& context,
-                             const job_id& id,
-                             const job_progress& job) {
+bool job_planner::AdvanceStart(const planner_context& context,
+                               const job_id& id,
+                               const fleet_job& job) {
   const job_size size =
-      SizeIn(job.operation).value_or(history_.SizeOf(job.spec));
-  const std::optional<operation_result> end = context.operations.Drive(
+      ParseSize(job.operation).value_or(history_.SizeOf(job.spec));
+  const std::optional<operation_result> end = context.operations.EnsureSent(
       job.operation,
       start_task{id, job.vm, size.processors, size.memory_mb, size.accelerators,
                  context.options.task_lease},
@@ -77,45 +77,45 @@
   }
   if (end == operation_result::kRefused) {
     history_.CountRefusal(id, job.vm, context.now);
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              "worker " + job.vm.value() +
                  " refused it: " + context.operations.DetailOf(job.operation));
     return false;
   }
   // A start that is still under way may begin a lease at any moment.
-  const auto seen = sights_.find(id);
-  if (seen != sights_.end()) {
+  const auto seen = observations_.find(id);
+  if (seen != observations_.end()) {
     seen->second.lease_end =
         context.now + context.options.task_lease + context.options.lease_margin;
   }
   return false;
 }
 
-void job_planner::DriveCheckpointing(const planner_context& context,
-                                     const job_id& id,
-                                     const job_progress& job) {
-  const std::optional<operation_result> end = context.operations.Drive(
+void job_planner::AdvanceCheckpointing(const planner_context& context,
+                                       const job_id& id,
+                                       const fleet_job& job) {
+  const std::optional<operation_result> end = context.operations.EnsureSent(
       job.operation, checkpoint_task{id, job.vm}, context.now, context.out);
   if (end == operation_result::kDone) {
-    SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+    SetState(context, id, job, job_status::kWaiting, vm_id(), "",
              "checkpointed; " + job.reason);
     return;
   }
-  if (RecordEnd(context, id, job) || GiveUpLost(context, id, job)) {
+  if (RecordTaskEnd(context, id, job) || ReleaseLostTask(context, id, job)) {
     return;
   }
   // Until it is saved, or has ended by itself, its task must not lapse.
   Renew(context, id, job);
   if (end == operation_result::kRefused) {
-    context.Report(note_level::kWarning, ObjectOf(id),
+    context.Report(log_severity::kWarning, ObjectOf(id),
                    "it can't be checkpointed and is left to finish: " +
                        context.operations.DetailOf(job.operation));
   }
 }
 
-bool job_planner::RecordEnd(const planner_context& context,
-                            const job_id& id,
-                            const job_progress& job) {
+bool job_planner::RecordTaskEnd(const planner_context& context,
+                                const job_id& id,
+                                const fleet_job& job) {
   const task_listing* task = FindTask(id, job);
   if (task == nullptr) {
     return false;
@@ -124,36 +124,37 @@
     case task_state::kRunning:
       return false;
     case task_state::kFinished:
-      SetState(context, id, job, job_state::kFinished, vm_id(), "",
+      SetState(context, id, job, job_status::kFinished, vm_id(), "",
                "finished on " + job.vm.value());
       return true;
     case task_state::kFailed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "failed on " + job.vm.value() + ": " + task->detail);
       return true;
-    case task_state::kLapsed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    case task_state::kLeaseExpired:
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "its lease lapsed on " + job.vm.value());
       return true;
     case task_state::kCheckpointed:
-      SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+      SetState(context, id, job, job_status::kWaiting, vm_id(), "",
                "checkpointed on " + job.vm.value());
       return true;
   }
   return false;
 }
 
-bool job_planner::GiveUpLost(const planner_context& context,
-                             const job_id& id,
-                             const job_progress& job) {
-  const auto seen = sights_.find(id);
-  if (!context.list_is_fresh() || seen == sights_.end()) {
+bool job_planner::ReleaseLostTask(const planner_context& context,
+                                  const job_id& id,
+                                  const fleet_job& job) {
+  const auto seen = observations_.find(id);
+  if (!context.list_is_fresh() || seen == observations_.end()) {
     return false;
   }
   const bool is_vm_gone = IsWorkerGone(context, job);
-  const duration settled = context.options.list_lag * 2;
-  const bool is_task_gone = FindTask(id, job) == nullptr &&
-                            context.now - seen->second.since >= settled;
+  const duration list_settle_time = context.options.list_lag * 2;
+  const bool is_task_gone =
+      FindTask(id, job) == nullptr &&
+      context.now - seen->second.since >= list_settle_time;
   if (!is_vm_gone && !is_task_gone) {
     return false;
   }
@@ -161,7 +162,7 @@
   // can reach; a second start then would run the job twice. Without renewal the
   // worker ends it by the end of its lease at the latest.
   if (context.now >= seen->second.lease_end) {
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              (is_vm_gone ? "its worker was lost: " : "its task was lost on ") +
                  job.vm.value());
   }
@@ -169,25 +170,25 @@
 }
 
 bool job_planner::IsWorkerGone(const planner_context& context,
-                               const job_progress& job) {
+                               const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   return vm == nullptr || vm->listing == nullptr;
 }
 
 void job_planner::Renew(const planner_context& context,
                         const job_id& id,
-                        const job_progress& job) {
-  const auto seen = sights_.find(id);
-  if (seen == sights_.end()) {
+                        const fleet_job& job) {
+  const auto seen = observations_.find(id);
+  if (seen == observations_.end()) {
     return;
   }
   const duration period = context.options.task_lease / kRenewalsPerLease;
   const duration shifted =
       context.now.time_since_epoch() + OffsetOf(id, period);
   const auto number = static_cast<generation>(shifted / period);
-  context.operations.Drive(
-      OperationFor(kRenew, id.value() + ":" + std::to_string(job.version),
-                   number),
+  context.operations.EnsureSent(
+      MakeOperationId(kRenew, id.value() + ":" + std::to_string(job.version),
+                      number),
       renew_task{id, job.vm, context.options.task_lease}, context.now,
       context.out);
   seen->second.lease_end =
@@ -195,20 +196,20 @@
 }
 
 const task_listing* job_planner::FindTask(const job_id& id,
-                                          const job_progress& job) const {
+                                          const fleet_job& job) const {
   const auto found = tasks_.find(id);
   if (found == tasks_.end()) {
     return nullptr;
   }
   const task_listing* task = found->second;
   // The list lags and may still show an earlier task of the job on this worker.
-  const bool is_this = job.state == job_state::kCheckpointing ||
+  const bool is_this = job.state == job_status::kCheckpointing ||
                        task->started_by == job.operation;
   return is_this ? task : nullptr;
 }
 
-bool job_planner::MustLeave(const planner_context& context,
-                            const job_progress& job) {
+bool job_planner::MustVacateWorker(const planner_context& context,
+                                   const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   if (vm == nullptr || vm->state == nullptr) {
     return false;
--- a/tests/core/requests/endpoint_table_test.cc
+++ b/tests/core/requests/endpoint_table_test.cc
@@ -97,7 +97,7 @@
 TEST_CASE("An endpoint takes new work only if no state excludes it") {
   request_harness harness;
   harness.AddEndpoint("runner-1", "suwon");
-  vm_state& state = harness.fleet.vms[vm_id("runner-1")];
+  fleet_vm& state = harness.fleet.vms[vm_id("runner-1")];
   bool expected = false;
 
   SECTION("neither the list nor the fold excludes it") {
