--- a/bench/fold_bench.cc
+++ b/bench/fold_bench.cc
@@ -105,7 +105,7 @@
     }
     if (step % kStepsPerPhase == 0) {
       const vm_id vm(Name("vm", step / kStepsPerPhase % size_.vms));
-      const vm_state& known = state_.vms.at(vm);
+      const fleet_vm& known = state_.vms.at(vm);
       const vm_phase next = known.phase == vm_phase::kServing
                                 ? vm_phase::kDraining
                                 : vm_phase::kServing;
--- a/bench/planner_bench.cc
+++ b/bench/planner_bench.cc
@@ -128,7 +128,7 @@
 
   void SubmitJob(int number, bool urgent) {
     std::uniform_int_distribution<int> pool(0, size_.job_pools - 1);
-    job_spec spec;
+    job_requirements spec;
     spec.name = job_id(Numbered(urgent ? "urgent" : "job", number));
     spec.team = team_id(Numbered("team", number % size_.teams));
     spec.pool = pool_id(Numbered("jobs", pool(random_)));
--- a/bench/platform_log_bench.cc
+++ b/bench/platform_log_bench.cc
@@ -71,7 +71,7 @@
     state.targets.pools.push_back({pool, state.targets.teams[i % 93].name, 1});
   }
   for (int i = 0; i < 520; ++i) {
-    core::vm_state& vm = state.vms[core::vm_id("vm-" + std::to_string(i))];
+    core::fleet_vm& vm = state.vms[core::vm_id("vm-" + std::to_string(i))];
     vm.pool = state.targets.pools[i % 250].name;
     vm.operation = core::operation_id("op-" + std::to_string(i * 977));
     vm.reason = "wave spring-2 reached its rack";
@@ -104,7 +104,7 @@
               bytes / kRounds, encode, decode);
 
   for (const std::size_t remembered :
-       {std::size_t{0}, core::kRememberedRecords}) {
+       {std::size_t{0}, core::kRetainedRecordIds}) {
     const auto state =
         std::make_shared<const core::fleet_state>(LargeState(remembered));
     const core::record snapshot{core::record_id("s"), "entry-3",
--- a/fakes/task_model.cc
+++ b/fakes/task_model.cc
@@ -149,7 +149,8 @@
 }
 
 task_model::task_end task_model::NextEnd(const task& item) const {
-  task_end next{item.lease_until, task_state::kLapsed, "the lease lapsed"};
+  task_end next{item.lease_until, task_state::kLeaseExpired,
+                "the lease lapsed"};
   const job_behaviour behaviour = BehaviourOf(item.listing.job);
   if (item.vm_fails || behaviour.fails) {
     const core::time_point at = item.since + kTimeToFail;
--- a/fakes/task_model.h
+++ b/fakes/task_model.h
@@ -77,7 +77,7 @@
   // What may end a task, and when.
   struct task_end {
     core::time_point at;
-    core::task_state state = core::task_state::kLapsed;
+    core::task_state state = core::task_state::kLeaseExpired;
     const char* detail = "";
   };
 
--- a/include/plantainhead/core/configuration.h
+++ b/include/plantainhead/core/configuration.h
@@ -44,7 +44,7 @@
   pool_id name;
   team_id team;
   /// Fewest VMs that the pool keeps, whatever the demand.
-  std::uint32_t least_vms = 0;
+  std::uint32_t min_vms = 0;
 
   friend bool operator==(const pool_spec&, const pool_spec&) = default;
 };
@@ -60,13 +60,13 @@
 
 /// How much each measure matters to the operators, as published priorities of
 /// the measures (never weights on classes). Greater matters more.
-struct measure_priorities {
+struct objective_priorities {
   double buffer_cost = 1.0;
   double roll_out_time = 1.0;
   double moves = 1.0;
 
-  friend bool operator==(const measure_priorities&,
-                         const measure_priorities&) = default;
+  friend bool operator==(const objective_priorities&,
+                         const objective_priorities&) = default;
 };
 
 /// All that operators publish as targets; replaced as a whole.
@@ -75,7 +75,7 @@
   std::vector<work_class> classes;
   std::vector<pool_spec> pools;
   std::vector<team_spec> teams;
-  measure_priorities priorities;
+  objective_priorities priorities;
 
   /// Returns the class called `name`, or null.
   /// Thread safety: safe from any thread while nobody writes.
@@ -100,11 +100,11 @@
 class configuration_builder {
  public:
   /// Each part is kept with the place where it was read, for findings.
-  configuration_builder& AddService(service_spec spec, source_place at = {});
-  configuration_builder& AddClass(work_class spec, source_place at = {});
-  configuration_builder& AddPool(pool_spec spec, source_place at = {});
-  configuration_builder& AddTeam(team_spec spec, source_place at = {});
-  configuration_builder& SetPriorities(measure_priorities priorities);
+  configuration_builder& AddService(service_spec spec, source_location at = {});
+  configuration_builder& AddClass(work_class spec, source_location at = {});
+  configuration_builder& AddPool(pool_spec spec, source_location at = {});
+  configuration_builder& AddTeam(team_spec spec, source_location at = {});
+  configuration_builder& SetPriorities(objective_priorities priorities);
 
   /// Returns all that is wrong with what was added: empty and repeated names,
   /// references to things that aren't there, shares and times out of range.
@@ -115,10 +115,10 @@
 
  private:
   configuration parts_;
-  std::vector<source_place> service_places_;
-  std::vector<source_place> class_places_;
-  std::vector<source_place> pool_places_;
-  std::vector<source_place> team_places_;
+  std::vector<source_location> service_places_;
+  std::vector<source_location> class_places_;
+  std::vector<source_location> pool_places_;
+  std::vector<source_location> team_places_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/entry/actions.h
+++ b/include/plantainhead/core/entry/actions.h
@@ -100,21 +100,21 @@
   std::string reason;
 };
 
-enum class note_level { kDebug, kInfo, kWarning, kError };
+enum class log_severity { kDebug, kInfo, kWarning, kError };
 
-inline constexpr name_table<note_level, 4> kNoteLevelNames = {{
-    {note_level::kDebug, "debug"},
-    {note_level::kInfo, "info"},
-    {note_level::kWarning, "warning"},
-    {note_level::kError, "error"},
+inline constexpr name_table<log_severity, 4> kLogSeverityNames = {{
+    {log_severity::kDebug, "debug"},
+    {log_severity::kInfo, "info"},
+    {log_severity::kWarning, "warning"},
+    {log_severity::kError, "error"},
 }};
-inline constexpr const auto& NamesOf(note_level) {
-  return kNoteLevelNames;
+inline constexpr const auto& NamesOf(log_severity) {
+  return kLogSeverityNames;
 }
 
 /// A line for the log.
-struct write_note {
-  note_level level = note_level::kInfo;
+struct write_log_message {
+  log_severity level = log_severity::kInfo;
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;
 };
@@ -135,7 +135,7 @@
                             run_operation,
                             answer_operator,
                             set_ready,
-                            write_note,
+                            write_log_message,
                             exit_process>;
 
 using action_list = std::vector<action>;
--- a/include/plantainhead/core/entry/effects.h
+++ b/include/plantainhead/core/entry/effects.h
@@ -22,10 +22,10 @@
 
   void Do(action item) { actions.push_back(std::move(item)); }
   void Append(record_body body) { records.push_back(std::move(body)); }
-  void Note(note_level level,
-            std::string message,
-            std::vector<std::pair<std::string, std::string>> fields = {}) {
-    Do(write_note{level, std::move(message), std::move(fields)});
+  void Log(log_severity level,
+           std::string message,
+           std::vector<std::pair<std::string, std::string>> fields = {}) {
+    Do(write_log_message{level, std::move(message), std::move(fields)});
   }
 };
 
--- a/include/plantainhead/core/entry/entry_core.h
+++ b/include/plantainhead/core/entry/entry_core.h
@@ -41,7 +41,7 @@
   /// balancer has seen that the entry isn't ready.
   duration stop_notice = std::chrono::seconds(1);
   /// How long an entry that has ended its work waits for its leave record.
-  duration leave_patience = std::chrono::seconds(2);
+  duration leave_timeout = std::chrono::seconds(2);
   /// How often this entry's counts of requests are recorded.
   duration count_interval = std::chrono::minutes(5);
   /// Starts the random choices.
@@ -96,13 +96,13 @@
   bool ready() const { return ready_; }
   /// Returns why the entry isn't ready; empty when it is.
   const std::string& not_ready_reason() const { return not_ready_reason_; }
-  bool stopping() const { return stop_asked_at_.has_value(); }
+  bool stopping() const { return stop_requested_at_.has_value(); }
 
  private:
   // One overload for each event.
   void On(const tick& item, time_point now, effects& out);
   void On(const request_arrived& item, time_point now, effects& out);
-  void On(const caller_gone& item, time_point now, effects& out);
+  void On(const caller_disconnected& item, time_point now, effects& out);
   void On(const frame_received& item, time_point now, effects& out);
   void On(const peer_disconnected& item, time_point now, effects& out);
   void On(const endpoint_replied& item, time_point now, effects& out);
@@ -123,20 +123,20 @@
   planner_inputs PlannerInputs(time_point now) const;
 
   /// Moves what changed in one module to those that depend on it.
-  void Settle(time_point now, effects& out);
-  void FollowFold(time_point now, effects& out);
-  void FollowMembers(time_point now, effects& out);
-  void FollowSuspicion(time_point now, effects& out);
-  void TellClaimsTheirHomes(time_point now, effects& out);
-  void Meter(const action_list& actions, time_point now);
-  void RecordCounts(time_point now, effects& out);
-  void ExchangeClaims(time_point now, effects& out);
-  void FollowReadiness(time_point now, effects& out);
-  void FollowStop(time_point now, effects& out);
-  void FollowLag(time_point now);
-  void FollowWelcome();
-  void HandOver(time_point now);
-  std::string WhyNotServing() const;
+  void PropagateChanges(time_point now, effects& out);
+  void UpdateFromFleetState(time_point now, effects& out);
+  void UpdateMembers(time_point now, effects& out);
+  void UpdateSuspects(time_point now, effects& out);
+  void UpdateClaimsView(time_point now, effects& out);
+  void RecordMetrics(const action_list& actions, time_point now);
+  void AppendRequestCounts(time_point now, effects& out);
+  void ProcessClaims(time_point now, effects& out);
+  void UpdateReadiness(time_point now, effects& out);
+  void UpdateShutdown(time_point now, effects& out);
+  void UpdateLag(time_point now);
+  void UpdatePeerQuorum();
+  void StartHandover(time_point now);
+  std::string NotServingReason() const;
 
   entry_core_options options_;
   random_source random_;
@@ -160,7 +160,7 @@
 
   std::set<incarnation> suspects_;
   /// Members whose connection broke and of whom nothing was heard since.
-  std::set<incarnation> unconnected_;
+  std::set<incarnation> disconnected_members_;
   std::set<incarnation> stopping_members_;
   std::set<incarnation> known_members_;
   log_offset followed_offset_ = 0;
@@ -169,18 +169,18 @@
   time_point handled_at_;
   /// When the process went on after it stood still, until the log was read
   /// anew.
-  std::optional<time_point> woke_at_;
+  std::optional<time_point> resumed_at_;
   /// Since when others have applied records that this entry has not read.
   std::optional<time_point> behind_since_;
-  bool lags_too_far_ = true;
+  bool lag_exceeded_ = true;
   /// Others have shown that they follow the same log.
-  bool welcomed_ = false;
+  bool heard_by_quorum_ = false;
   bool ready_ = false;
   bool serving_ = false;
   std::string not_ready_reason_;
-  std::optional<time_point> stop_asked_at_;
-  std::optional<time_point> left_at_;
-  bool refusing_ = false;
+  std::optional<time_point> stop_requested_at_;
+  std::optional<time_point> leave_requested_at_;
+  bool rejecting_requests_ = false;
   bool exited_ = false;
 };
 
--- a/include/plantainhead/core/entry/events.h
+++ b/include/plantainhead/core/entry/events.h
@@ -30,7 +30,7 @@
 };
 
 /// The caller of this entry's own request hung up.
-struct caller_gone {
+struct caller_disconnected {
   std::uint64_t sequence = 0;
 };
 
@@ -140,7 +140,7 @@
 
 using event = std::variant<tick,
                            request_arrived,
-                           caller_gone,
+                           caller_disconnected,
                            frame_received,
                            peer_disconnected,
                            endpoint_replied,
--- a/include/plantainhead/core/findings.h
+++ b/include/plantainhead/core/findings.h
@@ -9,17 +9,18 @@
 
 /// Where something was found: a file with line and column from 1, or 0 where
 /// the place has none.
-struct source_place {
+struct source_location {
   std::string file;
   int line = 0;
   int column = 0;
 
-  friend bool operator==(const source_place&, const source_place&) = default;
+  friend bool operator==(const source_location&,
+                         const source_location&) = default;
 };
 
 /// One thing that is wrong with an input, and what to do about it.
 struct finding {
-  source_place place;
+  source_location place;
   std::string message;
 
   friend bool operator==(const finding&, const finding&) = default;
--- a/include/plantainhead/core/fleet/job_placement.h
+++ b/include/plantainhead/core/fleet/job_placement.h
@@ -32,25 +32,25 @@
 
   /// Returns a worker with room for the job, or nothing. Among several it takes
   /// one that no wave has still to reboot, then the one with the least room.
-  std::optional<choice> Find(const job_spec& spec);
+  std::optional<choice> Find(const job_requirements& spec);
 
   /// Returns true if `Find` has met a job of this pool and size for which no
   /// worker had room; a long queue need not search again for each.
-  bool IsKnownFull(const job_spec& spec) const;
+  bool IsKnownFull(const job_requirements& spec) const;
 
   /// Returns a worker where an urgent job gets room at the expense of jobs that
   /// can wait, or nothing.
-  std::optional<choice> FindByDisplacing(const job_spec& spec) const;
+  std::optional<choice> FindByDisplacing(const job_requirements& spec) const;
 
   /// Takes the room for a job on a worker.
-  void Place(const job_spec& spec, const vm_id& vm);
+  void Place(const job_requirements& spec, const vm_id& vm);
 
   /// Returns why no worker of its pool could hold the job even if it were idle,
   /// or nothing.
-  std::string WhyNever(const job_spec& spec) const;
+  std::string WhyNever(const job_requirements& spec) const;
 
   /// Returns why the quota of the job's team doesn't let it start, or nothing.
-  std::string WhyOverQuota(const job_spec& spec) const;
+  std::string WhyOverQuota(const job_requirements& spec) const;
 
  private:
   struct worker {
@@ -70,7 +70,7 @@
   void AddWorkers();
   void AddJobs();
   void AddTeamPools();
-  void Occupy(const job_spec& spec, const vm_id& vm, const job_id& job);
+  void Occupy(const job_requirements& spec, const vm_id& vm, const job_id& job);
   /// Returns true if the job failed on the worker or was refused by it lately.
   bool IsAvoided(const job_id& job, const vm_id& vm) const;
   const team_spec* FindTeam(const team_id& team) const;
--- a/include/plantainhead/core/fleet/job_planner.h
+++ b/include/plantainhead/core/fleet/job_planner.h
@@ -40,28 +40,28 @@
   void DriveJobs(const planner_context& context);
   void DrivePlaced(const planner_context& context,
                    const job_id& id,
-                   const job_progress& job);
+                   const fleet_job& job);
   void DriveCheckpointing(const planner_context& context,
                           const job_id& id,
-                          const job_progress& job);
+                          const fleet_job& job);
   /// Records the end of a task if the list shows one. Returns whether it did.
   bool RecordEnd(const planner_context& context,
                  const job_id& id,
-                 const job_progress& job);
+                 const fleet_job& job);
   /// Sends the start until it has a sure end. Returns whether it was done.
   bool DriveStart(const planner_context& context,
                   const job_id& id,
-                  const job_progress& job);
+                  const fleet_job& job);
   /// Gives a task up once its lease surely ended. Returns whether its worker or
   /// task is gone from the list.
   bool GiveUpLost(const planner_context& context,
                   const job_id& id,
-                  const job_progress& job);
+                  const fleet_job& job);
   static bool IsWorkerGone(const planner_context& context,
-                           const job_progress& job);
+                           const fleet_job& job);
   void Renew(const planner_context& context,
              const job_id& id,
-             const job_progress& job);
+             const fleet_job& job);
   void StopStrays(const planner_context& context);
   void Quarantine(const planner_context& context);
   void PlaceWaiting(const planner_context& context);
@@ -70,22 +70,21 @@
   bool PlaceOne(const planner_context& context,
                 job_placement& room,
                 const job_id& id,
-                const job_progress& job);
+                const fleet_job& job);
   bool PlaceUrgent(const planner_context& context,
                    job_placement& room,
                    const job_id& id,
-                   const job_progress& job);
+                   const fleet_job& job);
   std::string WhyPark(const planner_context& context,
                       const job_placement& room,
                       const job_id& id,
-                      const job_progress& job);
-  const task_listing* FindTask(const job_id& id, const job_progress& job) const;
-  static bool MustLeave(const planner_context& context,
-                        const job_progress& job);
+                      const fleet_job& job);
+  const task_listing* FindTask(const job_id& id, const fleet_job& job) const;
+  static bool MustLeave(const planner_context& context, const fleet_job& job);
   void SetState(const planner_context& context,
                 const job_id& id,
-                const job_progress& job,
-                job_state state,
+                const fleet_job& job,
+                job_status state,
                 const vm_id& vm,
                 const std::string& operation_kind,
                 const std::string& reason) const;
--- a/include/plantainhead/core/fleet/planner_context.h
+++ b/include/plantainhead/core/fleet/planner_context.h
@@ -42,7 +42,7 @@
   }
 
   /// Keeps `reason` for `object` and notes it the first time that it is given.
-  void Report(note_level level,
+  void Report(log_severity level,
               const std::string& object,
               const std::string& reason) const {
     std::string& kept = reasons[object];
@@ -50,7 +50,7 @@
       return;
     }
     kept = reason;
-    out.Note(level, reason, {{"object", object}});
+    out.Log(level, reason, {{"object", object}});
   }
 };
 
--- a/include/plantainhead/core/fleet/task_history.h
+++ b/include/plantainhead/core/fleet/task_history.h
@@ -68,7 +68,7 @@
 
   /// Returns what the job is expected to take: what it was seen to use, else
   /// what it declares, corrected by how far off its team's jobs declare.
-  job_size SizeOf(const job_spec& spec) const;
+  job_size SizeOf(const job_requirements& spec) const;
 
  private:
   struct usage {
@@ -82,7 +82,7 @@
   };
 
   void CountEnd(const task_listing& task);
-  void Learn(const task_listing& task, const job_spec& spec);
+  void Learn(const task_listing& task, const job_requirements& spec);
 
   std::map<vm_id, std::deque<job_id>> failures_;
   std::map<job_id, std::set<vm_id>> failed_on_;
--- a/include/plantainhead/core/fleet/vm_lifecycle.h
+++ b/include/plantainhead/core/fleet/vm_lifecycle.h
@@ -14,7 +14,7 @@
 
 /// Returns true when the planner, not an operator, paused the wave.
 /// Thread safety: safe from any thread while nobody writes the wave.
-bool IsOwnPause(const wave_progress& wave);
+bool IsOwnPause(const fleet_wave& wave);
 
 /// Returns the id of the operation of one kind ("reboot") that a record with
 /// this expected generation allows. Two planners build the same id.
--- a/include/plantainhead/core/fleet/wave_planner.h
+++ b/include/plantainhead/core/fleet/wave_planner.h
@@ -44,29 +44,29 @@
                 const vm_lifecycle& lifecycle,
                 const capacity_plan& capacity,
                 const wave_id& id,
-                const wave_progress& wave);
+                const fleet_wave& wave);
   void PlanPool(const planner_context& context,
                 const vm_lifecycle& lifecycle,
                 const pool_capacity& capacity,
                 const pool_view& pool,
                 const wave_id& id,
-                const wave_progress& wave,
+                const fleet_wave& wave,
                 pass& found);
   std::vector<const vm_view*> Candidates(const planner_context& context,
                                          const vm_lifecycle& lifecycle,
                                          const pool_view& pool,
-                                         const wave_progress& wave) const;
+                                         const fleet_wave& wave) const;
   /// Returns why the wave should be paused, or nothing.
   std::string WhyPause(const planner_context& context,
-                       const wave_progress& wave,
+                       const fleet_wave& wave,
                        const pass& found) const;
   void PauseOrResume(const planner_context& context,
                      const wave_id& id,
-                     const wave_progress& wave,
+                     const fleet_wave& wave,
                      const std::string& why);
   void SetState(const planner_context& context,
                 const wave_id& id,
-                const wave_progress& wave,
+                const fleet_wave& wave,
                 wave_state state,
                 const std::string& reason) const;
 
--- a/include/plantainhead/core/jobs/wave_keeper.h
+++ b/include/plantainhead/core/jobs/wave_keeper.h
@@ -124,7 +124,7 @@
     /// Null until the host is first found in a list.
     const listed_host* listed = nullptr;
   };
-  struct wave_progress {
+  struct fleet_wave {
     maintenance_wave wave;
     std::map<host_id, host_progress> hosts;
     bool is_complete = false;
@@ -144,20 +144,20 @@
   };
   using due_iterator = std::vector<due_host>::iterator;
 
-  void PlanWave(wave_progress* wave,
+  void PlanWave(fleet_wave* wave,
                 time_point now,
                 std::vector<wave_action>* actions);
-  void NoteReturns(wave_progress* wave, std::vector<wave_action>* actions);
+  void NoteReturns(fleet_wave* wave, std::vector<wave_action>* actions);
   const listed_host* FindHost(const host_id& host) const;
   const listed_host* FindHost(const host_id& host, host_progress* progress);
   bool IsMissing(const listed_host* listed) const;
   std::map<pool_id, std::uint32_t> CountBusy();
-  void CloseNext(wave_progress* wave,
+  void CloseNext(fleet_wave* wave,
                  time_point now,
                  std::vector<wave_action>* actions);
-  std::uint32_t NeededAtOnce(const wave_progress& wave, time_point now) const;
+  std::uint32_t NeededAtOnce(const fleet_wave& wave, time_point now) const;
   bool RunsTasks(const fleet_host& host) const;
-  std::vector<due_host> DueHosts(wave_progress* wave,
+  std::vector<due_host> DueHosts(fleet_wave* wave,
                                  std::map<pool_id, std::uint32_t>* busy);
   due_iterator FindNext(std::vector<due_host>* due,
                         bool only_spare,
@@ -171,7 +171,7 @@
   void Release(const vm_id& vm, std::vector<wave_action>* actions);
 
   wave_settings settings_;
-  std::map<std::uint64_t, wave_progress> waves_;
+  std::map<std::uint64_t, fleet_wave> waves_;
   /// Its elements are pointed to, and stay.
   std::map<host_id, listed_host> hosts_;
   std::unordered_map<vm_id, host_id> host_of_vm_;
--- a/include/plantainhead/core/log/control_log.h
+++ b/include/plantainhead/core/log/control_log.h
@@ -40,19 +40,19 @@
 enum class log_fault {
   kNone,
   /// The log ends before the offset that this entry has applied.
-  kShorter,
+  kTruncated,
   /// The log has another record at an offset that this entry has applied.
   kReplaced,
   /// Retention has dropped records that this entry needs, and no snapshot
   /// reaches beyond them.
-  kCut,
+  kRetentionGap,
 };
 
 inline constexpr name_table<log_fault, 4> kLogFaultNames = {{
     {log_fault::kNone, "none"},
-    {log_fault::kShorter, "log-shorter"},
+    {log_fault::kTruncated, "log-shorter"},
     {log_fault::kReplaced, "log-replaced"},
-    {log_fault::kCut, "log-cut"},
+    {log_fault::kRetentionGap, "log-cut"},
 }};
 inline constexpr const auto& NamesOf(log_fault) {
   return kLogFaultNames;
@@ -131,7 +131,7 @@
   bool log_readable() const;
 
   /// Greatest offset of the control stream that this entry has heard of.
-  log_offset greatest_known() const { return greatest_known_; }
+  log_offset max_known_offset() const { return max_known_offset_; }
 
   log_fault fault() const { return fault_; }
   /// A sentence about `fault()`; empty without one.
@@ -156,19 +156,19 @@
 
   struct command {
     std::uint64_t sequence = 0;
-    time_point give_up;
+    time_point deadline;
   };
 
   // Reading (control_log.cc).
   std::size_t OnControlRead(const log_read& event, effects& out);
   std::size_t ApplyEntries(const log_read& event, effects& out);
   void ApplyEntry(const log_entry& entry, log_offset end, effects& out);
-  bool IsHistoryKept(const log_read& event, effects& out);
-  bool IsSameHistory(const log_read& event, effects& out);
-  bool IsNextKept(const log_read& event, effects& out);
+  bool CanApply(const log_read& event, effects& out);
+  bool MatchesAppliedHistory(const log_read& event, effects& out);
+  bool IsNextRecordAvailable(const log_read& event, effects& out);
   void FollowControl(log_offset after, effects& out);
   void OnReadable(time_point now, effects& out);
-  void Pump(time_point now, effects& out);
+  void AppendPending(time_point now, effects& out);
   bool CanWrite() const;
   void SetFault(log_fault fault, std::string detail, effects& out);
   void ClearFault(effects& out);
@@ -180,9 +180,9 @@
   void ConsiderSnapshot(const log_entry& entry, effects& out);
   void FinishSnapshots(effects& out);
   void TakeSnapshot(time_point now, effects& out);
-  bool IsSnapshotDue(log_offset records, log_offset part) const;
-  bool IsStandIn(time_point now);
-  bool IsSnapshotTaker() const;
+  bool IsSnapshotDue(log_offset records, log_offset divisor) const;
+  bool IsBackupSnapshotDue(time_point now);
+  bool IsSnapshotWriter() const;
 
   // Digests (control_log_digests.cc).
   void CompareDigests(log_offset offset,
@@ -196,7 +196,7 @@
                       const fold_result& result,
                       effects& out);
   void RenameCommands(const std::vector<renamed_record>& renamed);
-  void AnswerLate(time_point now, effects& out);
+  void AnswerTimedOut(time_point now, effects& out);
 
   control_log_settings settings_;
   append_ids* ids_;
@@ -214,7 +214,7 @@
   bool following_again_ = false;
   log_offset begin_ = 0;
   log_offset end_ = 0;
-  log_offset greatest_known_ = 0;
+  log_offset max_known_offset_ = 0;
   /// Id of the record at `state_.offset`, if it was read as an entry.
   std::optional<record_id> newest_record_;
 
@@ -226,13 +226,13 @@
   log_offset snapshots_end_ = 0;
   log_offset snapshots_read_ = 0;
   /// How many of the newest snapshots are being read.
-  log_offset snapshots_tried_ = 0;
+  log_offset snapshots_requested_ = 0;
   append_id snapshot_append_ = append_id::kNone;
   time_point next_snapshot_{};
-  std::optional<time_point> stand_in_at_;
+  std::optional<time_point> backup_snapshot_at_;
 
   std::map<log_offset, std::uint64_t> own_digests_;
-  std::map<std::pair<log_offset, incarnation>, std::uint64_t> expected_;
+  std::map<std::pair<log_offset, incarnation>, std::uint64_t> peer_digests_;
   std::set<incarnation> divergent_peers_;
 
   std::map<record_id, command> commands_;
--- a/include/plantainhead/core/log/fleet_state.h
+++ b/include/plantainhead/core/log/fleet_state.h
@@ -40,7 +40,7 @@
 };
 
 /// What is agreed about one VM.
-struct vm_state {
+struct fleet_vm {
   pool_id pool;
   vm_phase phase = vm_phase::kServing;
   generation version = 0;
@@ -51,11 +51,11 @@
   /// Who wrote the newest change.
   std::string author;
 
-  friend bool operator==(const vm_state&, const vm_state&) = default;
+  friend bool operator==(const fleet_vm&, const fleet_vm&) = default;
 };
 
 /// What is agreed about one wave.
-struct wave_progress {
+struct fleet_wave {
   std::vector<pool_id> pools;
   time_point finish_by;
   wave_state state = wave_state::kRunning;
@@ -65,13 +65,13 @@
   std::string author;
   std::string reason;
 
-  friend bool operator==(const wave_progress&, const wave_progress&) = default;
+  friend bool operator==(const fleet_wave&, const fleet_wave&) = default;
 };
 
 /// What is agreed about one job.
-struct job_progress {
-  job_spec spec;
-  job_state state = job_state::kWaiting;
+struct fleet_job {
+  job_requirements spec;
+  job_status state = job_status::kWaiting;
   generation version = 0;
   vm_id vm;
   operation_id operation;
@@ -81,17 +81,18 @@
   /// Who wrote the newest change.
   std::string author;
 
-  friend bool operator==(const job_progress&, const job_progress&) = default;
+  friend bool operator==(const fleet_job&, const fleet_job&) = default;
 };
 
 /// The newest record of one entry process.
-struct writer_mark {
+struct writer_position {
   /// Its number in the record's id, see `MakeRecordId`.
   std::uint64_t number = 0;
   /// Offset at which it was read.
   log_offset offset = 0;
 
-  friend bool operator==(const writer_mark&, const writer_mark&) = default;
+  friend bool operator==(const writer_position&,
+                         const writer_position&) = default;
 };
 
 /// The fold of the control stream up to `offset`. Equal offsets mean equal
@@ -108,24 +109,27 @@
   /// Offset of the newest change of `members`: the number of the view.
   log_offset view = 0;
   planner_lease lease;
-  std::map<vm_id, vm_state> vms;
-  std::map<wave_id, wave_progress> waves;
-  std::map<job_id, job_progress> jobs;
+  std::map<vm_id, fleet_vm> vms;
+  std::map<wave_id, fleet_wave> waves;
+  std::map<job_id, fleet_job> jobs;
   /// Requests of each class that the targets name.
   std::map<class_name, class_ledger> ledgers;
   /// Incarnations that left, were expelled or were replaced, with the offset of
-  /// that record: none of them can join again. Bounded by `kRememberedLives`.
+  /// that record: none of them can join again. Bounded by
+  /// `kRetainedIncarnations`.
   std::map<incarnation, log_offset> departed;
   /// Cancelled and finished waves and jobs by the offset of that record, for
-  /// forgetting the oldest. Bounded by `kRememberedWaves`, `kRememberedJobs`.
+  /// forgetting the oldest. Bounded by `kRetainedEndedWaves`,
+  /// `kRetainedEndedJobs`.
   std::map<log_offset, wave_id> ended_waves;
   std::map<log_offset, job_id> ended_jobs;
   /// How far each entry process has written. A process numbers its records and
   /// appends them in order, one append at a time, so that a record with a
-  /// number up to its mark is a second copy. Bounded by `kRememberedLives`.
-  std::map<incarnation, writer_mark> writers;
+  /// number up to its mark is a second copy. Bounded by
+  /// `kRetainedIncarnations`.
+  std::map<incarnation, writer_position> writers;
   /// Offsets and ids of recent records whose ids have another form, to drop
-  /// second copies. Bounded by `kRememberedRecords`.
+  /// second copies. Bounded by `kRetainedRecordIds`.
   std::map<log_offset, record_id> recent_records;
   std::set<record_id> recent_ids;
 
@@ -134,17 +138,17 @@
 
 /// How many record ids the fold remembers one by one. A second copy comes from
 /// an append that is repeated within seconds; no entry process writes such ids.
-inline constexpr std::size_t kRememberedRecords = 8192;
+inline constexpr std::size_t kRetainedRecordIds = 8192;
 
 /// How many incarnations the fold remembers as writers, and how many as
 /// departed. An append that is repeated, or a join that arrives after its
 /// process was expelled, comes within minutes; entry processes start some tens
 /// of times a day.
-inline constexpr std::size_t kRememberedLives = 1024;
+inline constexpr std::size_t kRetainedIncarnations = 1024;
 
 /// How many ended waves and jobs the fold keeps for operators to look at.
-inline constexpr std::size_t kRememberedWaves = 100;
-inline constexpr std::size_t kRememberedJobs = 1000;
+inline constexpr std::size_t kRetainedEndedWaves = 100;
+inline constexpr std::size_t kRetainedEndedJobs = 1000;
 
 }  // namespace plantainhead::core
 
--- a/include/plantainhead/core/log/fleet_view.h
+++ b/include/plantainhead/core/log/fleet_view.h
@@ -13,16 +13,16 @@
 
 /// Returns true while the job has a worker that may run its task.
 /// Thread safety: safe from any thread while nobody writes the job.
-inline bool HoldsTask(const job_progress& job) {
-  return job.state == job_state::kPlaced ||
-         job.state == job_state::kCheckpointing;
+inline bool HoldsTask(const fleet_job& job) {
+  return job.state == job_status::kPlaced ||
+         job.state == job_status::kCheckpointing;
 }
 
 /// One VM as the fold and the platform's list show it together.
 struct vm_view {
   vm_id id;
   /// Null for a VM that the fold doesn't know yet.
-  const vm_state* state = nullptr;
+  const fleet_vm* state = nullptr;
   /// Null for a VM that is not on the list.
   const vm_listing* listing = nullptr;
   /// What this entry has seen of it; null for one not seen yet.
@@ -83,7 +83,7 @@
   const std::map<pool_id, pool_view>& pools() const { return pools_; }
 
   /// Jobs that wait for a worker.
-  const std::vector<const job_progress*>& waiting() const { return waiting_; }
+  const std::vector<const fleet_job*>& waiting() const { return waiting_; }
 
   /// Changes with every record about a VM or a job: the sum of their
   /// generations, which only grow.
@@ -97,15 +97,15 @@
  private:
   void JoinVms(const planner_inputs& inputs);
   void JoinReports(const planner_inputs& inputs);
-  void JoinMemory(const phase_watch& watch,
-                  const record_gate& gate,
-                  time_point now);
+  void JoinObservations(const phase_watch& watch,
+                        const record_gate& gate,
+                        time_point now);
   void FillPools(const planner_inputs& inputs);
   vm_view* FindMutable(const vm_id& id);
 
   std::map<vm_id, vm_view> vms_;
   std::map<pool_id, pool_view> pools_;
-  std::vector<const job_progress*> waiting_;
+  std::vector<const fleet_job*> waiting_;
   generation work_version_ = 0;
 };
 
--- a/include/plantainhead/core/log/fold.h
+++ b/include/plantainhead/core/log/fold.h
@@ -60,8 +60,8 @@
 
 /// How many waves and jobs the fold takes, ended ones included. A script that
 /// submits without end would else fill the memory of every entry at once.
-inline constexpr std::size_t kMostWaves = 1000;
-inline constexpr std::size_t kMostJobs = 20000;
+inline constexpr std::size_t kMaxWaves = 1000;
+inline constexpr std::size_t kMaxJobs = 20000;
 
 /// Applies one entry of the control stream. It is deterministic: equal states
 /// and equal entries give equal states and results at every entry process. The
@@ -83,7 +83,7 @@
 
 /// Returns true if a job may go from one state to the other in one record.
 /// Thread safety: safe from any thread.
-bool IsAllowed(job_state from, job_state to);
+bool IsAllowed(job_status from, job_status to);
 
 /// Returns true if a wave may go from one state to the other in one record.
 /// Thread safety: safe from any thread.
--- a/include/plantainhead/core/log/lease.h
+++ b/include/plantainhead/core/log/lease.h
@@ -19,9 +19,9 @@
   /// different speeds and an action that is under way when the lease lapses.
   duration margin = std::chrono::seconds(2);
   /// Each entry waits for a random time up to this before it takes the lease.
-  duration take_spread = std::chrono::seconds(1);
+  duration take_jitter = std::chrono::seconds(1);
   /// A longer time between two ticks means that this process was paused.
-  duration pause = std::chrono::milliseconds(500);
+  duration pause_threshold = std::chrono::milliseconds(500);
 };
 
 /// Takes, renews and loses the planner lease for one entry.
@@ -61,7 +61,7 @@
   lease_epoch epoch() const { return epoch_; }
 
  private:
-  void ObserveOwn(const planner_lease& now_seen);
+  void ObserveOwnLease(const planner_lease& changed);
   void Renew(time_point now, effects& out);
   void TryTake(time_point now, const fleet_state& state, effects& out);
 
@@ -70,13 +70,13 @@
   /// What was last seen of the fold's lease.
   planner_lease seen_;
   /// Since when there was no renewal, no pause and no outage.
-  time_point quiet_since_{};
+  time_point no_renewal_since_{};
   std::optional<time_point> last_tick_;
   /// This entry's wait before it takes the lease that was last seen.
-  duration spread_{};
+  duration take_jitter_{};
   lease_epoch epoch_ = 0;
   /// When the newest record that was read back was sent.
-  time_point confirmed_{};
+  time_point confirmed_sent_at_{};
   /// When the renewal, and the first taking of the lease that was last seen,
   /// were sent that aren't read back yet.
   std::optional<time_point> renewal_sent_;
--- a/include/plantainhead/core/log/record_gate.h
+++ b/include/plantainhead/core/log/record_gate.h
@@ -26,12 +26,12 @@
 }
 
 /// Lets one record for each generation of an object through and holds back its
-/// repetition until the fold shows another generation or `patience` has passed.
+/// repetition until the fold shows another generation or `timeout` has passed.
 /// A record that goes out twice takes effect once: both expect the same
 /// generation. Thread safety: none.
 class record_gate {
  public:
-  explicit record_gate(duration patience) : patience_(patience) {}
+  explicit record_gate(duration timeout) : timeout_(timeout) {}
 
   /// Returns true while a record for this generation of `object` is under way.
   bool IsPending(const std::string& object,
@@ -39,7 +39,7 @@
                  time_point now) const {
     const auto found = pending_.find(object);
     return found != pending_.end() && found->second.first == expected &&
-           now - found->second.second < patience_;
+           now - found->second.second < timeout_;
   }
 
   /// Appends `body` unless a record for this generation of `object` is under
@@ -60,7 +60,7 @@
   /// Forgets records that are older than the patience.
   void Expire(time_point now) {
     std::erase_if(pending_, [&](const auto& item) {
-      return now - item.second.second >= patience_;
+      return now - item.second.second >= timeout_;
     });
   }
 
@@ -70,7 +70,7 @@
   void Clear() { pending_.clear(); }
 
  private:
-  duration patience_;
+  duration timeout_;
   std::map<std::string, std::pair<generation, time_point>> pending_;
 };
 
--- a/include/plantainhead/core/log/record_queue.h
+++ b/include/plantainhead/core/log/record_queue.h
@@ -25,17 +25,17 @@
   /// when it has much to write, as after an outage.
   duration append_interval = std::chrono::milliseconds(50);
   /// Most records in one append.
-  std::size_t batch_records = 64;
+  std::size_t max_batch_records = 64;
   /// Most records that wait; what comes on top is refused.
   std::size_t limit = 1024;
   /// Pause after a failed append, doubled for each further one.
-  duration first_backoff = std::chrono::milliseconds(100);
-  duration greatest_backoff = std::chrono::seconds(5);
+  duration initial_backoff = std::chrono::milliseconds(100);
+  duration max_backoff = std::chrono::seconds(5);
   /// The greatest pause after an append that the log refused. It is short,
   /// since other records of the batch may be waiting for a smaller one.
-  duration greatest_refused_backoff = std::chrono::milliseconds(500);
+  duration max_rejected_backoff = std::chrono::milliseconds(500);
   /// After an outage each entry starts to append at a random time within this.
-  duration recovery_spread = std::chrono::seconds(1);
+  duration recovery_jitter = std::chrono::seconds(1);
 };
 
 /// Whether a record that is taken back can still appear in the stream.
@@ -79,7 +79,7 @@
 
   /// Appends what waits, if it is time. Drops first what has become void under
   /// `state`.
-  void Pump(time_point now, const fleet_state& state, effects& out);
+  void AppendPending(time_point now, const fleet_state& state, effects& out);
 
   std::size_t size() const { return waiting_.size(); }
 
@@ -91,10 +91,10 @@
     bool in_flight = false;
   };
 
-  void DropVoid(const fleet_state& state, effects& out);
+  void DropObsolete(const fleet_state& state, effects& out);
   void OnAppended();
   void OnUnknown(time_point now);
-  void OnRefused(time_point now, std::vector<renamed_record>& renamed);
+  void OnRejected(time_point now, std::vector<renamed_record>& renamed);
   void BackOff(time_point now, duration greatest);
   record_id NextId();
   std::deque<waiting_record>::iterator Find(const record_id& id);
@@ -114,7 +114,7 @@
 /// Returns true for a record that would do nothing under `state` and can only
 /// do less later: of a planner that was replaced, about members that are gone.
 /// Thread safety: safe from any thread while nobody writes to `state`.
-bool IsVoid(const record_body& body, const fleet_state& state);
+bool IsObsolete(const record_body& body, const fleet_state& state);
 
 }  // namespace plantainhead::core
 
--- a/include/plantainhead/core/log/records.h
+++ b/include/plantainhead/core/log/records.h
@@ -166,7 +166,7 @@
 // --- jobs ------------------------------------------------------------------
 
 /// What one job asks of a worker. Declared figures are often far off.
-struct job_spec {
+struct job_requirements {
   job_id name;
   team_id team;
   pool_id pool;
@@ -178,14 +178,15 @@
   time_point finish_by;
   bool urgent = false;
 
-  friend bool operator==(const job_spec&, const job_spec&) = default;
+  friend bool operator==(const job_requirements&,
+                         const job_requirements&) = default;
 };
 
 struct submit_job {
-  job_spec spec;
+  job_requirements spec;
 };
 
-enum class job_state {
+enum class job_status {
   kWaiting,
   kPlaced,
   kCheckpointing,
@@ -194,16 +195,16 @@
   kCancelled,
 };
 
-inline constexpr name_table<job_state, 6> kJobStateNames = {{
-    {job_state::kWaiting, "waiting"},
-    {job_state::kPlaced, "placed"},
-    {job_state::kCheckpointing, "checkpointing"},
-    {job_state::kFinished, "finished"},
-    {job_state::kParked, "parked"},
-    {job_state::kCancelled, "cancelled"},
+inline constexpr name_table<job_status, 6> kJobStatusNames = {{
+    {job_status::kWaiting, "waiting"},
+    {job_status::kPlaced, "placed"},
+    {job_status::kCheckpointing, "checkpointing"},
+    {job_status::kFinished, "finished"},
+    {job_status::kParked, "parked"},
+    {job_status::kCancelled, "cancelled"},
 }};
-inline constexpr const auto& NamesOf(job_state) {
-  return kJobStateNames;
+inline constexpr const auto& NamesOf(job_status) {
+  return kJobStatusNames;
 }
 
 /// Moves a job to a state, on a VM where the state has one. `epoch` is 0 when
@@ -212,7 +213,7 @@
   lease_epoch epoch = 0;
   job_id job;
   generation expected = 0;
-  job_state state = job_state::kWaiting;
+  job_status state = job_status::kWaiting;
   vm_id vm;
   operation_id operation;
   std::string reason;
--- a/include/plantainhead/core/platform_types.h
+++ b/include/plantainhead/core/platform_types.h
@@ -47,14 +47,20 @@
 };
 
 /// What a worker says of a task.
-enum class task_state { kRunning, kCheckpointed, kFinished, kFailed, kLapsed };
+enum class task_state {
+  kRunning,
+  kCheckpointed,
+  kFinished,
+  kFailed,
+  kLeaseExpired
+};
 
 inline constexpr name_table<task_state, 5> kTaskStateNames = {{
     {task_state::kRunning, "running"},
     {task_state::kCheckpointed, "checkpointed"},
     {task_state::kFinished, "finished"},
     {task_state::kFailed, "failed"},
-    {task_state::kLapsed, "lapsed"},
+    {task_state::kLeaseExpired, "lapsed"},
 }};
 inline constexpr const auto& NamesOf(task_state) {
   return kTaskStateNames;
--- a/include/plantainhead/core/requests/request_core.h
+++ b/include/plantainhead/core/requests/request_core.h
@@ -56,7 +56,7 @@
                  effects& out);
   /// The caller hung up: the request ends unless it was dispatched. The answer
   /// is still given, for whoever counts.
-  void OnCallerGone(const caller_gone& event,
+  void OnCallerGone(const caller_disconnected& event,
                     const routing_context& context,
                     time_point now,
                     effects& out);
--- a/include/plantainhead/observe/logging.h
+++ b/include/plantainhead/observe/logging.h
@@ -19,20 +19,20 @@
 /// written. A second call replaces the first.
 /// Thread safety: call it while no other thread logs.
 /// Errors: throws `std::system_error` when the file can't be opened.
-void ConfigureLogging(core::note_level level, const std::string& file);
+void ConfigureLogging(core::log_severity level, const std::string& file);
 
 /// Hands a line to the log and returns at once; a thread of the log writes it.
 /// While the reader of the log is stuck and `kLogBacklog` lines wait, further
 /// ones are dropped, and a line tells how many were. A field called `time`,
 /// `level` or `message` gets a trailing "_".
 /// Thread safety: safe from any thread.
-void WriteLog(core::note_level level,
+void WriteLog(core::log_severity level,
               std::string_view message,
               const log_fields& fields = {});
 
 /// Writes a note of the decisions.
 /// Thread safety: safe from any thread.
-void WriteLog(const core::write_note& note);
+void WriteLog(const core::write_log_message& note);
 
 /// Writes what waits, for at most two seconds, and ends the log. Call it at the
 /// end of `main`.
--- a/include/plantainhead/settings/entry_settings.h
+++ b/include/plantainhead/settings/entry_settings.h
@@ -54,7 +54,7 @@
   core::duration count_interval = std::chrono::minutes(1);
 
   /// `log.level`: lines below it are left out.
-  core::note_level log_level = core::note_level::kInfo;
+  core::log_severity log_level = core::log_severity::kInfo;
   /// `log.file`: path of the log, or "-" for the standard output.
   std::string log_file = "-";
   /// `port-file`: file that the entry writes once it listens, with its HTTP
--- a/src/caller/load_plan.cc
+++ b/src/caller/load_plan.cc
@@ -126,14 +126,15 @@
   return "'" + name + "' can't be '" + text + "'";
 }
 
-[[noreturn]] void Fail(const core::source_place& place, std::string message) {
+[[noreturn]] void Fail(const core::source_location& place,
+                       std::string message) {
   throw core::findings_error({{place, std::move(message)}});
 }
 
 }  // namespace
 
 load_class ParseLoadClass(const std::map<std::string, std::string>& parts,
-                          const core::source_place& place) {
+                          const core::source_location& place) {
   load_class built;
   std::vector<core::finding> findings;
   for (const auto& [name, text] : parts) {
@@ -157,7 +158,7 @@
 }
 
 load_class ParseLoadClass(const std::string& text) {
-  const core::source_place place = {"--class " + text, 0, 0};
+  const core::source_location place = {"--class " + text, 0, 0};
   std::map<std::string, std::string> parts;
   std::size_t begin = 0;
   while (begin <= text.size()) {
@@ -222,7 +223,7 @@
 load_plan ReadTrace(std::istream& in, const std::string& file) {
   load_plan plan;
   std::string line;
-  core::source_place place = {file, 0, 1};
+  core::source_location place = {file, 0, 1};
   while (std::getline(in, line)) {
     ++place.line;
     try {
--- a/src/caller/load_plan.h
+++ b/src/caller/load_plan.h
@@ -61,7 +61,7 @@
 /// `core::findings_error` with all that is wrong, each with `place`.
 /// Thread safety: safe from any thread.
 load_class ParseLoadClass(const std::map<std::string, std::string>& parts,
-                          const core::source_place& place);
+                          const core::source_location& place);
 
 /// Reads "service=intake,class=urgent,rate=50". Throws as `ParseLoadClass()`.
 /// Thread safety: safe from any thread.
--- a/src/core/claims/claim_partition_reading.cc
+++ b/src/core/claims/claim_partition_reading.cc
@@ -114,10 +114,10 @@
   }
   if (cursor_.Report()) {
     ++shared_.figures->cuts;
-    out.Note(note_level::kError,
-             "claims of the window can't be read; the stream was cut or reset",
-             {{"stream", stream_.value()},
-              {"last_read", std::to_string(cursor_.last_read())}});
+    out.Log(log_severity::kError,
+            "claims of the window can't be read; the stream was cut or reset",
+            {{"stream", stream_.value()},
+             {"last_read", std::to_string(cursor_.last_read())}});
   }
   GiveUpAll(cursor_.BarredFor(now), now, decisions);
 }
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -8,11 +8,12 @@
 namespace {
 
 // Collects findings about a list of named parts.
-class checker {
+class spec_validator {
  public:
-  explicit checker(std::vector<finding>* findings) : findings_(findings) {}
+  explicit spec_validator(std::vector<finding>* findings)
+      : findings_(findings) {}
 
-  void Require(bool holds, const source_place& at, std::string message) {
+  void Require(bool holds, const source_location& at, std::string message) {
     if (!holds) {
       findings_->push_back({at, std::move(message)});
     }
@@ -20,7 +21,7 @@
 
   template <typename Spec>
   void CheckNames(const std::vector<Spec>& specs,
-                  const std::vector<source_place>& places,
+                  const std::vector<source_location>& places,
                   const std::string& kind) {
     std::set<std::string> seen;
     for (std::size_t i = 0; i < specs.size(); ++i) {
@@ -35,7 +36,7 @@
  private:
   void AddRepeat(const std::string& kind,
                  const std::string& name,
-                 const source_place& at) {
+                 const source_location& at) {
     findings_->push_back({at, kind + " '" + name + "' is defined twice"});
   }
 
@@ -69,42 +70,42 @@
 }
 
 configuration_builder& configuration_builder::AddService(service_spec spec,
-                                                         source_place at) {
+                                                         source_location at) {
   parts_.services.push_back(std::move(spec));
   service_places_.push_back(std::move(at));
   return *this;
 }
 
 configuration_builder& configuration_builder::AddClass(work_class spec,
-                                                       source_place at) {
+                                                       source_location at) {
   parts_.classes.push_back(std::move(spec));
   class_places_.push_back(std::move(at));
   return *this;
 }
 
 configuration_builder& configuration_builder::AddPool(pool_spec spec,
-                                                      source_place at) {
+                                                      source_location at) {
   parts_.pools.push_back(std::move(spec));
   pool_places_.push_back(std::move(at));
   return *this;
 }
 
 configuration_builder& configuration_builder::AddTeam(team_spec spec,
-                                                      source_place at) {
+                                                      source_location at) {
   parts_.teams.push_back(std::move(spec));
   team_places_.push_back(std::move(at));
   return *this;
 }
 
 configuration_builder& configuration_builder::SetPriorities(
-    measure_priorities priorities) {
+    objective_priorities priorities) {
   parts_.priorities = priorities;
   return *this;
 }
 
 std::vector<finding> configuration_builder::Check() const {
   std::vector<finding> findings;
-  checker check(&findings);
+  spec_validator check(&findings);
   check.CheckNames(parts_.services, service_places_, "service");
   check.CheckNames(parts_.classes, class_places_, "class");
   check.CheckNames(parts_.pools, pool_places_, "pool");
@@ -120,7 +121,7 @@
   for (std::size_t i = 0; i < parts_.classes.size(); ++i) {
     const work_class& spec = parts_.classes[i];
     const std::string who = "class '" + spec.name.value() + "' ";
-    const source_place& at = class_places_[i];
+    const source_location& at = class_places_[i];
     check.Require(Contains(parts_.services, spec.service), at,
                   who + "names service '" + spec.service.value() +
                       "', which isn't defined");
--- a/src/core/entry/entry_core.cc
+++ b/src/core/entry/entry_core.cc
@@ -12,10 +12,10 @@
 
 /// A read of the log that arrives sooner than this after the process stood
 /// still may have been made before.
-constexpr duration kFreshReadAfter = std::chrono::milliseconds(200);
+constexpr duration kMinReadDelayAfterPause = std::chrono::milliseconds(200);
 /// Ticks come every `kTickInterval`; without an event for this long the process
 /// stood still.
-constexpr duration kStoodStill = std::chrono::milliseconds(500);
+constexpr duration kPauseThreshold = std::chrono::milliseconds(500);
 
 control_log_settings ControlSettings(const entry_core_options& options) {
   control_log_settings settings = options.control;
@@ -47,21 +47,21 @@
   counted_at_ = now;
   handled_at_ = now;
   control_.Start(now, out);
-  not_ready_reason_ = WhyNotServing();
+  not_ready_reason_ = NotServingReason();
   out.Do(set_ready{false, not_ready_reason_});
   return std::move(out.actions);
 }
 
 action_list entry_core::Handle(const event& item, time_point now) {
   effects out;
-  if (now - handled_at_ > kStoodStill) {
-    lags_too_far_ = true;
+  if (now - handled_at_ > kPauseThreshold) {
+    lag_exceeded_ = true;
     serving_ = false;
-    woke_at_ = now;
+    resumed_at_ = now;
   }
   handled_at_ = now;
   std::visit([&](const auto& content) { On(content, now, out); }, item);
-  Settle(now, out);
+  PropagateChanges(now, out);
   return std::move(out.actions);
 }
 
@@ -81,7 +81,7 @@
   claims_.OnTick(now, out, decisions_);
   requests_.OnTick(Context(), now, out);
   if (now - counted_at_ >= options_.count_interval) {
-    RecordCounts(now, out);
+    AppendRequestCounts(now, out);
   }
   if (!stopping() && now - planned_at_ >= options_.planner.plan_interval) {
     planned_at_ = now;
@@ -110,7 +110,9 @@
   requests_.OnArrival(bounded, Context(), now, out);
 }
 
-void entry_core::On(const caller_gone& item, time_point now, effects& out) {
+void entry_core::On(const caller_disconnected& item,
+                    time_point now,
+                    effects& out) {
   requests_.OnCallerGone(item, Context(), now, out);
 }
 
@@ -128,8 +130,8 @@
                                time_point now,
                                effects& out) {
   const incarnation from = frame.from;
-  if (unconnected_.erase(from) > 0) {
-    TellClaimsTheirHomes(now, out);
+  if (disconnected_members_.erase(from) > 0) {
+    UpdateClaimsView(now, out);
   }
   const overloaded take{
       [&](const forward_request& message) {
@@ -161,8 +163,8 @@
                     time_point now,
                     effects& out) {
   if (known_members_.contains(item.peer) &&
-      unconnected_.insert(item.peer).second) {
-    TellClaimsTheirHomes(now, out);
+      disconnected_members_.insert(item.peer).second) {
+    UpdateClaimsView(now, out);
   }
   requests_.OnPeerDisconnected(item.peer, Context(), now, out);
 }
@@ -184,9 +186,9 @@
     return;
   }
   control_.OnLogRead(now, item, out);
-  if (woke_at_ && item.stream == kControlStream &&
-      now - *woke_at_ >= kFreshReadAfter) {
-    woke_at_.reset();
+  if (resumed_at_ && item.stream == kControlStream &&
+      now - *resumed_at_ >= kMinReadDelayAfterPause) {
+    resumed_at_.reset();
   }
 }
 
@@ -229,8 +231,8 @@
   if (stopping()) {
     return;
   }
-  stop_asked_at_ = now;
-  out.Note(note_level::kInfo, "stopping");
+  stop_requested_at_ = now;
+  out.Log(log_severity::kInfo, "stopping");
 }
 
 // --- what the modules are shown
--- a/src/core/entry/entry_core_follow.cc
+++ b/src/core/entry/entry_core_follow.cc
@@ -7,31 +7,31 @@
 // What a change in one module means for the others.
 namespace plantainhead::core {
 
-void entry_core::Settle(time_point now, effects& out) {
-  FollowFold(now, out);
-  FollowSuspicion(now, out);
-  ExchangeClaims(now, out);
-  FollowReadiness(now, out);
+void entry_core::PropagateChanges(time_point now, effects& out) {
+  UpdateFromFleetState(now, out);
+  UpdateSuspects(now, out);
+  ProcessClaims(now, out);
+  UpdateReadiness(now, out);
   // Before the stop, whose last count must hold the answers of this event.
-  Meter(out.actions, now);
-  FollowStop(now, out);
+  RecordMetrics(out.actions, now);
+  UpdateShutdown(now, out);
   control_.Submit(now, std::exchange(out.records, {}), out);
 }
 
-void entry_core::FollowFold(time_point now, effects& out) {
-  const bool folded = followed_offset_ != fleet().offset;
-  if (!folded && !list_changed_) {
+void entry_core::UpdateFromFleetState(time_point now, effects& out) {
+  const bool state_changed = followed_offset_ != fleet().offset;
+  if (!state_changed && !list_changed_) {
     return;
   }
   followed_offset_ = fleet().offset;
   list_changed_ = false;
   lease_.Observe(now, fleet());
   endpoints_.Rebuild(fleet(), vms_, options_.self.who, stopping_members_);
-  FollowMembers(now, out);
+  UpdateMembers(now, out);
   requests_.OnEndpointsChanged(Context(), now, out);
 }
 
-void entry_core::FollowMembers(time_point now, effects& out) {
+void entry_core::UpdateMembers(time_point now, effects& out) {
   std::set<incarnation> members;
   for (const auto& [who, member] : fleet().members) {
     members.insert(who);
@@ -40,32 +40,32 @@
     if (!members.contains(who)) {
       stopping_members_.erase(who);
       suspects_.erase(who);
-      unconnected_.erase(who);
+      disconnected_members_.erase(who);
       requests_.OnPeerDisconnected(who, Context(), now, out);
     }
   }
   known_members_ = std::move(members);
   fleet_meter_.Retain(fleet().members);
-  TellClaimsTheirHomes(now, out);
+  UpdateClaimsView(now, out);
 }
 
 // A home that isn't heard, or whose connection broke, is passed over like one
 // that is stopping: its keys would be refused until the fleet has expelled it.
 // Should it live, both write claims, and the log's order decides.
-void entry_core::TellClaimsTheirHomes(time_point now, effects& out) {
+void entry_core::UpdateClaimsView(time_point now, effects& out) {
   std::set<incarnation> excluded = stopping_members_;
   excluded.insert(suspects_.begin(), suspects_.end());
-  excluded.insert(unconnected_.begin(), unconnected_.end());
+  excluded.insert(disconnected_members_.begin(), disconnected_members_.end());
   // A stopping entry goes on as home until its notice is over: the others need
   // some heartbeats to hear of it, and their callers would be refused
   // meanwhile.
-  if (!refusing_) {
+  if (!rejecting_requests_) {
     excluded.erase(options_.self.who);
   }
   claims_.OnViewChanged(fleet(), excluded, now, out);
 }
 
-void entry_core::FollowSuspicion(time_point now, effects& out) {
+void entry_core::UpdateSuspects(time_point now, effects& out) {
   const std::set<incarnation> before = suspects_;
   for (const incarnation who : known_members_) {
     const bool suspected = membership_.Suspects(who);
@@ -77,7 +77,7 @@
     }
   }
   if (suspects_ != before) {
-    TellClaimsTheirHomes(now, out);
+    UpdateClaimsView(now, out);
   }
 }
 
@@ -105,7 +105,7 @@
                      });
 }
 
-void entry_core::Meter(const action_list& actions, time_point now) {
+void entry_core::RecordMetrics(const action_list& actions, time_point now) {
   for (const action& item : actions) {
     if (const auto* call = std::get_if<call_endpoint>(&item)) {
       meter_.OnCall(*call, now);
@@ -121,7 +121,7 @@
   }
 }
 
-void entry_core::RecordCounts(time_point now, effects& out) {
+void entry_core::AppendRequestCounts(time_point now, effects& out) {
   counted_at_ = now;
   std::map<class_name, request_counts> counts = meter_.TakeUnrecorded();
   if (!counts.empty()) {
@@ -129,7 +129,7 @@
   }
 }
 
-void entry_core::ExchangeClaims(time_point now, effects& out) {
+void entry_core::ProcessClaims(time_point now, effects& out) {
   // A decision may make the requests ask again (another key, a release), so
   // this goes on until both are silent.
   while (true) {
--- a/src/core/entry/entry_core_readiness.cc
+++ b/src/core/entry/entry_core_readiness.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// How long an entry that serves may lack records that others have applied.
-constexpr duration kLagPatience = std::chrono::seconds(1);
+constexpr duration kMaxLag = std::chrono::seconds(1);
 /// Time in which all have had a heartbeat that says that this entry stops.
-constexpr duration kHandOverAfter = std::chrono::milliseconds(500);
+constexpr duration kHandoverDelay = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -18,30 +18,30 @@
 // of a VM waits for each member's own word, so what is missing here meanwhile
 // harms nobody. An entry that has just started or stood still may lack much,
 // also its own expulsion, and has no such time.
-void entry_core::FollowLag(time_point now) {
+void entry_core::UpdateLag(time_point now) {
   // What an entry knew before it stood still says nothing of what it lacks: a
   // VM may drain, or reboot, since. Until it has read the log anew it would
   // send requests there.
-  if (woke_at_) {
+  if (resumed_at_) {
     return;
   }
   if (control_.caught_up()) {
     behind_since_.reset();
-    lags_too_far_ = false;
+    lag_exceeded_ = false;
     return;
   }
   if (!behind_since_) {
     behind_since_ = now;
   }
-  lags_too_far_ = lags_too_far_ || now - *behind_since_ >= kLagPatience;
+  lag_exceeded_ = lag_exceeded_ || now - *behind_since_ >= kMaxLag;
 }
 
 // A log that lost its end looks whole to an entry that starts on it. Members
 // that know more don't read its join there, so it hears none of them; an entry
 // that has heard more than half of the others since its start shares their log.
 // Members that are dead don't hold it up for long: the others expel them.
-void entry_core::FollowWelcome() {
-  if (welcomed_) {
+void entry_core::UpdatePeerQuorum() {
+  if (heard_by_quorum_) {
     return;
   }
   std::size_t others = 0;
@@ -54,20 +54,20 @@
     heard += membership_.StatusOf(who) != nullptr ? 1 : 0;
   }
   const bool is_member = fleet().members.contains(options_.self.who);
-  welcomed_ = is_member && (2 * heard > others || others == 0);
+  heard_by_quorum_ = is_member && (2 * heard > others || others == 0);
 }
 
-std::string entry_core::WhyNotServing() const {
+std::string entry_core::NotServingReason() const {
   if (membership_.expelled()) {
     return "expelled from the view";
   }
-  if (lags_too_far_) {
+  if (lag_exceeded_) {
     return "not caught up with the log";
   }
   if (!fleet().members.contains(options_.self.who)) {
     return "not yet a member of the view";
   }
-  if (!welcomed_) {
+  if (!heard_by_quorum_) {
     return "too few other members have been heard";
   }
   if (listed_at_ == time_point()) {
@@ -76,10 +76,10 @@
   return "";
 }
 
-void entry_core::FollowReadiness(time_point now, effects& out) {
-  FollowLag(now);
-  FollowWelcome();
-  std::string reason = WhyNotServing();
+void entry_core::UpdateReadiness(time_point now, effects& out) {
+  UpdateLag(now);
+  UpdatePeerQuorum();
+  std::string reason = NotServingReason();
   // The balancer takes some time to see that this entry is to end; what it
   // sends until then is served.
   serving_ = reason.empty();
@@ -97,38 +97,38 @@
 
 // The others must hear that this entry stops before it sends them what was its
 // own: a key's next home refuses the key until it takes itself for the home.
-void entry_core::HandOver(time_point now) {
-  const bool is_due = stopping() && now >= *stop_asked_at_ + kHandOverAfter;
+void entry_core::StartHandover(time_point now) {
+  const bool is_due = stopping() && now >= *stop_requested_at_ + kHandoverDelay;
   if (is_due && stopping_members_.insert(options_.self.who).second) {
     list_changed_ = true;
   }
 }
 
-void entry_core::FollowStop(time_point now, effects& out) {
+void entry_core::UpdateShutdown(time_point now, effects& out) {
   if (exited_) {
     return;
   }
-  HandOver(now);
+  StartHandover(now);
   // An entry that the others expelled while it was frozen owns nothing any
   // more; it ends what it has and starts anew, since its incarnation is void.
   const bool expelled = membership_.expelled();
   const bool notice_over =
-      stopping() && now >= *stop_asked_at_ + options_.stop_notice;
-  if (!refusing_ && (expelled || notice_over)) {
-    refusing_ = true;
+      stopping() && now >= *stop_requested_at_ + options_.stop_notice;
+  if (!rejecting_requests_ && (expelled || notice_over)) {
+    rejecting_requests_ = true;
     requests_.OnStop();
-    TellClaimsTheirHomes(now, out);
+    UpdateClaimsView(now, out);
   }
-  if (!refusing_ || !requests_.Idle()) {
+  if (!rejecting_requests_ || !requests_.Idle()) {
     return;
   }
-  if (!left_at_) {
-    left_at_ = now;
-    RecordCounts(now, out);
+  if (!leave_requested_at_) {
+    leave_requested_at_ = now;
+    AppendRequestCounts(now, out);
     membership_.Leave(fleet(), out);
   }
   const bool left = !fleet().members.contains(options_.self.who);
-  if (left || now >= *left_at_ + options_.leave_patience) {
+  if (left || now >= *leave_requested_at_ + options_.leave_timeout) {
     exited_ = true;
     out.Do(exit_process{expelled && !stopping()});
   }
--- a/src/core/fleet/capacity.cc
+++ b/src/core/fleet/capacity.cc
@@ -167,7 +167,7 @@
 
 pool_capacity CapacityOf(const pool_view& pool, const pool_slots& slots) {
   const auto size = static_cast<std::uint32_t>(pool.vms.size());
-  const std::uint32_t least = pool.spec->least_vms;
+  const std::uint32_t least = pool.spec->min_vms;
   pool_capacity item;
   item.is_known = slots.is_known;
   item.tolerance = slots.tolerance;
--- a/src/core/fleet/job_placement.cc
+++ b/src/core/fleet/job_placement.cc
@@ -24,7 +24,7 @@
 }
 
 void job_placement::AddWorkers() {
-  std::map<pool_id, std::vector<const wave_progress*>> waves;
+  std::map<pool_id, std::vector<const fleet_wave*>> waves;
   for (const auto& [id, wave] : context_.inputs.state.waves) {
     if (wave.state != wave_state::kRunning) {
       continue;
@@ -44,10 +44,9 @@
     item.accelerators = vm.listing->accelerators;
     const auto found = waves.find(vm.state->pool);
     if (found != waves.end()) {
-      item.awaits_wave = std::any_of(found->second.begin(), found->second.end(),
-                                     [&id = id](const wave_progress* w) {
-                                       return !w->visited.contains(id);
-                                     });
+      item.awaits_wave = std::any_of(
+          found->second.begin(), found->second.end(),
+          [&id = id](const fleet_wave* w) { return !w->visited.contains(id); });
     }
     by_pool_[vm.state->pool].push_back(&item);
   }
@@ -73,11 +72,11 @@
   }
 }
 
-void job_placement::Place(const job_spec& spec, const vm_id& vm) {
+void job_placement::Place(const job_requirements& spec, const vm_id& vm) {
   Occupy(spec, vm, spec.name);
 }
 
-void job_placement::Occupy(const job_spec& spec,
+void job_placement::Occupy(const job_requirements& spec,
                            const vm_id& vm,
                            const job_id& job) {
   team_use& use = teams_[spec.team];
@@ -104,7 +103,8 @@
          item.accelerators >= size.accelerators;
 }
 
-std::optional<job_placement::choice> job_placement::Find(const job_spec& spec) {
+std::optional<job_placement::choice> job_placement::Find(
+    const job_requirements& spec) {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return std::nullopt;
@@ -139,7 +139,7 @@
 }
 
 std::optional<job_placement::choice> job_placement::FindByDisplacing(
-    const job_spec& spec) const {
+    const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return std::nullopt;
@@ -176,13 +176,13 @@
     if (job == context_.inputs.state.jobs.end() || job->second.spec.urgent) {
       continue;
     }
-    if (job->second.state == job_state::kCheckpointing) {
+    if (job->second.state == job_status::kCheckpointing) {
       // It leaves already; its room will be there.
       const job_size gone = history_.SizeOf(job->second.spec);
       left.processors += gone.processors;
       left.memory_mb += gone.memory_mb;
       left.accelerators += gone.accelerators;
-    } else if (job->second.state == job_state::kPlaced) {
+    } else if (job->second.state == job_status::kPlaced) {
       const time_point by = job->second.spec.finish_by;
       waiting.emplace_back(by == time_point() ? time_point::max() : by, id);
     }
@@ -207,7 +207,7 @@
   return found;
 }
 
-std::string job_placement::WhyNever(const job_spec& spec) const {
+std::string job_placement::WhyNever(const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return "";
@@ -234,7 +234,7 @@
          std::to_string(memory_mb) + " MB, " + std::to_string(accelerators);
 }
 
-std::string job_placement::WhyOverQuota(const job_spec& spec) const {
+std::string job_placement::WhyOverQuota(const job_requirements& spec) const {
   const team_spec* team = FindTeam(spec.team);
   const auto use = teams_.find(spec.team);
   if (team == nullptr || use == teams_.end()) {
@@ -262,7 +262,7 @@
                              context_.now - context_.options.refusal_time);
 }
 
-bool job_placement::IsKnownFull(const job_spec& spec) const {
+bool job_placement::IsKnownFull(const job_requirements& spec) const {
   return full_.contains({spec.pool, history_.SizeOf(spec)});
 }
 
--- a/src/core/fleet/job_planner.cc
+++ b/src/core/fleet/job_planner.cc
@@ -29,7 +29,7 @@
     return job == inputs.state.jobs.end() || !HoldsTask(job->second);
   });
   for (const auto& [id, job] : inputs.state.jobs) {
-    if (job.state == job_state::kParked) {
+    if (job.state == job_status::kParked) {
       // An operator who frees it wants it tried anew.
       history_.Pardon(id);
     }
@@ -83,13 +83,13 @@
     if (found == context.inputs.state.jobs.end()) {
       continue;
     }
-    const job_progress& job = found->second;
+    const fleet_job& job = found->second;
     if (HoldsTask(job) && job.vm == task.vm) {
       continue;
     }
-    const bool has_ended = job.state == job_state::kCancelled ||
-                           job.state == job_state::kFinished ||
-                           job.state == job_state::kParked;
+    const bool has_ended = job.state == job_status::kCancelled ||
+                           job.state == job_status::kFinished ||
+                           job.state == job_status::kParked;
     const bool is_elsewhere = HoldsTask(job) && job.vm != task.vm;
     if (has_ended || is_elsewhere) {
       context.operations.Drive(
@@ -130,7 +130,7 @@
       continue;
     }
     if (quarantined >= most) {
-      context.Report(note_level::kError, ObjectOf(id),
+      context.Report(log_severity::kError, ObjectOf(id),
                      "it fails every task, but too many workers are "
                      "quarantined already");
       continue;
@@ -156,13 +156,13 @@
   placed_version_ = context.view.work_version();
   placed_list_ = context.inputs.listed_at;
   using order = std::tuple<bool, time_point, generation>;
-  std::vector<std::pair<order, const job_progress*>> waiting;
-  for (const job_progress* job : context.view.waiting()) {
+  std::vector<std::pair<order, const fleet_job*>> waiting;
+  for (const fleet_job* job : context.view.waiting()) {
     if (context.gate.IsPending(ObjectOf(job->spec.name), job->version,
                                context.now)) {
       continue;
     }
-    const job_spec& spec = job->spec;
+    const job_requirements& spec = job->spec;
     const time_point by = spec.finish_by == time_point()
                               ? time_point::max()
                               : spec.finish_by - spec.declared_run_time;
@@ -190,11 +190,11 @@
 bool job_planner::PlaceOne(const planner_context& context,
                            job_placement& room,
                            const job_id& id,
-                           const job_progress& job) {
+                           const fleet_job& job) {
   const std::string park = WhyPark(context, room, id, job);
   if (!park.empty()) {
-    context.Report(note_level::kWarning, ObjectOf(id), park);
-    SetState(context, id, job, job_state::kParked, vm_id(), "", park);
+    context.Report(log_severity::kWarning, ObjectOf(id), park);
+    SetState(context, id, job, job_status::kParked, vm_id(), "", park);
     return true;
   }
   const std::string quota = room.WhyOverQuota(job.spec);
@@ -205,7 +205,7 @@
   const std::optional<job_placement::choice> found = room.Find(job.spec);
   if (found) {
     room.Place(job.spec, found->vm->id);
-    SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
+    SetState(context, id, job, job_status::kPlaced, found->vm->id, kStart,
              "worker " + found->vm->id.value() + " has room");
     return true;
   }
@@ -219,19 +219,19 @@
 bool job_planner::PlaceUrgent(const planner_context& context,
                               job_placement& room,
                               const job_id& id,
-                              const job_progress& job) {
+                              const fleet_job& job) {
   const std::optional<job_placement::choice> found =
       room.FindByDisplacing(job.spec);
   if (!found) {
     return false;
   }
   for (const job_id& other : found->displaced) {
-    const job_progress& progress = context.inputs.state.jobs.at(other);
+    const fleet_job& progress = context.inputs.state.jobs.at(other);
     if (context.gate.IsPending(ObjectOf(other), progress.version,
                                context.now)) {
       continue;
     }
-    SetState(context, other, progress, job_state::kCheckpointing, progress.vm,
+    SetState(context, other, progress, job_status::kCheckpointing, progress.vm,
              kCheckpoint, "it can wait and makes room for " + id.value());
   }
   // The room is kept for it in this plan, or others would take it.
@@ -241,7 +241,7 @@
         "room is being made on " + found->vm->id.value();
     return false;
   }
-  SetState(context, id, job, job_state::kPlaced, found->vm->id, kStart,
+  SetState(context, id, job, job_status::kPlaced, found->vm->id, kStart,
            "urgent; it shares worker " + found->vm->id.value() +
                " until jobs that can wait have left");
   return true;
@@ -250,7 +250,7 @@
 std::string job_planner::WhyPark(const planner_context& context,
                                  const job_placement& room,
                                  const job_id& id,
-                                 const job_progress& job) {
+                                 const fleet_job& job) {
   std::string workers;
   std::size_t failed = 0;
   for (const vm_id& vm : history_.FailedOn(id)) {
@@ -288,8 +288,8 @@
 
 void job_planner::SetState(const planner_context& context,
                            const job_id& id,
-                           const job_progress& job,
-                           job_state state,
+                           const fleet_job& job,
+                           job_status state,
                            const vm_id& vm,
                            const std::string& operation_kind,
                            const std::string& reason) const {
@@ -302,7 +302,7 @@
   if (!operation_kind.empty()) {
     record.operation = OperationFor(operation_kind, id.value(), job.version);
   }
-  if (state == job_state::kPlaced) {
+  if (state == job_status::kPlaced) {
     record.operation = WithSize(record.operation, history_.SizeOf(job.spec));
   }
   record.reason = reason;
--- a/src/core/fleet/job_planner_tasks.cc
+++ b/src/core/fleet/job_planner_tasks.cc
@@ -27,7 +27,7 @@
         context.gate.IsPending(ObjectOf(id), job.version, context.now)) {
       continue;
     }
-    if (job.state == job_state::kPlaced) {
+    if (job.state == job_status::kPlaced) {
       DrivePlaced(context, id, job);
     } else {
       DriveCheckpointing(context, id, job);
@@ -37,7 +37,7 @@
 
 void job_planner::DrivePlaced(const planner_context& context,
                               const job_id& id,
-                              const job_progress& job) {
+                              const fleet_job& job) {
   if (RecordEnd(context, id, job)) {
     return;
   }
@@ -55,7 +55,7 @@
     return;
   }
   if (MustLeave(context, job)) {
-    SetState(context, id, job, job_state::kCheckpointing, job.vm, kCheckpoint,
+    SetState(context, id, job, job_status::kCheckpointing, job.vm, kCheckpoint,
              "worker " + job.vm.value() + " is leaving or in maintenance");
     return;
   }
@@ -64,7 +64,7 @@
 
 bool job_planner::DriveStart(const planner_context& context,
                              const job_id& id,
-                             const job_progress& job) {
+                             const fleet_job& job) {
   const job_size size =
       SizeIn(job.operation).value_or(history_.SizeOf(job.spec));
   const std::optional<operation_result> end = context.operations.Drive(
@@ -77,7 +77,7 @@
   }
   if (end == operation_result::kRefused) {
     history_.CountRefusal(id, job.vm, context.now);
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              "worker " + job.vm.value() +
                  " refused it: " + context.operations.DetailOf(job.operation));
     return false;
@@ -93,11 +93,11 @@
 
 void job_planner::DriveCheckpointing(const planner_context& context,
                                      const job_id& id,
-                                     const job_progress& job) {
+                                     const fleet_job& job) {
   const std::optional<operation_result> end = context.operations.Drive(
       job.operation, checkpoint_task{id, job.vm}, context.now, context.out);
   if (end == operation_result::kDone) {
-    SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+    SetState(context, id, job, job_status::kWaiting, vm_id(), "",
              "checkpointed; " + job.reason);
     return;
   }
@@ -107,7 +107,7 @@
   // Until it is saved, or has ended by itself, its task must not lapse.
   Renew(context, id, job);
   if (end == operation_result::kRefused) {
-    context.Report(note_level::kWarning, ObjectOf(id),
+    context.Report(log_severity::kWarning, ObjectOf(id),
                    "it can't be checkpointed and is left to finish: " +
                        context.operations.DetailOf(job.operation));
   }
@@ -115,7 +115,7 @@
 
 bool job_planner::RecordEnd(const planner_context& context,
                             const job_id& id,
-                            const job_progress& job) {
+                            const fleet_job& job) {
   const task_listing* task = FindTask(id, job);
   if (task == nullptr) {
     return false;
@@ -124,19 +124,19 @@
     case task_state::kRunning:
       return false;
     case task_state::kFinished:
-      SetState(context, id, job, job_state::kFinished, vm_id(), "",
+      SetState(context, id, job, job_status::kFinished, vm_id(), "",
                "finished on " + job.vm.value());
       return true;
     case task_state::kFailed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "failed on " + job.vm.value() + ": " + task->detail);
       return true;
-    case task_state::kLapsed:
-      SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    case task_state::kLeaseExpired:
+      SetState(context, id, job, job_status::kWaiting, job.vm, "",
                "its lease lapsed on " + job.vm.value());
       return true;
     case task_state::kCheckpointed:
-      SetState(context, id, job, job_state::kWaiting, vm_id(), "",
+      SetState(context, id, job, job_status::kWaiting, vm_id(), "",
                "checkpointed on " + job.vm.value());
       return true;
   }
@@ -145,7 +145,7 @@
 
 bool job_planner::GiveUpLost(const planner_context& context,
                              const job_id& id,
-                             const job_progress& job) {
+                             const fleet_job& job) {
   const auto seen = sights_.find(id);
   if (!context.list_is_fresh() || seen == sights_.end()) {
     return false;
@@ -161,7 +161,7 @@
   // can reach; a second start then would run the job twice. Without renewal the
   // worker ends it by the end of its lease at the latest.
   if (context.now >= seen->second.lease_end) {
-    SetState(context, id, job, job_state::kWaiting, job.vm, "",
+    SetState(context, id, job, job_status::kWaiting, job.vm, "",
              (is_vm_gone ? "its worker was lost: " : "its task was lost on ") +
                  job.vm.value());
   }
@@ -169,14 +169,14 @@
 }
 
 bool job_planner::IsWorkerGone(const planner_context& context,
-                               const job_progress& job) {
+                               const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   return vm == nullptr || vm->listing == nullptr;
 }
 
 void job_planner::Renew(const planner_context& context,
                         const job_id& id,
-                        const job_progress& job) {
+                        const fleet_job& job) {
   const auto seen = sights_.find(id);
   if (seen == sights_.end()) {
     return;
@@ -195,20 +195,20 @@
 }
 
 const task_listing* job_planner::FindTask(const job_id& id,
-                                          const job_progress& job) const {
+                                          const fleet_job& job) const {
   const auto found = tasks_.find(id);
   if (found == tasks_.end()) {
     return nullptr;
   }
   const task_listing* task = found->second;
   // The list lags and may still show an earlier task of the job on this worker.
-  const bool is_this = job.state == job_state::kCheckpointing ||
+  const bool is_this = job.state == job_status::kCheckpointing ||
                        task->started_by == job.operation;
   return is_this ? task : nullptr;
 }
 
 bool job_planner::MustLeave(const planner_context& context,
-                            const job_progress& job) {
+                            const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   if (vm == nullptr || vm->state == nullptr) {
     return false;
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -246,7 +246,7 @@
                                  const pool_id& name,
                                  const pool_balance& pool) {
   context.Report(
-      note_level::kWarning, ObjectOf(name),
+      log_severity::kWarning, ObjectOf(name),
       "it lacks " + Count(pool.Lack()) + " VMs and no pool can spare one");
 }
 
--- a/src/core/fleet/task_history.cc
+++ b/src/core/fleet/task_history.cc
@@ -97,7 +97,8 @@
   failed_on_[task.job].insert(task.vm);
 }
 
-void task_history::Learn(const task_listing& task, const job_spec& spec) {
+void task_history::Learn(const task_listing& task,
+                         const job_requirements& spec) {
   if (task.processors_used == 0 && task.memory_used_mb == 0) {
     return;
   }
@@ -166,7 +167,7 @@
   failed_on_.erase(job);
 }
 
-job_size task_history::SizeOf(const job_spec& spec) const {
+job_size task_history::SizeOf(const job_requirements& spec) const {
   job_size size{spec.processors, spec.memory_mb, spec.accelerators};
   const auto used = used_.find(spec.name);
   if (used != used_.end()) {
--- a/src/core/fleet/vm_lifecycle.cc
+++ b/src/core/fleet/vm_lifecycle.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool IsOwnPause(const wave_progress& wave) {
+bool IsOwnPause(const fleet_wave& wave) {
   return wave.state == wave_state::kPaused &&
          wave.reason.starts_with(kOwnPause);
 }
@@ -122,7 +122,7 @@
 
 void vm_lifecycle::GiveUpDraining(const vm_view& vm,
                                   const std::string& reason) const {
-  context_.Report(note_level::kWarning, ObjectOf(vm.id), reason);
+  context_.Report(log_severity::kWarning, ObjectOf(vm.id), reason);
   context_.deferred[vm.id] = context_.now;
   Readmit(vm, reason);
 }
@@ -145,7 +145,7 @@
   const std::optional<operation_result> end = context_.operations.Drive(
       id, reboot_vm{vm.id}, context_.now, context_.out);
   if (end == operation_result::kRefused) {
-    context_.Report(note_level::kError, ObjectOf(vm.id),
+    context_.Report(log_severity::kError, ObjectOf(vm.id),
                     "the platform refused to reboot it: " +
                         context_.operations.DetailOf(id));
     if (IsWaveOver(vm)) {
@@ -163,7 +163,7 @@
     return;
   }
   if (HasWaited(vm, context_.options.return_bound)) {
-    context_.Report(note_level::kError, ObjectOf(vm.id),
+    context_.Report(log_severity::kError, ObjectOf(vm.id),
                     "it did not come back in time after its reboot");
   }
 }
@@ -179,7 +179,7 @@
     return;
   }
   if (HasWaited(vm, context_.options.return_bound)) {
-    context_.Report(note_level::kError, ObjectOf(vm.id),
+    context_.Report(log_severity::kError, ObjectOf(vm.id),
                     "it is not healthy after its reboot");
   }
 }
@@ -192,7 +192,7 @@
   if (IsWaveOver(vm)) {
     return name + " has ended";
   }
-  const wave_progress& wave = context_.inputs.state.waves.at(vm.state->wave);
+  const fleet_wave& wave = context_.inputs.state.waves.at(vm.state->wave);
   if (IsOwnPause(wave)) {
     return name + " is paused, " + wave.reason;
   }
--- a/src/core/fleet/wave_planner.cc
+++ b/src/core/fleet/wave_planner.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::core {
 namespace {
 
-bool IsOpen(const wave_progress& wave) {
+bool IsOpen(const fleet_wave& wave) {
   return wave.state == wave_state::kRunning ||
          wave.state == wave_state::kPaused;
 }
@@ -111,7 +111,7 @@
                             const vm_lifecycle& lifecycle,
                             const capacity_plan& capacity,
                             const wave_id& id,
-                            const wave_progress& wave) {
+                            const fleet_wave& wave) {
   if (context.gate.IsPending(ObjectOf(id), wave.version, context.now)) {
     return;
   }
@@ -140,7 +140,7 @@
                             const pool_capacity& capacity,
                             const pool_view& pool,
                             const wave_id& id,
-                            const wave_progress& wave,
+                            const fleet_wave& wave,
                             pass& found) {
   std::uint32_t left = 0;
   std::uint32_t under_way = 0;
@@ -198,7 +198,7 @@
     const planner_context& context,
     const vm_lifecycle& lifecycle,
     const pool_view& pool,
-    const wave_progress& wave) const {
+    const fleet_wave& wave) const {
   std::vector<const vm_view*> found;
   std::set<zone_id> started;
   std::map<zone_id, std::uint32_t> jobs;
@@ -231,7 +231,7 @@
 }
 
 std::string wave_planner::WhyPause(const planner_context& context,
-                                   const wave_progress& wave,
+                                   const fleet_wave& wave,
                                    const pass& found) const {
   if (found.open_pools > 0 && found.held_pools == found.open_pools) {
     return found.obstacle;
@@ -261,7 +261,7 @@
 
 void wave_planner::PauseOrResume(const planner_context& context,
                                  const wave_id& id,
-                                 const wave_progress& wave,
+                                 const fleet_wave& wave,
                                  const std::string& why) {
   if (!why.empty()) {
     calm_since_.erase(id);
@@ -283,7 +283,7 @@
 
 void wave_planner::SetState(const planner_context& context,
                             const wave_id& id,
-                            const wave_progress& wave,
+                            const fleet_wave& wave,
                             wave_state state,
                             const std::string& reason) const {
   context.reasons[ObjectOf(id)] = reason;
--- a/src/core/jobs/wave_keeper.cc
+++ b/src/core/jobs/wave_keeper.cc
@@ -183,7 +183,7 @@
 // list that was asked for before the host went down shows it as up, and a host
 // of a spare pool has no life to compare: taken for back, it would let one host
 // too many go down.
-void wave_keeper::NoteReturns(wave_progress* wave,
+void wave_keeper::NoteReturns(fleet_wave* wave,
                               std::vector<wave_action>* actions) {
   for (auto& [host, progress] : wave->hosts) {
     if (progress.phase != host_phase::kDown) {
@@ -222,7 +222,7 @@
 
 // Returns how many of the pools' hosts must be in hand for the wave to end in
 // time. All that it allows, if its time isn't known.
-std::uint32_t wave_keeper::NeededAtOnce(const wave_progress& wave,
+std::uint32_t wave_keeper::NeededAtOnce(const fleet_wave& wave,
                                         time_point now) const {
   const std::uint32_t most = wave.wave.most_at_once + settings_.emptied_ahead;
   if (!wave.wave.published_at) {
@@ -244,7 +244,7 @@
 }
 
 std::vector<wave_keeper::due_host> wave_keeper::DueHosts(
-    wave_progress* wave,
+    fleet_wave* wave,
     std::map<pool_id, std::uint32_t>* busy) {
   std::vector<due_host> due;
   for (auto& [host, progress] : wave->hosts) {
@@ -296,7 +296,7 @@
 // as long as for two moves, so that only as many are in hand as the wave's time
 // demands. The same always holds for the pools' hosts, and none of a pool that
 // lacks VMs is taken before all that the wave allows are needed.
-void wave_keeper::CloseNext(wave_progress* wave,
+void wave_keeper::CloseNext(fleet_wave* wave,
                             time_point now,
                             std::vector<wave_action>* actions) {
   const std::uint32_t most = wave->wave.most_at_once + settings_.emptied_ahead;
@@ -339,7 +339,7 @@
   }
 }
 
-void wave_keeper::PlanWave(wave_progress* wave,
+void wave_keeper::PlanWave(fleet_wave* wave,
                            time_point now,
                            std::vector<wave_action>* actions) {
   NoteReturns(wave, actions);
@@ -428,7 +428,7 @@
     return false;
   }
   return std::any_of(waves_.begin(), waves_.end(), [&](const auto& entry) {
-    const wave_progress& wave = entry.second;
+    const fleet_wave& wave = entry.second;
     const auto found = wave.hosts.find(host->second);
     if (found == wave.hosts.end() || found->second.phase == host_phase::kDone) {
       return false;
--- a/src/core/log/control_log.cc
+++ b/src/core/log/control_log.cc
@@ -45,8 +45,8 @@
     return;
   }
   log_readable_ = false;
-  out.Note(note_level::kWarning, "the log can't be read",
-           {{"stream", event.stream.value()}, {"detail", event.detail}});
+  out.Log(log_severity::kWarning, "the log can't be read",
+          {{"stream", event.stream.value()}, {"detail", event.detail}});
 }
 
 void control_log::OnReadable(time_point now, effects& out) {
@@ -55,7 +55,7 @@
   }
   log_readable_ = true;
   queue_.OnRecovered(now);
-  out.Note(note_level::kInfo, "the log can be read again");
+  out.Log(log_severity::kInfo, "the log can be read again");
 }
 
 bool control_log::OnAppendFinished(time_point now,
@@ -64,7 +64,7 @@
   if (event.append != append_id::kNone && event.append == snapshot_append_) {
     snapshot_append_ = append_id::kNone;
     if (event.result == append_result::kRejected) {
-      out.Note(note_level::kError, "the log refuses a snapshot");
+      out.Log(log_severity::kError, "the log refuses a snapshot");
     }
     return true;
   }
@@ -73,13 +73,13 @@
     return false;
   }
   RenameCommands(renamed);
-  Pump(now, out);
+  AppendPending(now, out);
   return true;
 }
 
 void control_log::OnTick(time_point now, effects& out) {
-  AnswerLate(now, out);
-  Pump(now, out);
+  AnswerTimedOut(now, out);
+  AppendPending(now, out);
   TakeSnapshot(now, out);
 }
 
@@ -93,10 +93,10 @@
     }
   }
   if (refused > 0) {
-    out.Note(note_level::kError, "too many records wait for the log",
-             {{"dropped", std::to_string(refused)}});
+    out.Log(log_severity::kError, "too many records wait for the log",
+            {{"dropped", std::to_string(refused)}});
   }
-  Pump(now, out);
+  AppendPending(now, out);
 }
 
 // An entry whose log came back shorter holds the newest state that there is.
@@ -104,7 +104,7 @@
 // fault of the platform that requests don't depend on.
 bool control_log::caught_up() const {
   return phase_ == phase::kFollowing && end_known_ &&
-         state_.offset >= greatest_known_;
+         state_.offset >= max_known_offset_;
 }
 
 bool control_log::log_readable() const {
@@ -118,9 +118,9 @@
          fault_ == log_fault::kNone;
 }
 
-void control_log::Pump(time_point now, effects& out) {
+void control_log::AppendPending(time_point now, effects& out) {
   if (CanWrite()) {
-    queue_.Pump(now, state_, out);
+    queue_.AppendPending(now, state_, out);
   }
 }
 
@@ -130,12 +130,12 @@
 }
 
 std::size_t control_log::OnControlRead(const log_read& event, effects& out) {
-  if (!IsHistoryKept(event, out)) {
+  if (!CanApply(event, out)) {
     return 0;
   }
   begin_ = event.begin;
   end_ = event.end;
-  greatest_known_ = std::max(greatest_known_, event.end);
+  max_known_offset_ = std::max(max_known_offset_, event.end);
   end_known_ = true;
   ClearFault(out);
   return ApplyEntries(event, out);
@@ -163,9 +163,9 @@
   AnswerReadBack(entry, result, out);
 }
 
-bool control_log::IsHistoryKept(const log_read& event, effects& out) {
-  return fault_ != log_fault::kReplaced && IsSameHistory(event, out) &&
-         IsNextKept(event, out);
+bool control_log::CanApply(const log_read& event, effects& out) {
+  return fault_ != log_fault::kReplaced && MatchesAppliedHistory(event, out) &&
+         IsNextRecordAvailable(event, out);
 }
 
 // The log came back with fewer records than were applied, as a restored copy
@@ -173,10 +173,10 @@
 // contents, so following it would revert a configuration or move a VM twice.
 // The entry keeps its state and reads its newest offset again: only the same
 // record there shows that the end was merely late.
-bool control_log::IsSameHistory(const log_read& event, effects& out) {
+bool control_log::MatchesAppliedHistory(const log_read& event, effects& out) {
   if (event.end < state_.offset) {
-    if (fault_ != log_fault::kShorter) {
-      SetFault(log_fault::kShorter,
+    if (fault_ != log_fault::kTruncated) {
+      SetFault(log_fault::kTruncated,
                "the log ends at offset " + std::to_string(event.end) +
                    ", but " + std::to_string(state_.offset) +
                    " has been applied",
@@ -185,7 +185,7 @@
     }
     return false;
   }
-  if (fault_ != log_fault::kShorter) {
+  if (fault_ != log_fault::kTruncated) {
     return true;
   }
   for (const log_entry& entry : event.entries) {
@@ -205,7 +205,7 @@
   return false;
 }
 
-bool control_log::IsNextKept(const log_read& event, effects& out) {
+bool control_log::IsNextRecordAvailable(const log_read& event, effects& out) {
   const log_offset next = state_.offset + 1;
   const auto is_next = [&](const log_entry& entry) {
     return entry.offset <= next;
@@ -214,7 +214,7 @@
       !event.entries.empty() && !is_next(event.entries.front());
   if (event.begin > next && (event.entries.empty() || has_gap)) {
     begin_ = event.begin;
-    SetFault(log_fault::kCut,
+    SetFault(log_fault::kRetentionGap,
              "the log begins at offset " + std::to_string(event.begin) +
                  ", but " + std::to_string(next) + " is needed",
              out);
@@ -224,8 +224,8 @@
   }
   if (has_gap && !following_again_) {
     following_again_ = true;
-    out.Note(note_level::kWarning, "a read skipped records; reading again",
-             {{"next", std::to_string(next)}});
+    out.Log(log_severity::kWarning, "a read skipped records; reading again",
+            {{"next", std::to_string(next)}});
     FollowControl(state_.offset, out);
   }
   if (!has_gap) {
@@ -237,16 +237,16 @@
 void control_log::SetFault(log_fault fault, std::string detail, effects& out) {
   fault_ = fault;
   fault_detail_ = std::move(detail);
-  out.Note(note_level::kError, fault_detail_,
-           {{"fault", std::string(NameOf(fault))}});
+  out.Log(log_severity::kError, fault_detail_,
+          {{"fault", std::string(NameOf(fault))}});
 }
 
 void control_log::ClearFault(effects& out) {
   if (fault_ == log_fault::kNone) {
     return;
   }
-  out.Note(note_level::kInfo, "the log can be followed again",
-           {{"fault", std::string(NameOf(fault_))}});
+  out.Log(log_severity::kInfo, "the log can be followed again",
+          {{"fault", std::string(NameOf(fault_))}});
   fault_ = log_fault::kNone;
   fault_detail_.clear();
 }
--- a/src/core/log/control_log_commands.cc
+++ b/src/core/log/control_log_commands.cc
@@ -38,8 +38,8 @@
   return command_result::kUnknown;
 }
 
-std::string ExplainLate(const std::optional<withdrawal>& end,
-                        const record_id& id) {
+std::string ExplainTimeout(const std::optional<withdrawal>& end,
+                           const record_id& id) {
   if (!end) {
     return "the change was appended as record " + id.value() +
            " but could not be read back in time";
@@ -75,7 +75,7 @@
     return;
   }
   commands_[*id] = {event.sequence, now + settings_.command_timeout};
-  Pump(now, out);
+  AppendPending(now, out);
 }
 
 void control_log::AnswerReadBack(const log_entry& entry,
@@ -99,15 +99,15 @@
   }
 }
 
-void control_log::AnswerLate(time_point now, effects& out) {
+void control_log::AnswerTimedOut(time_point now, effects& out) {
   for (auto it = commands_.begin(); it != commands_.end();) {
     const auto& [id, waiting] = *it;
-    if (now < waiting.give_up) {
+    if (now < waiting.deadline) {
       ++it;
       continue;
     }
     out.Do(answer_operator{waiting.sequence, command_result::kUnknown, 0,
-                           ExplainLate(queue_.Withdraw(id), id)});
+                           ExplainTimeout(queue_.Withdraw(id), id)});
     it = commands_.erase(it);
   }
 }
--- a/src/core/log/control_log_digests.cc
+++ b/src/core/log/control_log_digests.cc
@@ -31,10 +31,10 @@
   if (own_digests_.size() > kKeptDigests) {
     own_digests_.erase(own_digests_.begin());
   }
-  while (!expected_.empty() &&
-         expected_.begin()->first.first <= state_.offset) {
-    const auto [key, theirs] = *expected_.begin();
-    expected_.erase(expected_.begin());
+  while (!peer_digests_.empty() &&
+         peer_digests_.begin()->first.first <= state_.offset) {
+    const auto [key, theirs] = *peer_digests_.begin();
+    peer_digests_.erase(peer_digests_.begin());
     CompareDigests(key.first, theirs, key.second, out);
   }
 }
@@ -48,7 +48,7 @@
   if (!state_.members.contains(from)) {
     return;
   }
-  greatest_known_ = std::max(greatest_known_, offset);
+  max_known_offset_ = std::max(max_known_offset_, offset);
   CompareDigests(offset, digest, from, out);
 }
 
@@ -65,8 +65,8 @@
     return;
   }
   if (offset > state_.offset) {
-    if (expected_.size() < kKeptDigests) {
-      expected_[{offset, from}] = theirs;
+    if (peer_digests_.size() < kKeptDigests) {
+      peer_digests_[{offset, from}] = theirs;
     }
     return;
   }
@@ -75,9 +75,9 @@
     return;
   }
   if (divergent_peers_.insert(from).second) {
-    out.Note(note_level::kError,
-             "another entry has folded the log to another state",
-             {{"offset", std::to_string(offset)}, {"peer", ToHex(from)}});
+    out.Log(log_severity::kError,
+            "another entry has folded the log to another state",
+            {{"offset", std::to_string(offset)}, {"peer", ToHex(from)}});
   }
 }
 
--- a/src/core/log/control_log_snapshots.cc
+++ b/src/core/log/control_log_snapshots.cc
@@ -15,15 +15,15 @@
 // bad, four times as many. A snapshot takes up to 2 MB as text and several
 // times that while it is decoded; a day of them wouldn't fit into an entry's
 // memory.
-constexpr log_offset kSnapshotsTried = 1;
-constexpr log_offset kTriedFactor = 4;
+constexpr log_offset kInitialSnapshotCount = 1;
+constexpr log_offset kSnapshotCountFactor = 4;
 
 // Beyond the end of any stream. A read after it brings no records, only where
 // the stream begins and ends.
 constexpr log_offset kBeyondEnd = log_offset{1} << 62;
 
 // A snapshot is due while half of what the log keeps is left for its append.
-constexpr log_offset kRetentionPart = 2;
+constexpr log_offset kRetentionDivisor = 2;
 
 incarnation WriterOf(const record_id& id) {
   const std::optional<record_number> number = ParseRecordId(id);
@@ -40,7 +40,7 @@
 
 void control_log::ReadSnapshots(log_offset count, effects& out) {
   phase_ = phase::kReadingSnapshots;
-  snapshots_tried_ = count;
+  snapshots_requested_ = count;
   const log_offset before_begin =
       snapshots_begin_ - std::min<log_offset>(snapshots_begin_, 1);
   const log_offset before_newest =
@@ -53,7 +53,7 @@
   snapshots_begin_ = event.begin;
   if (phase_ == phase::kFindingSnapshots) {
     snapshots_end_ = event.end;
-    ReadSnapshots(kSnapshotsTried, out);
+    ReadSnapshots(kInitialSnapshotCount, out);
     return;
   }
   for (const log_entry& entry : event.entries) {
@@ -79,9 +79,9 @@
   // A damaged snapshot, or one that another version wrote with fields that this
   // one can't read, would start this entry from a state that nobody has.
   if (taken->state == nullptr || Digest(*taken->state) != taken->digest) {
-    out.Note(note_level::kError, "ignored a snapshot with a wrong digest",
-             {{"snapshot", std::to_string(entry.offset)},
-              {"author", entry.content.author}});
+    out.Log(log_severity::kError, "ignored a snapshot with a wrong digest",
+            {{"snapshot", std::to_string(entry.offset)},
+             {"author", entry.content.author}});
     return;
   }
   const log_offset offset = taken->state->offset;
@@ -89,7 +89,7 @@
     newest_snapshot_ = offset;
     newest_snapshot_at_ = entry.offset;
   }
-  greatest_known_ = std::max(greatest_known_, offset);
+  max_known_offset_ = std::max(max_known_offset_, offset);
   if (phase_ != phase::kReadingSnapshots) {
     CompareDigests(offset, taken->digest, WriterOf(entry.content.id), out);
     return;
@@ -100,44 +100,45 @@
 }
 
 void control_log::FinishSnapshots(effects& out) {
-  const bool has_older = snapshots_tried_ < snapshots_end_ &&
-                         snapshots_end_ - snapshots_tried_ >= snapshots_begin_;
+  const bool has_older =
+      snapshots_requested_ < snapshots_end_ &&
+      snapshots_end_ - snapshots_requested_ >= snapshots_begin_;
   if (candidate_ == nullptr && has_older) {
-    ReadSnapshots(snapshots_tried_ * kTriedFactor, out);
+    ReadSnapshots(snapshots_requested_ * kSnapshotCountFactor, out);
     return;
   }
   if (candidate_ != nullptr && candidate_->offset > state_.offset) {
     state_ = *candidate_;
     newest_record_.reset();
-    out.Note(note_level::kInfo, "starts from a snapshot",
-             {{"offset", std::to_string(state_.offset)}});
+    out.Log(log_severity::kInfo, "starts from a snapshot",
+            {{"offset", std::to_string(state_.offset)}});
   }
   candidate_.reset();
-  snapshots_tried_ = snapshots_end_;
+  snapshots_requested_ = snapshots_end_;
   // Nothing reaches beyond the cut yet; the next snapshot that is read may.
-  if (fault_ == log_fault::kCut && state_.offset + 1 < begin_) {
+  if (fault_ == log_fault::kRetentionGap && state_.offset + 1 < begin_) {
     return;
   }
   FollowControl(state_.offset, out);
 }
 
-// Of the records that the log keeps, the newest 1/`part` must not lie wholly
+// Of the records that the log keeps, the newest 1/`divisor` must not lie wholly
 // before a snapshot.
-bool control_log::IsSnapshotDue(log_offset records, log_offset part) const {
+bool control_log::IsSnapshotDue(log_offset records, log_offset divisor) const {
   const bool is_dropped =
       newest_snapshot_ != 0 && newest_snapshot_at_ < snapshots_begin_;
   if (newest_snapshot_ >= state_.offset) {
     return is_dropped;
   }
   const log_offset kept = end_ - std::min(begin_, end_);
-  const bool is_old = begin_ > 1 && newest_snapshot_ < begin_ + kept / part;
+  const bool is_old = begin_ > 1 && newest_snapshot_ < begin_ + kept / divisor;
   const log_offset growth = state_.offset - newest_snapshot_;
   return growth >= records || is_old || is_dropped;
 }
 
 // One entry takes snapshots: the planner, else the member with the least
 // incarnation.
-bool control_log::IsSnapshotTaker() const {
+bool control_log::IsSnapshotWriter() const {
   if (state_.members.contains(state_.lease.holder)) {
     return state_.lease.holder == settings_.queue.self;
   }
@@ -149,18 +150,18 @@
 // pass the newest snapshot by and nobody could join any more. So any member
 // takes one that is overdue, after a time of its own, in which another's may
 // arrive.
-bool control_log::IsStandIn(time_point now) {
+bool control_log::IsBackupSnapshotDue(time_point now) {
   const bool is_overdue =
       state_.members.contains(settings_.queue.self) &&
-      IsSnapshotDue(2 * settings_.snapshot_records, 2 * kRetentionPart);
+      IsSnapshotDue(2 * settings_.snapshot_records, 2 * kRetentionDivisor);
   if (!is_overdue) {
-    stand_in_at_.reset();
+    backup_snapshot_at_.reset();
     return false;
   }
-  if (!stand_in_at_) {
-    stand_in_at_ = now + Jitter(*random_, settings_.snapshot_retry);
+  if (!backup_snapshot_at_) {
+    backup_snapshot_at_ = now + Jitter(*random_, settings_.snapshot_retry);
   }
-  return now >= *stand_in_at_;
+  return now >= *backup_snapshot_at_;
 }
 
 void control_log::TakeSnapshot(time_point now, effects& out) {
@@ -169,9 +170,9 @@
     return;
   }
   const bool is_mine =
-      IsSnapshotTaker() &&
-      IsSnapshotDue(settings_.snapshot_records, kRetentionPart);
-  if (!is_mine && !IsStandIn(now)) {
+      IsSnapshotWriter() &&
+      IsSnapshotDue(settings_.snapshot_records, kRetentionDivisor);
+  if (!is_mine && !IsBackupSnapshotDue(now)) {
     return;
   }
   record taken;
--- a/src/core/log/digest.cc
+++ b/src/core/log/digest.cc
@@ -66,7 +66,7 @@
   void Put(const pool_spec& spec) {
     Put(spec.name);
     Put(spec.team);
-    Put(spec.least_vms);
+    Put(spec.min_vms);
   }
   void Put(const team_spec& spec) {
     Put(spec.name);
@@ -91,9 +91,9 @@
     Put(std::uint32_t{member.http_port});
     PutAll(member.accusers);
   }
-  void Put(const writer_mark& mark) {
-    Put(mark.number);
-    Put(mark.offset);
+  void Put(const writer_position& position) {
+    Put(position.number);
+    Put(position.offset);
   }
   void Put(const request_counts& counts) { PutAll(counts.by_fate); }
   void Put(const class_ledger& ledger) {
@@ -106,7 +106,7 @@
     Put(lease.epoch);
     Put(lease.renewed_at);
   }
-  void Put(const vm_state& vm) {
+  void Put(const fleet_vm& vm) {
     Put(vm.pool);
     Put(vm.phase);
     Put(vm.version);
@@ -116,7 +116,7 @@
     Put(vm.reason);
     Put(vm.author);
   }
-  void Put(const wave_progress& wave) {
+  void Put(const fleet_wave& wave) {
     PutAll(wave.pools);
     Put(wave.finish_by);
     Put(wave.state);
@@ -125,7 +125,7 @@
     Put(wave.author);
     Put(wave.reason);
   }
-  void Put(const job_spec& spec) {
+  void Put(const job_requirements& spec) {
     Put(spec.name);
     Put(spec.team);
     Put(spec.pool);
@@ -136,7 +136,7 @@
     Put(spec.finish_by);
     Put(spec.urgent);
   }
-  void Put(const job_progress& job) {
+  void Put(const fleet_job& job) {
     Put(job.spec);
     Put(job.state);
     Put(job.version);
@@ -168,7 +168,7 @@
 };
 
 // A guess that saves most growing of the buffer.
-std::size_t GuessBytes(const fleet_state& state) {
+std::size_t EstimateBytes(const fleet_state& state) {
   constexpr std::size_t kBytesPerObject = 160;
   constexpr std::size_t kBytesPerRecord = 48;
   const std::size_t objects = state.vms.size() + state.jobs.size() +
@@ -182,7 +182,7 @@
 }  // namespace
 
 std::uint64_t Digest(const fleet_state& state) {
-  canonical_writer writer(GuessBytes(state));
+  canonical_writer writer(EstimateBytes(state));
   writer.Put(state.offset);
   writer.Put(state.targets);
   writer.Put(state.targets_version);
--- a/src/core/log/fleet_view.cc
+++ b/src/core/log/fleet_view.cc
@@ -8,7 +8,7 @@
                        time_point now) {
   JoinVms(inputs);
   JoinReports(inputs);
-  JoinMemory(watch, gate, now);
+  JoinObservations(watch, gate, now);
   FillPools(inputs);
 }
 
@@ -42,16 +42,16 @@
     if (vm_view* vm = HoldsTask(job) ? FindMutable(job.vm) : nullptr) {
       ++vm->jobs;
     }
-    if (job.state == job_state::kWaiting) {
+    if (job.state == job_status::kWaiting) {
       waiting_.push_back(&job);
     }
     work_version_ += job.version;
   }
 }
 
-void fleet_view::JoinMemory(const phase_watch& watch,
-                            const record_gate& gate,
-                            time_point now) {
+void fleet_view::JoinObservations(const phase_watch& watch,
+                                  const record_gate& gate,
+                                  time_point now) {
   for (auto& [id, vm] : vms_) {
     vm.seen = watch.Find(id);
     if (vm.seen != nullptr && vm.listing == nullptr) {
@@ -83,7 +83,7 @@
     found->second.available += vm.available() ? 1 : 0;
     found->second.with_jobs += vm.jobs > 0 ? 1 : 0;
   }
-  for (const job_progress* job : waiting_) {
+  for (const fleet_job* job : waiting_) {
     const auto found = pools_.find(job->spec.pool);
     if (found != pools_.end()) {
       ++found->second.waiting_jobs;
--- a/src/core/log/fold.cc
+++ b/src/core/log/fold.cc
@@ -29,12 +29,12 @@
 
 // Returns false if the record was seen before.
 bool RememberNumbered(fleet_state& state, const record_number& id) {
-  const auto [mark, is_new] = state.writers.try_emplace(id.writer);
-  if (!is_new && id.number <= mark->second.number) {
+  const auto [position, is_new] = state.writers.try_emplace(id.writer);
+  if (!is_new && id.number <= position->second.number) {
     return false;
   }
-  mark->second = {id.number, state.offset};
-  if (state.writers.size() > kRememberedLives) {
+  position->second = {id.number, state.offset};
+  if (state.writers.size() > kRetainedIncarnations) {
     ForgetOldestWriter(state);
   }
   return true;
@@ -45,7 +45,7 @@
     return false;
   }
   state.recent_records.emplace(state.offset, id);
-  if (state.recent_records.size() > kRememberedRecords) {
+  if (state.recent_records.size() > kRetainedRecordIds) {
     const auto oldest = state.recent_records.begin();
     state.recent_ids.erase(oldest->second);
     state.recent_records.erase(oldest);
@@ -64,24 +64,26 @@
   };
   return std::visit(
       overloaded{
-          [&](const join_entry& body) { return fold_rules::Rule(state, body); },
+          [&](const join_entry& body) {
+            return fold_rules::ApplyRecord(state, body);
+          },
           [&](const leave_entry& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const accuse_entry& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const withdraw_accusation& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const take_planner_lease& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const renew_planner_lease& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const count_requests& body) {
-            return fold_rules::Rule(state, body);
+            return fold_rules::ApplyRecord(state, body);
           },
           [&](const unknown_record& body) {
             return fold_rules::Ignored("unknown type '" + body.type + "'");
@@ -90,7 +92,7 @@
           [&](const release_claim& body) { return misplaced(body); },
           [&](const snapshot_taken& body) { return misplaced(body); },
           [&](const auto& body) {
-            return fold_rules::Rule(state, body, content.author);
+            return fold_rules::ApplyRecord(state, body, content.author);
           },
       },
       content.body);
--- a/src/core/log/fold_budget.cc
+++ b/src/core/log/fold_budget.cc
@@ -2,7 +2,7 @@
 
 namespace plantainhead::core::fold_rules {
 
-fold_result Rule(fleet_state& state, const count_requests& body) {
+fold_result ApplyRecord(fleet_state& state, const count_requests& body) {
   // An entry that was expelled while frozen may count what its new life counts
   // again.
   if (!state.members.contains(body.who)) {
--- a/src/core/log/fold_members.cc
+++ b/src/core/log/fold_members.cc
@@ -11,7 +11,7 @@
   return state.members.contains(who);
 }
 
-void ForgetOldestLife(fleet_state& state) {
+void ForgetOldestDeparted(fleet_state& state) {
   auto oldest = state.departed.begin();
   for (auto it = state.departed.begin(); it != state.departed.end(); ++it) {
     if (it->second < oldest->second) {
@@ -28,8 +28,8 @@
     member.accusers.erase(who);
   }
   state.departed.emplace(who, state.offset);
-  if (state.departed.size() > kRememberedLives) {
-    ForgetOldestLife(state);
+  if (state.departed.size() > kRetainedIncarnations) {
+    ForgetOldestDeparted(state);
   }
   state.view = state.offset;
 }
@@ -57,7 +57,7 @@
   }
 }
 
-std::string ShowLease(const fleet_state& state) {
+std::string DescribeLease(const fleet_state& state) {
   const planner_lease& lease = state.lease;
   if (lease.holder == incarnation::kNone) {
     return "epoch " + std::to_string(lease.epoch) + " has no holder";
@@ -79,10 +79,10 @@
 
 fold_result StalePlanner(const fleet_state& state, lease_epoch epoch) {
   return Conflict("planner epoch " + std::to_string(epoch) +
-                  " isn't in force: " + ShowLease(state));
+                  " isn't in force: " + DescribeLease(state));
 }
 
-fold_result Rule(fleet_state& state, const join_entry& body) {
+fold_result ApplyRecord(fleet_state& state, const join_entry& body) {
   if (body.who == incarnation::kNone || body.name.empty()) {
     return Ignored("joins without an incarnation or a name");
   }
@@ -113,7 +113,7 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state, const leave_entry& body) {
+fold_result ApplyRecord(fleet_state& state, const leave_entry& body) {
   if (!IsMember(state, body.who)) {
     return Ignored("leaves without being a member");
   }
@@ -127,7 +127,7 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state, const accuse_entry& body) {
+fold_result ApplyRecord(fleet_state& state, const accuse_entry& body) {
   const auto accused = state.members.find(body.accused);
   if (body.accuser == body.accused || !IsMember(state, body.accuser) ||
       accused == state.members.end()) {
@@ -140,7 +140,7 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state, const withdraw_accusation& body) {
+fold_result ApplyRecord(fleet_state& state, const withdraw_accusation& body) {
   const auto accused = state.members.find(body.accused);
   if (accused == state.members.end() ||
       accused->second.accusers.erase(body.accuser) == 0) {
@@ -149,18 +149,18 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state, const take_planner_lease& body) {
+fold_result ApplyRecord(fleet_state& state, const take_planner_lease& body) {
   planner_lease& lease = state.lease;
   if (!IsMember(state, body.holder)) {
     return Ignored("takes the planner lease without being a member");
   }
   if (body.expected != lease.epoch) {
-    return Conflict(ShowLease(state));
+    return Conflict(DescribeLease(state));
   }
   // Without this check a taker that reads the log late would take a lease that
   // its holder has just renewed, and both would act for a while.
   if (body.renewed_at != 0 && body.renewed_at != lease.renewed_at) {
-    return Conflict(ShowLease(state));
+    return Conflict(DescribeLease(state));
   }
   lease.holder = body.holder;
   ++lease.epoch;
@@ -168,7 +168,7 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state, const renew_planner_lease& body) {
+fold_result ApplyRecord(fleet_state& state, const renew_planner_lease& body) {
   if (body.holder != state.lease.holder || !IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
--- a/src/core/log/fold_rules.h
+++ b/src/core/log/fold_rules.h
@@ -31,50 +31,50 @@
 fold_result WrongGeneration(const std::string& what,
                             generation in_force,
                             generation expected,
-                            const std::string& shown,
+                            const std::string& description,
                             const std::string& author);
 
 // fold_members.cc
-fold_result Rule(fleet_state& state, const join_entry& body);
-fold_result Rule(fleet_state& state, const leave_entry& body);
-fold_result Rule(fleet_state& state, const accuse_entry& body);
-fold_result Rule(fleet_state& state, const withdraw_accusation& body);
-fold_result Rule(fleet_state& state, const take_planner_lease& body);
-fold_result Rule(fleet_state& state, const renew_planner_lease& body);
+fold_result ApplyRecord(fleet_state& state, const join_entry& body);
+fold_result ApplyRecord(fleet_state& state, const leave_entry& body);
+fold_result ApplyRecord(fleet_state& state, const accuse_entry& body);
+fold_result ApplyRecord(fleet_state& state, const withdraw_accusation& body);
+fold_result ApplyRecord(fleet_state& state, const take_planner_lease& body);
+fold_result ApplyRecord(fleet_state& state, const renew_planner_lease& body);
 
 // fold_budget.cc
-fold_result Rule(fleet_state& state, const count_requests& body);
+fold_result ApplyRecord(fleet_state& state, const count_requests& body);
 
 // fold_vms.cc
-fold_result Rule(fleet_state& state,
-                 const assign_vm& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const set_vm_phase& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const forget_vm& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const set_quarantine& body,
-                 const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const assign_vm& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const set_vm_phase& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const forget_vm& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const set_quarantine& body,
+                        const std::string& author);
 
 // fold_work.cc
-fold_result Rule(fleet_state& state,
-                 const publish_configuration& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const start_wave& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const set_wave_state& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const submit_job& body,
-                 const std::string& author);
-fold_result Rule(fleet_state& state,
-                 const set_job_state& body,
-                 const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const publish_configuration& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const start_wave& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const set_wave_state& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const submit_job& body,
+                        const std::string& author);
+fold_result ApplyRecord(fleet_state& state,
+                        const set_job_state& body,
+                        const std::string& author);
 
 }  // namespace plantainhead::core::fold_rules
 
--- a/src/core/log/fold_vms.cc
+++ b/src/core/log/fold_vms.cc
@@ -24,7 +24,7 @@
 namespace fold_rules {
 namespace {
 
-std::string Show(const vm_id& vm, const vm_state& state) {
+std::string Describe(const vm_id& vm, const fleet_vm& state) {
   std::string text = "VM '" + vm.value() + "' is in pool '" +
                      state.pool.value() + "', " +
                      std::string(NameOf(state.phase));
@@ -39,10 +39,10 @@
 }
 
 fold_result WrongVersion(const vm_id& vm,
-                         const vm_state& state,
+                         const fleet_vm& state,
                          generation expected) {
   return WrongGeneration("VM '" + vm.value() + "'", state.version, expected,
-                         Show(vm, state), state.author);
+                         Describe(vm, state), state.author);
 }
 
 bool HasPool(const fleet_state& state, const pool_id& pool) {
@@ -57,7 +57,7 @@
   if (body.expected != 0) {
     return UnknownVm(body.vm);
   }
-  vm_state added;
+  fleet_vm added;
   added.pool = body.pool;
   added.version = state.offset;
   added.reason = body.reason;
@@ -79,7 +79,7 @@
 }
 
 void ChangePhase(fleet_state& state,
-                 vm_state& vm,
+                 fleet_vm& vm,
                  const set_vm_phase& body,
                  const std::string& author) {
   const wave_id wave = body.wave.empty() ? vm.wave : body.wave;
@@ -98,9 +98,9 @@
 
 }  // namespace
 
-fold_result Rule(fleet_state& state,
-                 const assign_vm& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const assign_vm& body,
+                        const std::string& author) {
   if (body.vm.empty()) {
     return Ignored("names no VM");
   }
@@ -115,15 +115,15 @@
   if (it == state.vms.end()) {
     return AddVm(state, body, author);
   }
-  vm_state& vm = it->second;
+  fleet_vm& vm = it->second;
   if (body.expected != vm.version) {
     return WrongVersion(body.vm, vm, body.expected);
   }
   if (vm.phase != vm_phase::kServing) {
-    return Conflict(Show(body.vm, vm) + " and can't be moved");
+    return Conflict(Describe(body.vm, vm) + " and can't be moved");
   }
   if (vm.pool == body.pool) {
-    return Ignored(Show(body.vm, vm) + " already");
+    return Ignored(Describe(body.vm, vm) + " already");
   }
   vm.pool = body.pool;
   vm.reason = body.reason;
@@ -132,9 +132,9 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const set_vm_phase& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const set_vm_phase& body,
+                        const std::string& author) {
   if (!IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
@@ -142,12 +142,12 @@
   if (it == state.vms.end()) {
     return UnknownVm(body.vm);
   }
-  vm_state& vm = it->second;
+  fleet_vm& vm = it->second;
   if (body.expected != vm.version) {
     return WrongVersion(body.vm, vm, body.expected);
   }
   if (!IsAllowed(vm.phase, body.phase)) {
-    return Conflict(Show(body.vm, vm) + " and can't become " +
+    return Conflict(Describe(body.vm, vm) + " and can't become " +
                     std::string(NameOf(body.phase)));
   }
   // An operator may pause a wave while the planner's next drain is on its way
@@ -160,9 +160,9 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const forget_vm& body,
-                 const std::string& /*author*/) {
+fold_result ApplyRecord(fleet_state& state,
+                        const forget_vm& body,
+                        const std::string& /*author*/) {
   if (!IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
@@ -177,9 +177,9 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const set_quarantine& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const set_quarantine& body,
+                        const std::string& author) {
   if (body.epoch != 0 && !IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
@@ -187,7 +187,7 @@
   if (it == state.vms.end()) {
     return UnknownVm(body.vm);
   }
-  vm_state& vm = it->second;
+  fleet_vm& vm = it->second;
   if (body.expected != vm.version) {
     return WrongVersion(body.vm, vm, body.expected);
   }
--- a/src/core/log/fold_work.cc
+++ b/src/core/log/fold_work.cc
@@ -11,8 +11,8 @@
   return state == wave_state::kCancelled || state == wave_state::kFinished;
 }
 
-bool IsEnded(job_state state) {
-  return state == job_state::kCancelled || state == job_state::kFinished;
+bool IsEnded(job_status state) {
+  return state == job_status::kCancelled || state == job_status::kFinished;
 }
 
 }  // namespace
@@ -21,22 +21,22 @@
   return !IsEnded(from) && from != to;
 }
 
-bool IsAllowed(job_state from, job_state to) {
+bool IsAllowed(job_status from, job_status to) {
   if (IsEnded(from) || from == to) {
     return false;
   }
   switch (to) {
-    case job_state::kWaiting:
-    case job_state::kCancelled:
+    case job_status::kWaiting:
+    case job_status::kCancelled:
       return true;
-    case job_state::kPlaced:
-      return from == job_state::kWaiting || from == job_state::kCheckpointing;
-    case job_state::kCheckpointing:
-      return from == job_state::kPlaced;
+    case job_status::kPlaced:
+      return from == job_status::kWaiting || from == job_status::kCheckpointing;
+    case job_status::kCheckpointing:
+      return from == job_status::kPlaced;
     // A task that was given up for lost may report its end later.
-    case job_state::kFinished:
-    case job_state::kParked:
-      return from != job_state::kParked;
+    case job_status::kFinished:
+    case job_status::kParked:
+      return from != job_status::kParked;
   }
   return false;
 }
@@ -60,12 +60,12 @@
                   state.targets_author);
 }
 
-std::string Show(const wave_id& wave, const wave_progress& progress) {
+std::string Describe(const wave_id& wave, const fleet_wave& progress) {
   return "wave '" + wave.value() + "' is " +
          std::string(NameOf(progress.state));
 }
 
-std::string Show(const job_id& job, const job_progress& progress) {
+std::string Describe(const job_id& job, const fleet_job& progress) {
   std::string text =
       "job '" + job.value() + "' is " + std::string(NameOf(progress.state));
   if (!progress.vm.empty()) {
@@ -79,13 +79,13 @@
 }
 
 // What an operator may ask of a job: to cancel it, or to free a parked one.
-bool IsForOperators(job_state from, job_state to) {
-  return to == job_state::kCancelled ||
-         (from == job_state::kParked && to == job_state::kWaiting);
+bool IsForOperators(job_status from, job_status to) {
+  return to == job_status::kCancelled ||
+         (from == job_status::kParked && to == job_status::kWaiting);
 }
 
 // Tells why a job can't be placed there, or nothing if it can.
-std::string FindObstacle(const fleet_state& state, const vm_id& vm) {
+std::string FindPlacementConflict(const fleet_state& state, const vm_id& vm) {
   const auto it = state.vms.find(vm);
   if (it == state.vms.end()) {
     return "VM '" + vm.value() + "' isn't known";
@@ -101,17 +101,17 @@
   return {};
 }
 
-void CountFailures(job_progress& job, job_state next) {
-  if (job.state == job_state::kPlaced && next == job_state::kWaiting) {
+void CountFailures(fleet_job& job, job_status next) {
+  if (job.state == job_status::kPlaced && next == job_status::kWaiting) {
     ++job.failures;
   }
-  if (job.state == job_state::kParked) {
+  if (job.state == job_status::kParked) {
     job.failures = 0;
   }
 }
 
 void ChangeState(fleet_state& state,
-                 job_progress& job,
+                 fleet_job& job,
                  const set_job_state& body,
                  const std::string& author) {
   CountFailures(job, body.state);
@@ -124,7 +124,7 @@
   if (IsEnded(job.state)) {
     state.ended_jobs.emplace(state.offset, body.job);
   }
-  if (state.ended_jobs.size() > kRememberedJobs) {
+  if (state.ended_jobs.size() > kRetainedEndedJobs) {
     state.jobs.erase(state.ended_jobs.begin()->second);
     state.ended_jobs.erase(state.ended_jobs.begin());
   }
@@ -135,16 +135,16 @@
 fold_result WrongGeneration(const std::string& what,
                             generation in_force,
                             generation expected,
-                            const std::string& shown,
+                            const std::string& description,
                             const std::string& author) {
   return Conflict(what + " has generation " + std::to_string(in_force) +
-                  ", not " + std::to_string(expected) + ": " + shown +
+                  ", not " + std::to_string(expected) + ": " + description +
                   WrittenBy(author));
 }
 
-fold_result Rule(fleet_state& state,
-                 const publish_configuration& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const publish_configuration& body,
+                        const std::string& author) {
   if (body.expected != state.targets_version) {
     return WrongGeneration(
         "the configuration", state.targets_version, body.expected,
@@ -158,17 +158,18 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const start_wave& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const start_wave& body,
+                        const std::string& author) {
   if (body.wave.empty() || body.pools.empty()) {
     return Ignored("names no wave or no pool");
   }
   if (const auto it = state.waves.find(body.wave); it != state.waves.end()) {
-    return Conflict(Show(body.wave, it->second) + WrittenBy(it->second.author));
+    return Conflict(Describe(body.wave, it->second) +
+                    WrittenBy(it->second.author));
   }
-  if (state.waves.size() >= kMostWaves) {
-    return Conflict("there are " + std::to_string(kMostWaves) +
+  if (state.waves.size() >= kMaxWaves) {
+    return Conflict("there are " + std::to_string(kMaxWaves) +
                     " waves already");
   }
   for (const pool_id& pool : body.pools) {
@@ -176,7 +177,7 @@
       return UnknownPool(state, pool);
     }
   }
-  wave_progress& wave = state.waves[body.wave];
+  fleet_wave& wave = state.waves[body.wave];
   wave.pools = body.pools;
   wave.finish_by = body.finish_by;
   wave.version = state.offset;
@@ -184,9 +185,9 @@
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const set_wave_state& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const set_wave_state& body,
+                        const std::string& author) {
   if (body.epoch != 0 && !IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
@@ -194,13 +195,14 @@
   if (it == state.waves.end()) {
     return Conflict("wave '" + body.wave.value() + "' isn't known");
   }
-  wave_progress& wave = it->second;
+  fleet_wave& wave = it->second;
   if (body.expected != wave.version) {
     return WrongGeneration("wave '" + body.wave.value() + "'", wave.version,
-                           body.expected, Show(body.wave, wave), wave.author);
+                           body.expected, Describe(body.wave, wave),
+                           wave.author);
   }
   if (!IsAllowed(wave.state, body.state)) {
-    return Conflict(Show(body.wave, wave) + WrittenBy(wave.author));
+    return Conflict(Describe(body.wave, wave) + WrittenBy(wave.author));
   }
   if (body.epoch == 0 && body.state == wave_state::kFinished) {
     return Ignored("only the planner finishes a wave");
@@ -212,25 +214,26 @@
   if (IsEnded(wave.state)) {
     state.ended_waves.emplace(state.offset, body.wave);
   }
-  if (state.ended_waves.size() > kRememberedWaves) {
+  if (state.ended_waves.size() > kRetainedEndedWaves) {
     state.waves.erase(state.ended_waves.begin()->second);
     state.ended_waves.erase(state.ended_waves.begin());
   }
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const submit_job& body,
-                 const std::string& author) {
-  const job_spec& spec = body.spec;
+fold_result ApplyRecord(fleet_state& state,
+                        const submit_job& body,
+                        const std::string& author) {
+  const job_requirements& spec = body.spec;
   if (spec.name.empty() || spec.processors == 0) {
     return Ignored("a job needs a name and a processor");
   }
   if (const auto it = state.jobs.find(spec.name); it != state.jobs.end()) {
-    return Conflict(Show(spec.name, it->second) + WrittenBy(it->second.author));
+    return Conflict(Describe(spec.name, it->second) +
+                    WrittenBy(it->second.author));
   }
-  if (state.jobs.size() >= kMostJobs) {
-    return Conflict("there are " + std::to_string(kMostJobs) + " jobs already");
+  if (state.jobs.size() >= kMaxJobs) {
+    return Conflict("there are " + std::to_string(kMaxJobs) + " jobs already");
   }
   if (!HasPool(state.targets, spec.pool)) {
     return UnknownPool(state, spec.pool);
@@ -239,16 +242,16 @@
     return Conflict("team '" + spec.team.value() +
                     "' isn't in the configuration of " + state.targets_author);
   }
-  job_progress& job = state.jobs[spec.name];
+  fleet_job& job = state.jobs[spec.name];
   job.spec = spec;
   job.version = state.offset;
   job.author = author;
   return Applied();
 }
 
-fold_result Rule(fleet_state& state,
-                 const set_job_state& body,
-                 const std::string& author) {
+fold_result ApplyRecord(fleet_state& state,
+                        const set_job_state& body,
+                        const std::string& author) {
   if (body.epoch != 0 && !IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
@@ -256,21 +259,21 @@
   if (it == state.jobs.end()) {
     return Conflict("job '" + body.job.value() + "' isn't known");
   }
-  job_progress& job = it->second;
+  fleet_job& job = it->second;
   if (body.expected != job.version) {
     return WrongGeneration("job '" + body.job.value() + "'", job.version,
-                           body.expected, Show(body.job, job), job.author);
+                           body.expected, Describe(body.job, job), job.author);
   }
   if (!IsAllowed(job.state, body.state)) {
-    return Conflict(Show(body.job, job) + WrittenBy(job.author));
+    return Conflict(Describe(body.job, job) + WrittenBy(job.author));
   }
   if (body.epoch == 0 && !IsForOperators(job.state, body.state)) {
     return Ignored("operators only cancel jobs and free parked ones");
   }
-  if (body.state == job_state::kPlaced) {
-    if (std::string obstacle = FindObstacle(state, body.vm);
-        !obstacle.empty()) {
-      return Conflict(std::move(obstacle));
+  if (body.state == job_status::kPlaced) {
+    if (std::string conflict = FindPlacementConflict(state, body.vm);
+        !conflict.empty()) {
+      return Conflict(std::move(conflict));
     }
   }
   ChangeState(state, job, body, author);
--- a/src/core/log/lease.cc
+++ b/src/core/log/lease.cc
@@ -11,10 +11,10 @@
 void planner_lease_holder::Observe(time_point now, const fleet_state& state) {
   const bool is_member = state.members.contains(settings_.self);
   if (state.lease != seen_) {
-    ObserveOwn(state.lease);
+    ObserveOwnLease(state.lease);
     seen_ = state.lease;
-    quiet_since_ = now;
-    spread_ = Jitter(*random_, settings_.take_spread);
+    no_renewal_since_ = now;
+    take_jitter_ = Jitter(*random_, settings_.take_jitter);
     // A taking names the lease that it saw, so one that is still under way can
     // only be a conflict from here on.
     take_sent_.reset();
@@ -26,7 +26,7 @@
 
 // Called when the lease has changed. With one renewal under way at a time, a
 // newer `renewed_at` of the same epoch is that renewal.
-void planner_lease_holder::ObserveOwn(const planner_lease& changed) {
+void planner_lease_holder::ObserveOwnLease(const planner_lease& changed) {
   if (changed.holder != settings_.self) {
     renewal_sent_.reset();
     return;
@@ -34,7 +34,7 @@
   const bool is_taken = changed.epoch != seen_.epoch;
   const std::optional<time_point>& sent = is_taken ? take_sent_ : renewal_sent_;
   if (sent) {
-    confirmed_ = *sent;
+    confirmed_sent_at_ = *sent;
     next_renewal_ = *sent + settings_.lease / 3;
   }
   renewal_sent_.reset();
@@ -48,11 +48,11 @@
   // this entry hasn't read. If it counted that time it would take the lease of
   // a live holder after every outage.
   const bool was_paused =
-      !last_tick_ || now - *last_tick_ > settings_.pause || !readable;
+      !last_tick_ || now - *last_tick_ > settings_.pause_threshold || !readable;
   last_tick_ = now;
   Observe(now, state);
   if (was_paused) {
-    quiet_since_ = now;
+    no_renewal_since_ = now;
   }
   if (!readable || !state.members.contains(settings_.self)) {
     return;
@@ -79,7 +79,7 @@
                                    effects& out) {
   const bool is_free = state.lease.holder == incarnation::kNone;
   const duration wait = is_free ? duration::zero() : settings_.lease;
-  if (now < quiet_since_ + wait + spread_ || now < next_take_) {
+  if (now < no_renewal_since_ + wait + take_jitter_ || now < next_take_) {
     return;
   }
   if (!take_sent_) {
@@ -94,7 +94,8 @@
 // has lapsed, before it has read anything: the time counts from when its newest
 // confirmed record was sent, which is before anyone else could read it.
 bool planner_lease_holder::Holds(time_point now) const {
-  return epoch_ != 0 && now < confirmed_ + settings_.lease - settings_.margin;
+  return epoch_ != 0 &&
+         now < confirmed_sent_at_ + settings_.lease - settings_.margin;
 }
 
 }  // namespace plantainhead::core
--- a/src/core/log/record_queue.cc
+++ b/src/core/log/record_queue.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool IsVoid(const record_body& body, const fleet_state& state) {
+bool IsObsolete(const record_body& body, const fleet_state& state) {
   const auto is_member = [&](incarnation who) {
     return state.members.contains(who);
   };
@@ -50,7 +50,7 @@
     : settings_(settings),
       ids_(ids),
       random_(random),
-      batch_(settings.batch_records) {}
+      batch_(settings.max_batch_records) {}
 
 record_id record_queue::NextId() {
   return MakeRecordId({settings_.self, ++last_number_});
@@ -97,8 +97,8 @@
 // again under them.
 void record_queue::OnRecovered(time_point now) {
   backoff_ = duration::zero();
-  batch_ = settings_.batch_records;
-  next_append_ = now + Jitter(*random_, settings_.recovery_spread);
+  batch_ = settings_.max_batch_records;
+  next_append_ = now + Jitter(*random_, settings_.recovery_jitter);
 }
 
 bool record_queue::OnAppendFinished(time_point now,
@@ -116,7 +116,7 @@
       OnUnknown(now);
       break;
     case append_result::kRejected:
-      OnRefused(now, renamed);
+      OnRejected(now, renamed);
       break;
   }
   return true;
@@ -126,7 +126,7 @@
   std::erase_if(waiting_,
                 [](const waiting_record& item) { return item.in_flight; });
   backoff_ = duration::zero();
-  batch_ = std::min(batch_ * 2, settings_.batch_records);
+  batch_ = std::min(batch_ * 2, settings_.max_batch_records);
 }
 
 void record_queue::OnUnknown(time_point now) {
@@ -134,7 +134,7 @@
     item.maybe_written = item.maybe_written || item.in_flight;
     item.in_flight = false;
   }
-  BackOff(now, settings_.greatest_backoff);
+  BackOff(now, settings_.max_backoff);
 }
 
 // An append is refused as long as the log can't be connected to, or is asked
@@ -144,8 +144,8 @@
 // fold takes a writer's records in the order of their numbers, hence the new
 // id; it is safe because the old one surely isn't in the log. A record whose
 // earlier append ended unknown may be there: it keeps its id and its place.
-void record_queue::OnRefused(time_point now,
-                             std::vector<renamed_record>& renamed) {
+void record_queue::OnRejected(time_point now,
+                              std::vector<renamed_record>& renamed) {
   std::size_t sent = 0;
   std::deque<waiting_record> kept;
   std::deque<waiting_record> refused;
@@ -163,35 +163,35 @@
   }
   waiting_ = std::move(kept);
   batch_ = std::max<std::size_t>(1, std::min(sent, batch_) / 2);
-  BackOff(now, settings_.greatest_refused_backoff);
+  BackOff(now, settings_.max_rejected_backoff);
 }
 
 void record_queue::BackOff(time_point now, duration greatest) {
   const duration next =
-      backoff_ == duration::zero() ? settings_.first_backoff : backoff_ * 2;
+      backoff_ == duration::zero() ? settings_.initial_backoff : backoff_ * 2;
   backoff_ = std::min(next, greatest);
   const duration half = backoff_ / 2;
   next_append_ = now + half + Jitter(*random_, half);
 }
 
-void record_queue::DropVoid(const fleet_state& state, effects& out) {
+void record_queue::DropObsolete(const fleet_state& state, effects& out) {
   const std::size_t dropped =
       std::erase_if(waiting_, [&](const waiting_record& item) {
-        return IsVoid(item.content.body, state);
+        return IsObsolete(item.content.body, state);
       });
   if (dropped > 0) {
-    out.Note(note_level::kInfo, "dropped records that have become void",
-             {{"records", std::to_string(dropped)}});
+    out.Log(log_severity::kInfo, "dropped records that have become void",
+            {{"records", std::to_string(dropped)}});
   }
 }
 
-void record_queue::Pump(time_point now,
-                        const fleet_state& state,
-                        effects& out) {
+void record_queue::AppendPending(time_point now,
+                                 const fleet_state& state,
+                                 effects& out) {
   if (in_flight_ != append_id::kNone || now < next_append_) {
     return;
   }
-  DropVoid(state, out);
+  DropObsolete(state, out);
   if (waiting_.empty()) {
     return;
   }
--- a/src/core/requests/request_core.cc
+++ b/src/core/requests/request_core.cc
@@ -126,7 +126,7 @@
   Route(item, context, now, out);
 }
 
-void request_core::OnCallerGone(const caller_gone& event,
+void request_core::OnCallerGone(const caller_disconnected& event,
                                 const routing_context& context,
                                 time_point now,
                                 effects& out) {
--- a/src/jobs/event_log.cc
+++ b/src/jobs/event_log.cc
@@ -11,7 +11,7 @@
 
 std::uint64_t lines_written = 0;
 
-core::note_level LevelOf(job_event event) {
+core::log_severity LevelOf(job_event event) {
   switch (event) {
     case job_event::kStoreLost:
     case job_event::kConfigurationInvalid:
@@ -28,9 +28,9 @@
     case job_event::kTakeoverFailed:
     case job_event::kHostNotServiced:
     case job_event::kLinesLeftOut:
-      return core::note_level::kWarning;
+      return core::log_severity::kWarning;
     default:
-      return core::note_level::kInfo;
+      return core::log_severity::kInfo;
   }
 }
 
--- a/src/observe/log_line.cc
+++ b/src/observe/log_line.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 std::string MakeLogLine(std::chrono::system_clock::time_point time,
-                        core::note_level level,
+                        core::log_severity level,
                         std::string_view message,
                         const log_fields& fields) {
   json line = {{"time", ToUtc(time)},
--- a/src/observe/log_line.h
+++ b/src/observe/log_line.h
@@ -13,7 +13,7 @@
 /// replaced.
 /// Thread safety: safe from any thread.
 std::string MakeLogLine(std::chrono::system_clock::time_point time,
-                        core::note_level level,
+                        core::log_severity level,
                         std::string_view message,
                         const log_fields& fields);
 
--- a/src/observe/logging.cc
+++ b/src/observe/logging.cc
@@ -19,7 +19,7 @@
 constexpr char kLoggerName[] = "plantainhead";
 
 struct process_log {
-  core::note_level level;
+  core::log_severity level;
   std::unique_ptr<line_queue> queue;
 };
 
@@ -47,14 +47,14 @@
 
 std::string DescribeDropped(std::uint64_t dropped) {
   return MakeLogLine(std::chrono::system_clock::now(),
-                     core::note_level::kWarning,
+                     core::log_severity::kWarning,
                      "log lines were dropped: their reader is too slow",
                      {{"dropped", std::to_string(dropped)}});
 }
 
 }  // namespace
 
-void ConfigureLogging(core::note_level level, const std::string& file) {
+void ConfigureLogging(core::log_severity level, const std::string& file) {
   StopLogging();
   const log4cxx::AppenderPtr appender = MakeAppender(file);
   const log4cxx::LoggerPtr logger = log4cxx::Logger::getLogger(kLoggerName);
@@ -73,7 +73,7 @@
   Current() = std::move(log);
 }
 
-void WriteLog(core::note_level level,
+void WriteLog(core::log_severity level,
               std::string_view message,
               const log_fields& fields) {
   const std::unique_ptr<process_log>& log = Current();
@@ -84,7 +84,7 @@
       MakeLogLine(std::chrono::system_clock::now(), level, message, fields));
 }
 
-void WriteLog(const core::write_note& note) {
+void WriteLog(const core::write_log_message& note) {
   WriteLog(note.level, note.message, note.fields);
 }
 
--- a/src/operators/commands.cc
+++ b/src/operators/commands.cc
@@ -96,9 +96,9 @@
   return wave;
 }
 
-core::job_spec ReadJob(const caller::http_request& request) {
+core::job_requirements ReadJob(const caller::http_request& request) {
   json_reader reader(request.body);
-  core::job_spec spec;
+  core::job_requirements spec;
   spec.name = core::job_id(reader.Name("job"));
   spec.team = core::team_id(reader.Text("team"));
   spec.pool = core::pool_id(reader.Name("pool"));
@@ -214,7 +214,7 @@
 
 caller::http_answer command_handlers::SubmitJob(
     const caller::http_request& request) const {
-  const core::job_spec spec = ReadJob(request);
+  const core::job_requirements spec = ReadJob(request);
   return Finish(request, core::submit_job{spec}, kVersionIsOffset,
                 [name = spec.name](const core::fleet_state& state) {
                   return InList(JobsView(state), "job", name.value());
@@ -226,8 +226,8 @@
   core::set_job_state body;
   body.job = core::job_id(PathPart(request.path, kNamePart));
   body.state = PathPart(request.path, kVerbPart) == "cancel"
-                   ? core::job_state::kCancelled
-                   : core::job_state::kWaiting;
+                   ? core::job_status::kCancelled
+                   : core::job_status::kWaiting;
   body.reason = ReasonOf(request);
   const auto state = StateOf(view_());
   const auto job = state->jobs.find(body.job);
--- a/src/operators/target_diff.cc
+++ b/src/operators/target_diff.cc
@@ -35,7 +35,7 @@
 
 field_list FieldsOf(const core::pool_spec& spec) {
   return {{"team", spec.team.value()},
-          {"least-vms", std::to_string(spec.least_vms)}};
+          {"least-vms", std::to_string(spec.min_vms)}};
 }
 
 field_list FieldsOf(const core::team_spec& spec) {
@@ -43,7 +43,7 @@
           {"accelerators", std::to_string(spec.accelerators)}};
 }
 
-field_list FieldsOf(const core::measure_priorities& priorities) {
+field_list FieldsOf(const core::objective_priorities& priorities) {
   return {{"buffer-cost", settings::FormatNumber(priorities.buffer_cost)},
           {"roll-out-time", settings::FormatNumber(priorities.roll_out_time)},
           {"moves", settings::FormatNumber(priorities.moves)}};
--- a/src/operators/views.cc
+++ b/src/operators/views.cc
@@ -128,8 +128,8 @@
 
 json WavesView(const core::fleet_state& state) {
   std::map<core::pool_id, std::size_t> sizes;
-  for (const auto& [vm, vm_state] : state.vms) {
-    ++sizes[vm_state.pool];
+  for (const auto& [vm, fleet_vm] : state.vms) {
+    ++sizes[fleet_vm.pool];
   }
   json waves = json::array();
   for (const auto& [id, wave] : state.waves) {
@@ -182,7 +182,7 @@
     }
     pools.push_back({{"pool", spec.name.value()},
                      {"team", spec.team.value()},
-                     {"least_vms", spec.least_vms},
+                     {"least_vms", spec.min_vms},
                      {"vms", vms},
                      {"serving", serving},
                      {"quarantined", quarantined}});
--- a/src/platform/record_fields.h
+++ b/src/platform/record_fields.h
@@ -38,7 +38,7 @@
 void Fields(Archive& a, typename Archive::template ref<core::pool_spec> x) {
   a("name", x.name);
   a("team", x.team);
-  a("least_vms", x.least_vms);
+  a("least_vms", x.min_vms);
 }
 
 template <typename Archive>
@@ -50,7 +50,7 @@
 
 template <typename Archive>
 void Fields(Archive& a,
-            typename Archive::template ref<core::measure_priorities> x) {
+            typename Archive::template ref<core::objective_priorities> x) {
   a("buffer_cost", x.buffer_cost);
   a("roll_out_time", x.roll_out_time);
   a("moves", x.moves);
@@ -164,7 +164,8 @@
 }
 
 template <typename Archive>
-void Fields(Archive& a, typename Archive::template ref<core::job_spec> x) {
+void Fields(Archive& a,
+            typename Archive::template ref<core::job_requirements> x) {
   a("name", x.name);
   a("team", x.team);
   a("pool", x.pool);
@@ -273,7 +274,7 @@
 }
 
 template <typename Archive>
-void Fields(Archive& a, typename Archive::template ref<core::vm_state> x) {
+void Fields(Archive& a, typename Archive::template ref<core::fleet_vm> x) {
   a("pool", x.pool);
   a("phase", x.phase);
   a("version", x.version);
@@ -285,7 +286,7 @@
 }
 
 template <typename Archive>
-void Fields(Archive& a, typename Archive::template ref<core::wave_progress> x) {
+void Fields(Archive& a, typename Archive::template ref<core::fleet_wave> x) {
   a("pools", x.pools);
   a("finish_by_us", x.finish_by);
   a("state", x.state);
@@ -296,7 +297,7 @@
 }
 
 template <typename Archive>
-void Fields(Archive& a, typename Archive::template ref<core::job_progress> x) {
+void Fields(Archive& a, typename Archive::template ref<core::fleet_job> x) {
   a("spec", x.spec);
   a("state", x.state);
   a("version", x.version);
@@ -308,7 +309,8 @@
 }
 
 template <typename Archive>
-void Fields(Archive& a, typename Archive::template ref<core::writer_mark> x) {
+void Fields(Archive& a,
+            typename Archive::template ref<core::writer_position> x) {
   a("number", x.number);
   a("offset", x.offset);
 }
--- a/src/runtime/core_loop.cc
+++ b/src/runtime/core_loop.cc
@@ -72,7 +72,7 @@
       [&](core::unfollow_stream& item) { to.unfollow(std::move(item)); },
       [&](core::run_operation& item) { to.run(std::move(item)); },
       [&](core::set_ready& item) { to.set_ready(item.ready, item.reason); },
-      [&](core::write_note& item) { to.note(item); },
+      [&](core::write_log_message& item) { to.note(item); },
       [&](core::exit_process& item) { to.exited(item.restart); },
   };
   for (core::action& item : actions) {
--- a/src/runtime/core_loop.h
+++ b/src/runtime/core_loop.h
@@ -58,7 +58,7 @@
   std::function<void(core::unfollow_stream)> unfollow;
   std::function<void(core::run_operation)> run;
   std::function<void(bool ready, const std::string& reason)> set_ready;
-  std::function<void(const core::write_note&)> note;
+  std::function<void(const core::write_log_message&)> note;
   /// Told of each answer, for metrics and the burn report.
   std::function<void(const core::request_envelope&,
                      const core::response&,
--- a/src/runtime/daemon_options.cc
+++ b/src/runtime/daemon_options.cc
@@ -82,7 +82,7 @@
   options.membership.suspicion_timeout = settings.suspicion_timeout;
   options.lease.lease = settings.planner_lease;
   options.lease.margin = settings.planner_lease / kLeaseMarginParts;
-  options.lease.take_spread = settings.planner_lease / kLeaseSpreadParts;
+  options.lease.take_jitter = settings.planner_lease / kLeaseSpreadParts;
   options.planner.greatest_deadline = settings.patience;
   options.planner.pause_burn_rate = kPauseBurnRate;
   options.planner.resume_burn_rate = kResumeBurnRate;
--- a/src/runtime/entry_daemon.cc
+++ b/src/runtime/entry_daemon.cc
@@ -169,10 +169,12 @@
   };
   to.set_ready = [this](bool ready, const std::string& reason) {
     ready_ = ready;
-    observe::WriteLog(core::note_level::kInfo, ready ? "ready" : "not ready",
+    observe::WriteLog(core::log_severity::kInfo, ready ? "ready" : "not ready",
                       {{"reason", reason}});
   };
-  to.note = [](const core::write_note& item) { observe::WriteLog(item); };
+  to.note = [](const core::write_log_message& item) {
+    observe::WriteLog(item);
+  };
   to.answered = [this](const core::request_envelope& request,
                        const core::response& answer, core::time_point arrived,
                        core::time_point now) {
@@ -255,7 +257,7 @@
     view.reason = core.not_ready_reason();
     view.stopping = core.stopping();
     view.log_available = core.control().log_readable();
-    view.log_end = core.control().greatest_known();
+    view.log_end = core.control().max_known_offset();
     view.load = core.Load(view.now);
   });
   return view;
--- a/src/runtime/entry_observer.cc
+++ b/src/runtime/entry_observer.cc
@@ -23,7 +23,7 @@
   set("plantainhead_log_offset", "Offset of the control stream applied",
       static_cast<double>(fleet.offset));
   set("plantainhead_log_end", "Greatest offset heard of",
-      static_cast<double>(core.control().greatest_known()));
+      static_cast<double>(core.control().max_known_offset()));
   set("plantainhead_log_readable", "1 while the log can be read",
       core.control().log_readable() ? 1 : 0);
   set("plantainhead_ready", "1 while callers may be sent here",
--- a/src/settings/entry_settings.cc
+++ b/src/settings/entry_settings.cc
@@ -129,7 +129,7 @@
   }
   std::string level(core::NameOf(settings->log_level));
   log->ReadText("level", &level);
-  const auto known = core::FromName<core::note_level>(level);
+  const auto known = core::FromName<core::log_severity>(level);
   if (known) {
     settings->log_level = *known;
   } else {
--- a/src/settings/targets.cc
+++ b/src/settings/targets.cc
@@ -72,7 +72,7 @@
     core::pool_spec spec;
     ReadName(&item, "name", &spec.name);
     ReadName(&item, "team", &spec.team, presence::kOptional);
-    spec.least_vms = ReadCount(&item, "least-vms");
+    spec.min_vms = ReadCount(&item, "least-vms");
     item.CheckKeys();
     builder->AddPool(std::move(spec), item.place());
   }
@@ -94,7 +94,7 @@
   if (!section) {
     return;
   }
-  core::measure_priorities priorities;
+  core::objective_priorities priorities;
   const value_range<double> range{0, kMostPriority};
   section->ReadNumber("buffer-cost", &priorities.buffer_cost, range);
   section->ReadNumber("roll-out-time", &priorities.roll_out_time, range);
@@ -140,7 +140,7 @@
   if (!spec.team.empty()) {
     node["team"] = spec.team.value();
   }
-  node["least-vms"] = spec.least_vms;
+  node["least-vms"] = spec.min_vms;
   return node;
 }
 
--- a/src/settings/yaml_mapping.cc
+++ b/src/settings/yaml_mapping.cc
@@ -11,7 +11,7 @@
 namespace plantainhead::settings {
 namespace {
 
-core::source_place PlaceOf(const YAML::Mark& mark, const std::string& file) {
+core::source_location PlaceOf(const YAML::Mark& mark, const std::string& file) {
   if (mark.is_null()) {
     return {file, 0, 0};
   }
@@ -101,7 +101,7 @@
   return node_;
 }
 
-core::source_place yaml_mapping::place() const {
+core::source_location yaml_mapping::place() const {
   return PlaceOf(node_.Mark(), sink_->file);
 }
 
--- a/src/settings/yaml_mapping.h
+++ b/src/settings/yaml_mapping.h
@@ -93,7 +93,7 @@
   YAML::Node At(const std::string& key) const;
 
   /// Returns where the mapping starts.
-  core::source_place place() const;
+  core::source_location place() const;
 
  private:
   // Returns the node under `key`, or a null node after reporting that it is
--- a/tests/adapter/foreign_records_test.cc
+++ b/tests/adapter/foreign_records_test.cc
@@ -62,7 +62,7 @@
     CHECK((change.change != "missing" ||
            record.fault().kind == fault_kind::kMissing));
   }
-  for (const std::string& text : testing::BrokenTexts(sound)) {
+  for (const std::string& text : testing::MalformedTexts(sound)) {
     CHECK_FALSE(decode(text));
   }
 }
@@ -197,7 +197,7 @@
   }
 
   SECTION("a page whose rows can't be told apart isn't read") {
-    for (const std::string& text : testing::BrokenTexts(kFleetPage)) {
+    for (const std::string& text : testing::MalformedTexts(kFleetPage)) {
       CHECK_FALSE(DecodeFleetPage(text).is_read);
     }
   }
--- a/tests/adapter/store_codec_test.cc
+++ b/tests/adapter/store_codec_test.cc
@@ -106,7 +106,7 @@
   SECTION("a page that can't be gone on from isn't read") {
     CHECK_FALSE(DecodeNewest(R"({"items":[{"key":7}],"has_more":true,"end":6})")
                     .is_read);
-    for (const std::string& text : testing::BrokenTexts(page(item).dump())) {
+    for (const std::string& text : testing::MalformedTexts(page(item).dump())) {
       CHECK_FALSE(DecodeNewest(text).is_read);
     }
   }
--- a/tests/core/entry/entry_core_test.cc
+++ b/tests/core/entry/entry_core_test.cc
@@ -13,8 +13,8 @@
 constexpr incarnation kSecond{2};
 constexpr incarnation kThird{3};
 
-struct fleet_story : entry_fleet {
-  explicit fleet_story(std::size_t count = 3) : entry_fleet(count) {
+struct entry_core_fixture : entry_fleet {
+  explicit entry_core_fixture(std::size_t count = 3) : entry_fleet(count) {
     for (const std::string zone : {"suwon", "goyang", "seongnam"}) {
       AddVm(zone + "-1", zone);
       AddVm(zone + "-2", zone);
@@ -23,19 +23,19 @@
   }
 
   // Asks at each live entry at every step, for some time.
-  void AskFor(duration time, const std::string& prefix) {
+  void SendRequestsFor(duration time, const std::string& prefix) {
     for (const time_point end = now + time; now < end;) {
       for (auto& [who, item] : entries) {
         if (item.alive && !item.exited && !item.frozen) {
           const std::string key = prefix + std::to_string(keys_++);
-          asked_.push_back({who, Ask(who, key), "surgery/" + key});
+          asked_.push_back({who, SendRequest(who, key), "surgery/" + key});
         }
       }
       StepFor(kStep);
     }
   }
 
-  struct asked_request {
+  struct sent_request {
     incarnation at;
     std::uint64_t sequence;
     std::string key;
@@ -43,7 +43,7 @@
 
   int Count(outcome result) {
     int count = 0;
-    for (const asked_request& item : asked_) {
+    for (const sent_request& item : asked_) {
       const response* answer = AnswerOf(item.at, item.sequence);
       count += answer != nullptr && answer->result == result ? 1 : 0;
     }
@@ -52,9 +52,9 @@
 
   // What must hold of all that was asked at entries that live.
   void CheckAll() {
-    CHECK(answers_twice == 0);
-    CHECK(cut_by_reboot == 0);
-    for (const asked_request& item : asked_) {
+    CHECK(duplicate_answers == 0);
+    CHECK(calls_interrupted_by_reboot == 0);
+    for (const sent_request& item : asked_) {
       const response* answer = AnswerOf(item.at, item.sequence);
       const int runs = runs_of_key[item.key];
       if (entries[item.at].alive) {
@@ -71,15 +71,15 @@
     }
   }
 
-  std::vector<asked_request> asked_;
+  std::vector<sent_request> asked_;
   int keys_ = 0;
 };
 
 TEST_CASE("Three entries serve requests with keys") {
-  fleet_story fleet;
+  entry_core_fixture fleet;
 
   SECTION("each once, wherever it arrives") {
-    fleet.AskFor(seconds(2), "a");
+    fleet.SendRequestsFor(seconds(2), "a");
     fleet.StepFor(seconds(5));
     fleet.CheckAll();
     CHECK(fleet.Count(outcome::kDone) == static_cast<int>(fleet.asked_.size()));
@@ -89,9 +89,9 @@
   // while the first still runs it. Both go to the key's home, which says that
   // it is in progress: the endpoint runs it once.
   SECTION("and one that comes again through another entry runs once") {
-    const std::uint64_t first = fleet.Ask(kFirst, "k");
+    const std::uint64_t first = fleet.SendRequest(kFirst, "k");
     fleet.StepFor(std::chrono::milliseconds(60));
-    const std::uint64_t again = fleet.Ask(kSecond, "k");
+    const std::uint64_t again = fleet.SendRequest(kSecond, "k");
     fleet.StepFor(seconds(5));
     CHECK(fleet.AnswerOf(kFirst, first)->result == outcome::kDone);
     CHECK(fleet.AnswerOf(kSecond, again) != nullptr);
@@ -104,8 +104,8 @@
 // dispatched then, the key would run twice. Its deadline is cut to half of that
 // time.
 TEST_CASE("A caller with a key is very patient") {
-  fleet_story fleet;
-  fleet.Ask(kFirst, "k", std::chrono::hours(1));
+  entry_core_fixture fleet;
+  fleet.SendRequest(kFirst, "k", std::chrono::hours(1));
   fleet.StepUntil([&] { return !fleet.calls.empty(); });
 
   REQUIRE(fleet.calls.size() == 1);
@@ -119,10 +119,10 @@
 // unless it surely was not sent. The fold then expels it and its endpoints and
 // keys go to the others.
 TEST_CASE("An entry is killed under load") {
-  fleet_story fleet;
-  fleet.AskFor(seconds(1), "a");
+  entry_core_fixture fleet;
+  fleet.SendRequestsFor(seconds(1), "a");
   fleet.Kill(kThird);
-  fleet.AskFor(seconds(5), "b");
+  fleet.SendRequestsFor(seconds(5), "b");
   fleet.StepFor(seconds(10));
 
   fleet.CheckAll();
@@ -136,13 +136,13 @@
 // is a member until the others have expelled it, so the next home must take
 // over by itself: else it refuses these keys for the seconds until then.
 TEST_CASE("The next home takes over as soon as the connection is lost") {
-  fleet_story fleet;
-  fleet.AskFor(seconds(1), "a");
+  entry_core_fixture fleet;
+  fleet.SendRequestsFor(seconds(1), "a");
   fleet.StepFor(seconds(2));
   fleet.Kill(kThird);
   fleet.StepFor(2 * entry_fleet::kStep);
   fleet.asked_.clear();
-  fleet.AskFor(seconds(3), "b");
+  fleet.SendRequestsFor(seconds(3), "b");
   fleet.StepFor(seconds(10));
 
   fleet.CheckAll();
@@ -154,13 +154,13 @@
 // entry keeps at hand are among them. Callers of the living are served all the
 // same: the next home is whoever of the living comes first.
 TEST_CASE("Three entries of nine are left") {
-  fleet_story fleet(9);
+  entry_core_fixture fleet(9);
   for (std::uint64_t dead = 4; dead <= 9; ++dead) {
     fleet.Kill(incarnation{dead});
   }
   fleet.StepFor(seconds(3));
   REQUIRE(fleet.entries[kFirst].core->fleet().members.size() == 9);
-  fleet.AskFor(seconds(2), "a");
+  fleet.SendRequestsFor(seconds(2), "a");
   fleet.StepFor(seconds(5));
 
   fleet.CheckAll();
@@ -172,11 +172,11 @@
 // with keys would hear that there is no endpoint. So it joins only after it has
 // read the list.
 TEST_CASE("An entry joins that has not read the VM list") {
-  fleet_story fleet;
-  fleet.Add(4).list_is_out = true;
-  fleet.AskFor(seconds(3), "a");
+  entry_core_fixture fleet;
+  fleet.Add(4).list_is_down = true;
+  fleet.SendRequestsFor(seconds(3), "a");
   CHECK(fleet.entries[kFirst].core->fleet().members.size() == 3);
-  fleet.entries[incarnation{4}].list_is_out = false;
+  fleet.entries[incarnation{4}].list_is_down = false;
   REQUIRE(fleet.StepUntil([&] { return fleet.entries[incarnation{4}].ready; }));
   fleet.StepFor(seconds(5));
 
@@ -191,13 +191,13 @@
 // heartbeats some milliseconds before this entry has read it, too. Its callers
 // must not notice: each record would cost some of them a refusal.
 TEST_CASE("An entry hears of a record a little before it reads it") {
-  fleet_story fleet;
+  entry_core_fixture fleet;
   fleet.entries[kThird].log_is_slow = true;
   configuration targets = fleet.entries[kFirst].core->fleet().targets;
   fleet.Command(kFirst, publish_configuration{targets, 1});
   std::vector<std::uint64_t> asked;
   for (int step = 0; step < 20; ++step) {
-    asked.push_back(fleet.Ask(kThird));
+    asked.push_back(fleet.SendRequest(kThird));
     fleet.Step();
   }
 
@@ -212,7 +212,7 @@
 
   SECTION("but takes no more requests once it stays behind") {
     fleet.StepFor(seconds(3));
-    const std::uint64_t late = fleet.Ask(kThird);
+    const std::uint64_t late = fleet.SendRequest(kThird);
     REQUIRE(fleet.AnswerOf(kThird, late) != nullptr);
     CHECK(NameOf(fleet.AnswerOf(kThird, late)->reason) == "not-ready");
     CHECK_FALSE(fleet.entries[kThird].ready);
@@ -223,7 +223,7 @@
     fleet.StepFor(std::chrono::milliseconds(700));
     fleet.entries[kThird].frozen = false;
     fleet.StepFor(2 * entry_fleet::kStep);
-    const std::uint64_t late = fleet.Ask(kThird);
+    const std::uint64_t late = fleet.SendRequest(kThird);
     REQUIRE(fleet.AnswerOf(kThird, late) != nullptr);
     CHECK(NameOf(fleet.AnswerOf(kThird, late)->reason) == "not-ready");
   }
@@ -234,10 +234,10 @@
 // that the others have ended. It must not dispatch what it held, and it starts
 // anew.
 TEST_CASE("An entry is frozen past its expulsion and wakes up") {
-  fleet_story fleet;
-  fleet.AskFor(seconds(1), "a");
+  entry_core_fixture fleet;
+  fleet.SendRequestsFor(seconds(1), "a");
   fleet.entries[kThird].frozen = true;
-  fleet.AskFor(seconds(8), "b");
+  fleet.SendRequestsFor(seconds(8), "b");
   REQUIRE(fleet.entries[kFirst].core->fleet().members.size() == 2);
   fleet.entries[kThird].frozen = false;
   fleet.StepFor(seconds(10));
@@ -251,20 +251,20 @@
 // callers without are served all the same. When the log is back, keys are
 // served again, also those that were refused.
 TEST_CASE("The log is out for a while") {
-  fleet_story fleet;
-  fleet.log_is_out = true;
+  entry_core_fixture fleet;
+  fleet.log_is_down = true;
   fleet.StepFor(seconds(3));
-  const std::uint64_t keyed = fleet.Ask(kFirst, "k");
-  const std::uint64_t plain = fleet.Ask(kFirst);
+  const std::uint64_t keyed = fleet.SendRequest(kFirst, "k");
+  const std::uint64_t plain = fleet.SendRequest(kFirst);
   fleet.StepFor(seconds(1));
   REQUIRE(fleet.AnswerOf(kFirst, keyed) != nullptr);
   CHECK(fleet.AnswerOf(kFirst, keyed)->result == outcome::kNotRun);
   CHECK(fleet.AnswerOf(kFirst, plain)->result == outcome::kDone);
   CHECK(fleet.entries[kFirst].core->fleet().members.size() == 3);
 
-  fleet.log_is_out = false;
+  fleet.log_is_down = false;
   fleet.StepFor(seconds(5));
-  const std::uint64_t again = fleet.Ask(kFirst, "k");
+  const std::uint64_t again = fleet.SendRequest(kFirst, "k");
   fleet.StepFor(seconds(5));
   CHECK(fleet.AnswerOf(kFirst, again)->result == outcome::kDone);
   CHECK(fleet.runs_of_key["surgery/k"] == 1);
@@ -274,13 +274,13 @@
 // stop sending, what runs ends, and only then comes the reboot, so no request
 // is cut and callers notice nothing.
 TEST_CASE("A wave passes under load") {
-  fleet_story fleet;
-  fleet.AskFor(seconds(2), "a");
+  entry_core_fixture fleet;
+  fleet.SendRequestsFor(seconds(2), "a");
   fleet.Command(kFirst,
                 start_wave{wave_id("kernel"), {pool_id("casework")}, {}});
   bool finished = false;
   for (int round = 0; round < 60 && !finished; ++round) {
-    fleet.AskFor(seconds(1), "w" + std::to_string(round) + "-");
+    fleet.SendRequestsFor(seconds(1), "w" + std::to_string(round) + "-");
     const auto& waves = fleet.entries[kFirst].core->fleet().waves;
     const auto wave = waves.find(wave_id("kernel"));
     finished =
@@ -300,10 +300,10 @@
 // An entry is asked to stop under load. It serves on until the balancer has
 // seen that it isn't ready, ends what it runs, leaves the view and exits.
 TEST_CASE("An entry is stopped under load") {
-  fleet_story fleet;
-  fleet.AskFor(seconds(1), "a");
+  entry_core_fixture fleet;
+  fleet.SendRequestsFor(seconds(1), "a");
   fleet.entries[kThird].inbox.push_back(stop_requested{});
-  fleet.AskFor(std::chrono::milliseconds(500), "b");
+  fleet.SendRequestsFor(std::chrono::milliseconds(500), "b");
   CHECK_FALSE(fleet.entries[kThird].ready);
   fleet.StepUntil([&] { return fleet.entries[kThird].exited; });
   fleet.StepFor(seconds(5));
--- a/tests/core/entry/entry_drain_test.cc
+++ b/tests/core/entry/entry_drain_test.cc
@@ -15,10 +15,10 @@
 
 /// Counts calls that start at a VM later than `kBound` after the record of its
 /// drain was in the log.
-struct drain_story : entry_fleet {
+struct drain_fixture : entry_fleet {
   static constexpr duration kBound = seconds(2);
 
-  drain_story() : entry_fleet(3) {
+  drain_fixture() : entry_fleet(3) {
     for (const std::string zone : {"suwon", "goyang", "seongnam"}) {
       AddVm(zone + "-1", zone);
       AddVm(zone + "-2", zone);
@@ -71,7 +71,7 @@
     }
     for (auto& [who, item] : entries) {
       if (item.alive && !item.exited && !item.frozen) {
-        Ask(who);
+        SendRequest(who);
       }
     }
   }
@@ -82,7 +82,7 @@
 // A wave drains VMs under load. Owners stop sending to one as soon as they have
 // read its record, also one that reads late.
 TEST_CASE("A draining endpoint gets no new work after two seconds") {
-  drain_story fleet;
+  drain_fixture fleet;
 
   SECTION("while all is well") {
     REQUIRE(fleet.StartsWave());
@@ -99,14 +99,14 @@
 
   CHECK(fleet.late_calls == 0);
   CHECK(fleet.calls_started > 100);
-  CHECK(fleet.cut_by_reboot == 0);
+  CHECK(fleet.calls_interrupted_by_reboot == 0);
 }
 
 // An entry stands still while a VM starts to drain, and callers have written to
 // it when it wakes. It has not read the log yet and sends their requests to
 // that VM, seconds after all others stopped.
 TEST_CASE("An entry wakes up after a VM began to drain") {
-  drain_story fleet;
+  drain_fixture fleet;
   const incarnation frozen = GENERATE(kFirst, kSecond, kThird);
   fleet.StepFor(seconds(1));
   fleet.entries[frozen].frozen = true;
@@ -115,11 +115,11 @@
   REQUIRE_FALSE(fleet.drained_at.empty());
   fleet.entries[frozen].frozen = false;
   for (int i = 0; i < kAtOnce; ++i) {
-    fleet.Ask(frozen);
+    fleet.SendRequest(frozen);
   }
   fleet.StepFor(seconds(10));
   CHECK(fleet.late_calls == 0);
-  CHECK(fleet.cut_by_reboot == 0);
+  CHECK(fleet.calls_interrupted_by_reboot == 0);
 }
 
 }  // namespace
--- a/tests/core/entry/entry_fleet.h
+++ b/tests/core/entry/entry_fleet.h
@@ -38,7 +38,7 @@
     bool exited = false;
     bool restart = false;
     bool ready = false;
-    bool list_is_out = false;
+    bool list_is_down = false;
     bool log_is_slow = false;
     time_point next_read;
   };
@@ -60,7 +60,7 @@
     time_point ends;
   };
 
-  static planner_options QuickPlanner() {
+  static planner_options FastPlannerOptions() {
     planner_options options;
     options.drain_notice = std::chrono::seconds(2);
     options.greatest_deadline = std::chrono::seconds(5);
@@ -68,7 +68,7 @@
   }
 
   explicit entry_fleet(std::size_t count,
-                       planner_options planning = QuickPlanner())
+                       planner_options planning = FastPlannerOptions())
       : planning_(planning) {
     for (std::size_t i = 1; i <= count; ++i) {
       Add(i);
@@ -86,7 +86,7 @@
     options.planner = planning_;
     entry& made = entries[options.self.who];
     made.core = std::make_unique<entry_core>(options);
-    Carry(options.self.who, Trace(nullptr, made.core->Start(now)));
+    Execute(options.self.who, Trace(nullptr, made.core->Start(now)));
     return made;
   }
 
@@ -128,9 +128,9 @@
   }
 
   // Returns the sequence by which the answer is found.
-  std::uint64_t Ask(incarnation at,
-                    std::optional<std::string> key = std::nullopt,
-                    duration patience = std::chrono::seconds(4)) {
+  std::uint64_t SendRequest(incarnation at,
+                            std::optional<std::string> key = std::nullopt,
+                            duration timeout = std::chrono::seconds(4)) {
     request_arrived event;
     event.sequence = ++entries[at].arrivals;
     event.request.caller = caller_id("surgery");
@@ -138,12 +138,12 @@
     event.request.method = "POST";
     event.request.path = "/appeals";
     event.request.headers.push_back({kMark, MarkOf(at, event.sequence)});
-    event.request.deadline = now + patience;
+    event.request.deadline = now + timeout;
     event.request.idempotent = !key.has_value();
     if (key) {
       event.request.key = claim_key("surgery/" + *key);
     }
-    Hand(at, event);
+    Deliver(at, event);
     return event.sequence;
   }
 
@@ -169,7 +169,7 @@
   std::uint64_t Command(incarnation at,
                         record_body body,
                         const std::string& author = "ann") {
-    Hand(at, operator_command{++commands_, author, std::move(body)});
+    Deliver(at, operator_command{++commands_, author, std::move(body)});
     return commands_;
   }
 
@@ -195,15 +195,15 @@
         continue;
       }
       for (event& waiting : std::exchange(item.inbox, {})) {
-        Hand(who, waiting);
+        Deliver(who, waiting);
       }
       if (!item.log_is_slow) {
         ReadLog(who);
       }
-      if (!list_is_out && !item.list_is_out) {
-        Hand(who, vm_list_read{vms, {}});
+      if (!list_is_down && !item.list_is_down) {
+        Deliver(who, vm_list_read{vms, {}});
       }
-      Hand(who, tick{});
+      Deliver(who, tick{});
     }
   }
 
@@ -231,8 +231,8 @@
   duration service_time = std::chrono::milliseconds(100);
   std::map<incarnation, entry> entries;
   memory_log log;
-  bool log_is_out = false;
-  bool list_is_out = false;
+  bool log_is_down = false;
+  bool list_is_down = false;
   // How long an append takes, how often each entry reads, and how many records
   // one read brings; 0 for all.
   duration log_delay{};
@@ -245,7 +245,7 @@
   // Started runs by key, and requests that a reboot cut.
   std::map<std::string, int> runs_of_key;
   std::map<std::string, int> runs_of_mark;
-  int cut_by_reboot = 0;
+  int calls_interrupted_by_reboot = 0;
   int runs_after_drain = 0;
   std::map<vm_id, int> reboots;
   std::function<void()> each_step;
@@ -253,8 +253,8 @@
   std::function<void(const event*, const action_list&)> trace;
 
  private:
-  void Hand(incarnation who, const event& item) {
-    Carry(who, Trace(&item, entries[who].core->Handle(item, now)));
+  void Deliver(incarnation who, const event& item) {
+    Execute(who, Trace(&item, entries[who].core->Handle(item, now)));
   }
 
   action_list Trace(const event* cause, action_list actions) {
@@ -272,8 +272,8 @@
     item.next_read = now + read_interval;
     const auto followed = item.followed;
     for (const auto& [name, after] : followed) {
-      if (log_is_out) {
-        Hand(who, log_unavailable{name, "down"});
+      if (log_is_down) {
+        Deliver(who, log_unavailable{name, "down"});
         continue;
       }
       log_read read = log.Read(name, after);
@@ -283,7 +283,7 @@
       if (!read.entries.empty()) {
         item.followed[name] = read.entries.back().offset;
       }
-      Hand(who, read);
+      Deliver(who, read);
     }
   }
 
@@ -325,7 +325,7 @@
   }
 
   void Append(incarnation who, append_records item) {
-    if (log_is_out) {
+    if (log_is_down) {
       entries[who].inbox.push_back(
           append_finished{item.append, append_result::kRejected, 0});
       return;
@@ -357,7 +357,7 @@
     if (const auto* reboot = std::get_if<reboot_vm>(&item.what)) {
       if (done_operations_.insert(item.operation).second) {
         ++reboots[reboot->vm];
-        cut_by_reboot += static_cast<int>(std::count_if(
+        calls_interrupted_by_reboot += static_cast<int>(std::count_if(
             calls.begin(), calls.end(),
             [&](const auto& call) { return call.request.vm == reboot->vm; }));
       }
@@ -375,11 +375,11 @@
     to->second.inbox.push_back(frame_received{std::move(item.frame)});
   }
 
-  void Carry(incarnation who, action_list actions) {
+  void Execute(incarnation who, action_list actions) {
     entry& self = entries[who];
     const overloaded carry{
         [&](answer_caller& item) {
-          answers_twice += self.answers.contains(item.sequence) ? 1 : 0;
+          duplicate_answers += self.answers.contains(item.sequence) ? 1 : 0;
           self.answers[item.sequence] = std::move(item.answer);
         },
         [&](send_frame& item) { Send(who, std::move(item)); },
@@ -404,7 +404,7 @@
   }
 
  public:
-  int answers_twice = 0;
+  int duplicate_answers = 0;
 
  private:
   planner_options planning_;
--- a/tests/core/entry/entry_fleet_property_test.cc
+++ b/tests/core/entry/entry_fleet_property_test.cc
@@ -28,17 +28,17 @@
     Begin();
   }
 
-  struct asked_request {
+  struct sent_request {
     incarnation at;
     std::uint64_t sequence;
     std::string key;
   };
 
-  incarnation Any() { return incarnation{1 + random() % started_}; }
+  incarnation RandomEntry() { return incarnation{1 + random() % started_}; }
 
-  void AskSome() {
+  void SendSomeRequests() {
     for (int i = 0; i < 3; ++i) {
-      const incarnation at = Any();
+      const incarnation at = RandomEntry();
       entry& item = entries[at];
       if (!item.alive || item.exited || item.frozen) {
         continue;
@@ -46,13 +46,13 @@
       // Two of three keys are new; the others are one of the last few.
       keys_ += random() % 3 == 0 ? 0 : 1;
       const std::string key = std::to_string(keys_ - random() % 2);
-      const duration patience = milliseconds(100 + random() % 4000);
-      asked.push_back({at, Ask(at, key, patience), "surgery/" + key});
+      const duration timeout = milliseconds(100 + random() % 4000);
+      asked.push_back({at, SendRequest(at, key, timeout), "surgery/" + key});
     }
   }
 
-  void Fail() {
-    entry& item = entries[Any()];
+  void InjectFault() {
+    entry& item = entries[RandomEntry()];
     switch (random() % 60) {
       case 0:
         item.frozen = true;
@@ -62,13 +62,13 @@
         BreakSomeConnection();
         return;
       case 3:
-        log_is_out = true;
+        log_is_down = true;
         return;
       case 4:
         item.log_is_slow = true;
         return;
       case 5:
-        Kill(Any());
+        Kill(RandomEntry());
         return;
       case 6:
         item.inbox.push_back(stop_requested{});
@@ -84,8 +84,8 @@
   }
 
   void BreakSomeConnection() {
-    const incarnation left = Any();
-    const incarnation right = Any();
+    const incarnation left = RandomEntry();
+    const incarnation right = RandomEntry();
     if (left != right) {
       Disconnect(left, right);
     }
@@ -93,7 +93,7 @@
 
   // Whoever has gone is replaced.
   void Heal() {
-    log_is_out = false;
+    log_is_down = false;
     const auto gone =
         std::count_if(entries.begin(), entries.end(), [](const auto& item) {
           return !item.second.alive || item.second.exited;
@@ -107,7 +107,7 @@
     }
   }
 
-  std::vector<asked_request> asked;
+  std::vector<sent_request> asked;
   random_source random;
 
  private:
@@ -123,15 +123,15 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     faulty_fleet fleet(seed);
     for (int round = 0; round < kRounds; ++round) {
-      fleet.AskSome();
-      fleet.Fail();
+      fleet.SendSomeRequests();
+      fleet.InjectFault();
       fleet.StepFor(entry_fleet::kStep * (1 + fleet.random() % 4));
     }
     fleet.Heal();
     fleet.StepFor(seconds(15));
 
     INFO("seed " << seed);
-    CHECK(fleet.answers_twice == 0);
+    CHECK(fleet.duplicate_answers == 0);
     for (const auto& item : fleet.asked) {
       INFO(item.key << " at " << static_cast<std::uint64_t>(item.at) << ", "
                     << item.sequence);
--- a/tests/core/entry/entry_planner_test.cc
+++ b/tests/core/entry/entry_planner_test.cc
@@ -15,7 +15,7 @@
 const wave_id kWave("kernel");
 
 planner_options MovesSoon() {
-  planner_options options = entry_fleet::QuickPlanner();
+  planner_options options = entry_fleet::FastPlannerOptions();
   options.base_lack_patience = seconds(1);
   options.spare_lack_patience = seconds(1);
   options.surplus_patience = seconds(1);
@@ -24,8 +24,8 @@
 }
 
 /// Three entries and a planner, of which the tests take one away.
-struct planner_story : entry_fleet {
-  planner_story(int in_goyang, int in_others) : entry_fleet(3, MovesSoon()) {
+struct planner_fixture : entry_fleet {
+  planner_fixture(int in_goyang, int in_others) : entry_fleet(3, MovesSoon()) {
     for (const std::string zone : {"goyang", "seongnam", "suwon"}) {
       const int count = zone == "goyang" ? in_goyang : in_others;
       for (int i = 0; i < count; ++i) {
@@ -42,7 +42,7 @@
     return item.alive && !item.frozen && !item.exited;
   }
   /// The fold of an entry that lives.
-  const fleet_state& Seen() {
+  const fleet_state& LiveState() {
     for (const auto& [who, item] : entries) {
       if (IsLive(who)) {
         return Fleet(who);
@@ -50,22 +50,26 @@
     }
     throw std::logic_error("no entry lives");
   }
-  incarnation Planner() { return Seen().lease.holder; }
-  incarnation Asked() { return Planner() == kFirst ? incarnation{2} : kFirst; }
+  incarnation Planner() { return LiveState().lease.holder; }
+  incarnation NonPlanner() {
+    return Planner() == kFirst ? incarnation{2} : kFirst;
+  }
 
   bool IsAnyVm(vm_phase phase) {
-    const auto& known = Seen().vms;
+    const auto& known = LiveState().vms;
     return std::any_of(known.begin(), known.end(), [&](const auto& item) {
       return item.second.phase == phase;
     });
   }
   void StartWave() {
-    Command(Asked(), start_wave{kWave, {kCasework}, {}});
-    REQUIRE(StepUntil([&] { return Seen().waves.contains(kWave); }));
+    Command(NonPlanner(), start_wave{kWave, {kCasework}, {}});
+    REQUIRE(StepUntil([&] { return LiveState().waves.contains(kWave); }));
   }
   bool WaveEnds() {
     return StepUntil(
-        [&] { return Seen().waves.at(kWave).state == wave_state::kFinished; },
+        [&] {
+          return LiveState().waves.at(kWave).state == wave_state::kFinished;
+        },
         std::chrono::minutes(20));
   }
   void CheckEachRebootedOnce() {
@@ -73,13 +77,13 @@
     for (const auto& [vm, count] : reboots) {
       CHECK(count == 1);
     }
-    CHECK(cut_by_reboot == 0);
+    CHECK(calls_interrupted_by_reboot == 0);
   }
 };
 
 /// Notes in which pool each entry has each VM at each offset.
-struct pools_story : planner_story {
-  pools_story() : planner_story(2, 2) {
+struct pool_move_fixture : planner_fixture {
+  pool_move_fixture() : planner_fixture(2, 2) {
     Begin(Needing(4, 2));
     each_step = [this] { Compare(); };
   }
@@ -92,7 +96,7 @@
   }
 
   std::size_t CountIn(const pool_id& pool) {
-    const auto& known = Seen().vms;
+    const auto& known = LiveState().vms;
     return static_cast<std::size_t>(std::count_if(
         known.begin(), known.end(),
         [&](const auto& item) { return item.second.pool == pool; }));
@@ -160,20 +164,20 @@
 // old planner's move reaches the log, and its entry wakes up and goes on. Its
 // epoch is over, so the move changes nothing, at no entry.
 TEST_CASE("A planner is frozen past its lease in the middle of a move") {
-  pools_story fleet;
+  pool_move_fixture fleet;
   REQUIRE(fleet.StepUntil([&] { return fleet.HasPools(4, 2); }));
   const incarnation old_planner = fleet.Planner();
   REQUIRE(fleet.IsLive(old_planner));
-  fleet.Command(fleet.Asked(),
-                publish_configuration{pools_story::Needing(2, 4), 1});
+  fleet.Command(fleet.NonPlanner(),
+                publish_configuration{pool_move_fixture::Needing(2, 4), 1});
   REQUIRE(fleet.StepUntil([&] { return fleet.IsAnyVm(vm_phase::kDrained); }));
 
   fleet.log_delay = seconds(15);
   REQUIRE(fleet.StepUntil([&] { return fleet.HasLateMove(old_planner); }));
   fleet.entries[old_planner].frozen = true;
   fleet.log_delay = duration::zero();
-  fleet.Command(fleet.Asked(),
-                publish_configuration{pools_story::Needing(4, 2), 2});
+  fleet.Command(fleet.NonPlanner(),
+                publish_configuration{pool_move_fixture::Needing(4, 2), 2});
   REQUIRE(fleet.StepUntil([&] { return fleet.Planner() != old_planner; }));
   fleet.StepFor(seconds(20));
   fleet.entries[old_planner].frozen = false;
@@ -190,9 +194,9 @@
 // The next planner goes on from the records and asks under the same name, so
 // that no VM is rebooted twice and none is forgotten.
 TEST_CASE("The planner's entry is killed in the middle of a wave") {
-  planner_story fleet(2, 2);
+  planner_fixture fleet(2, 2);
   fleet.Begin();
-  REQUIRE(fleet.StepUntil([&] { return fleet.Seen().vms.size() == 6; }));
+  REQUIRE(fleet.StepUntil([&] { return fleet.LiveState().vms.size() == 6; }));
   fleet.StartWave();
   vm_phase phase = vm_phase::kDraining;
   std::size_t asked_reboots = 0;
@@ -225,8 +229,8 @@
 
 /// Eight VMs in a zone, more than the pool can give up, and two in each of the
 /// others, under load, with one zone to lose.
-struct zone_story : planner_story {
-  zone_story() : planner_story(8, 2) {
+struct zone_loss_fixture : planner_fixture {
+  zone_loss_fixture() : planner_fixture(8, 2) {
     Begin();
     each_step = [this] { Watch(); };
     StepFor(seconds(20));
@@ -236,10 +240,10 @@
 
   /// Half of the pool, which is what an idle pool keeps at work; one VM would
   /// carry the load.
-  std::size_t Floor() { return (Seen().vms.size() + 1) / 2; }
+  std::size_t Floor() { return (LiveState().vms.size() + 1) / 2; }
 
   std::size_t Available() {
-    const auto& known = Seen().vms;
+    const auto& known = LiveState().vms;
     return static_cast<std::size_t>(
         std::count_if(vms.begin(), vms.end(), [&](const vm_listing& item) {
           const auto found = known.find(item.vm);
@@ -271,13 +275,13 @@
   void Watch() {
     for (const auto& [who, item] : entries) {
       if (IsLive(who) && ++asked_ % 2 == 0) {
-        Ask(who);
+        SendRequest(who);
       }
     }
     const std::size_t available = Available();
     least = std::min(least, available);
     below_floor += available < Floor() ? 1 : 0;
-    for (const auto& [vm, state] : Seen().vms) {
+    for (const auto& [vm, state] : LiveState().vms) {
       const bool drains = state.phase == vm_phase::kDraining;
       const bool is_new = drains && !draining_.contains(vm);
       bad_drains += is_new && IsLossKnown() && available < Floor() ? 1 : 0;
@@ -298,7 +302,7 @@
 // the loss alone: the wave takes no further VM until the floor is met again,
 // and goes on.
 TEST_CASE("A zone is lost during a wave") {
-  zone_story fleet;
+  zone_loss_fixture fleet;
   fleet.StartWave();
   REQUIRE(fleet.StepUntil([&] { return fleet.IsAnyVm(vm_phase::kRebooting); }));
   CHECK(fleet.below_floor == 0);
@@ -333,8 +337,8 @@
 
   CHECK(fleet.bad_drains == 0);
   CHECK(fleet.below_floor == 0);
-  CHECK(fleet.cut_by_reboot == 0);
-  CHECK(fleet.answers_twice == 0);
+  CHECK(fleet.calls_interrupted_by_reboot == 0);
+  CHECK(fleet.duplicate_answers == 0);
 }
 
 }  // namespace
--- a/tests/core/entry/entry_state_test.cc
+++ b/tests/core/entry/entry_state_test.cc
@@ -12,11 +12,11 @@
 constexpr incarnation kFirst{1};
 constexpr incarnation kSecond{2};
 constexpr incarnation kThird{3};
-constexpr incarnation kNewcomer{4};
+constexpr incarnation kReplacement{4};
 
 /// Three entries and three VMs whose operators change the targets.
-struct state_story : entry_fleet {
-  state_story() : entry_fleet(3) {
+struct state_fixture : entry_fleet {
+  state_fixture() : entry_fleet(3) {
     for (const std::string zone : {"suwon", "goyang", "seongnam"}) {
       AddVm(zone + "-1", zone);
     }
@@ -86,7 +86,7 @@
 // the other gets a conflict with the winner's name and can look before trying
 // again. No entry ever holds the loser's targets.
 TEST_CASE("Two operators publish at once at two whole entries") {
-  state_story fleet;
+  state_fixture fleet;
   constexpr int kRounds = 20;
   int won_by_ann = 0;
   for (int round = 0; round < kRounds; ++round) {
@@ -128,8 +128,8 @@
 
 /// Publishes changes in turn and notes the longest time from an answer
 /// "accepted" until each live entry had that change, and any step back.
-struct roll_out_story : state_story {
-  roll_out_story() {
+struct rollout_fixture : state_fixture {
+  rollout_fixture() {
     each_step = [this] { Watch(); };
   }
 
@@ -153,14 +153,14 @@
   }
 
   duration longest{};
-  int steps_back = 0;
+  int reversions = 0;
 
  private:
   void Watch() {
     for (const auto& [who, item] : entries) {
       generation& seen = seen_[who];
       const generation version = item.core->fleet().targets_version;
-      steps_back += version < seen ? 1 : 0;
+      reversions += version < seen ? 1 : 0;
       seen = version;
     }
   }
@@ -173,7 +173,7 @@
 // has read the record back; nobody waits for the entry that isn't heard, and
 // the others have the change as soon as they read. No entry ever goes back.
 TEST_CASE("A change is in force within seconds of being accepted") {
-  roll_out_story fleet;
+  rollout_fixture fleet;
   constexpr int kChanges = 12;
 
   SECTION("while all is well") {
@@ -200,7 +200,7 @@
   }
 
   CHECK(fleet.longest <= seconds(7));
-  CHECK(fleet.steps_back == 0);
+  CHECK(fleet.reversions == 0);
   fleet.CheckAllWithin(milliseconds(1000 + kChanges - 1));
   fleet.CheckAllEqual();
 }
@@ -210,7 +210,7 @@
 // at a time. Were it ready before the end, its callers would be served by
 // targets that were replaced long ago.
 TEST_CASE("An entry starts anew after records have aged out") {
-  state_story fleet;
+  state_fixture fleet;
   fleet.Kill(kThird);
   fleet.PublishNext(kFirst, milliseconds(1500));
   auto& control = fleet.log.streams[kControlStream];
@@ -229,19 +229,19 @@
   fleet.read_interval = milliseconds(200);
   int ready_too_early = 0;
   int steps_before = 0;
-  fleet.Add(static_cast<std::uint64_t>(kNewcomer), 3);
+  fleet.Add(static_cast<std::uint64_t>(kReplacement), 3);
   fleet.each_step = [&] {
-    const auto& item = fleet.entries[kNewcomer];
+    const auto& item = fleet.entries[kReplacement];
     const bool is_newest = item.core->fleet().offset >= end &&
                            item.core->fleet().targets_version >= newest;
     ready_too_early += item.ready && !is_newest ? 1 : 0;
     steps_before += is_newest ? 0 : 1;
   };
-  REQUIRE(fleet.StepUntil([&] { return fleet.entries[kNewcomer].ready; }));
+  REQUIRE(fleet.StepUntil([&] { return fleet.entries[kReplacement].ready; }));
 
   CHECK(ready_too_early == 0);
   CHECK(steps_before > 10);
-  CHECK(fleet.entries[kNewcomer].core->control().newest_snapshot() >=
+  CHECK(fleet.entries[kReplacement].core->control().newest_snapshot() >=
         control.begin);
   fleet.CheckAllWithin(milliseconds(2009));
   fleet.CheckAllEqual();
@@ -252,7 +252,7 @@
 // what is written to it next takes offsets that they have applied. They show
 // the fault, write nothing, keep their targets and go on serving callers.
 TEST_CASE("The log comes back shorter under a fleet") {
-  state_story fleet;
+  state_fixture fleet;
   fleet.PublishNext(kFirst, milliseconds(1500));
   auto& control = fleet.log.streams[kControlStream];
   const std::size_t before = control.records.size();
@@ -269,14 +269,14 @@
       CHECK(fleet.entries[who].ready);
     }
     fleet.CheckAllWithin(milliseconds(2500));
-    const std::uint64_t asked = fleet.Ask(kFirst);
+    const std::uint64_t asked = fleet.SendRequest(kFirst);
     fleet.StepFor(seconds(2));
     REQUIRE(fleet.AnswerOf(kFirst, asked) != nullptr);
     CHECK(fleet.AnswerOf(kFirst, asked)->result == outcome::kDone);
   };
 
   SECTION("and stays so") {
-    check_kept(log_fault::kShorter);
+    check_kept(log_fault::kTruncated);
     CHECK(control.records.size() == before);
   }
   SECTION("and others write to it") {
@@ -285,8 +285,8 @@
       record other;
       other.id = record_id("other-" + std::to_string(i));
       other.author = "other";
-      other.body = publish_configuration{state_story::Within(milliseconds(700)),
-                                         seen + (i / 20)};
+      other.body = publish_configuration{
+          state_fixture::Within(milliseconds(700)), seen + (i / 20)};
       fleet.log.Append(kControlStream, {other});
     }
     fleet.StepFor(seconds(5));
@@ -298,7 +298,7 @@
 // process can read only that copy, which has no sign of what was lost. Were it
 // ready, its callers would be served by targets that were replaced.
 TEST_CASE("An entry starts while the log is shorter than the fleet's state") {
-  state_story fleet;
+  state_fixture fleet;
   fleet.PublishNext(kFirst, milliseconds(1500));
   auto& control = fleet.log.streams[kControlStream];
   const std::size_t before = control.records.size();
@@ -306,17 +306,17 @@
   fleet.CheckAllEqual();
   control.records.resize(before);
   fleet.StepFor(seconds(2));
-  fleet.Add(static_cast<std::uint64_t>(kNewcomer));
+  fleet.Add(static_cast<std::uint64_t>(kReplacement));
 
   int ready_with_older = 0;
   fleet.each_step = [&] {
-    const auto& item = fleet.entries[kNewcomer];
+    const auto& item = fleet.entries[kReplacement];
     ready_with_older += item.ready ? 1 : 0;
   };
   fleet.StepFor(seconds(30));
 
   CHECK(ready_with_older == 0);
-  fleet.entries.erase(kNewcomer);
+  fleet.entries.erase(kReplacement);
   fleet.CheckAllWithin(milliseconds(2500));
 }
 
--- a/tests/core/entry/golden_entry_test.cc
+++ b/tests/core/entry/golden_entry_test.cc
@@ -76,10 +76,10 @@
   session.StepFor(milliseconds(100));
 
   session.text.Title("A request with a key comes, and comes again");
-  const std::uint64_t first = session.Ask(kOnly, "appeal-12");
+  const std::uint64_t first = session.SendRequest(kOnly, "appeal-12");
   REQUIRE(session.StepUntil(
       [&] { return session.AnswerOf(kOnly, first) != nullptr; }));
-  const std::uint64_t again = session.Ask(kOnly, "appeal-12");
+  const std::uint64_t again = session.SendRequest(kOnly, "appeal-12");
   REQUIRE(session.StepUntil(
       [&] { return session.AnswerOf(kOnly, again) != nullptr; }));
   CHECK(session.runs_of_key["surgery/appeal-12"] == 1);
@@ -91,7 +91,7 @@
 
   session.text.Title("The entry is asked to stop while it runs a request");
   session.service_time = seconds(2);
-  const std::uint64_t last = session.Ask(kOnly);
+  const std::uint64_t last = session.SendRequest(kOnly);
   session.entries[kOnly].inbox.push_back(stop_requested{});
   REQUIRE(session.StepUntil([&] { return session.entries[kOnly].exited; }));
   CHECK(session.AnswerOf(kOnly, last)->result == outcome::kDone);
