--- a/tests/core/fleet/job_planner_test.cc
+++ b/tests/core/fleet/job_planner_test.cc
@@ -21,8 +21,9 @@
     }
     Step();
   }
-  job_spec Spec(const std::string& name, std::uint32_t processors = 8) const {
-    job_spec spec;
+  job_requirements Spec(const std::string& name,
+                        std::uint32_t processors = 8) const {
+    job_requirements spec;
     spec.name = job_id(name);
     spec.team = team_id("coast");
     spec.pool = pool_id("lidar");
@@ -33,13 +34,13 @@
   void Submit(const std::string& name, std::uint32_t processors = 8) {
     Apply(submit_job{Spec(name, processors)});
   }
-  std::size_t CountJobs(job_state wanted) const {
+  std::size_t CountJobs(job_status wanted) const {
     return static_cast<std::size_t>(std::count_if(
         state.jobs.begin(), state.jobs.end(),
         [&](const auto& job) { return job.second.state == wanted; }));
   }
   bool Becomes(const std::string& job,
-               job_state wanted,
+               job_status wanted,
                duration limit = std::chrono::hours(1)) {
     return StepUntil([&] { return Job(job).state == wanted; }, limit);
   }
@@ -47,7 +48,7 @@
     set_job_state record;
     record.job = job_id(job);
     record.expected = Job(job).version;
-    record.state = job_state::kCancelled;
+    record.state = job_status::kCancelled;
     Apply(record);
   }
   std::size_t Running() const {
@@ -63,7 +64,7 @@
 
   SECTION("started once, its lease renewed far beyond its length") {
     world.run_time = std::chrono::hours(1);
-    REQUIRE(world.Becomes("map", job_state::kFinished, std::chrono::hours(2)));
+    REQUIRE(world.Becomes("map", job_status::kFinished, std::chrono::hours(2)));
     CHECK(world.starts[job_id("map")] == 1);
   }
 
@@ -71,10 +72,10 @@
     // The record that places the job is in the log, its planner dies before the
     // start goes out. The next planner sends the start of the record.
     world.Step();
-    REQUIRE(world.Job("map").state == job_state::kPlaced);
+    REQUIRE(world.Job("map").state == job_status::kPlaced);
     REQUIRE(world.starts.empty());
     world.ReplacePlanner();
-    REQUIRE(world.Becomes("map", job_state::kFinished));
+    REQUIRE(world.Becomes("map", job_status::kFinished));
     CHECK(world.starts[job_id("map")] == 1);
   }
 
@@ -103,7 +104,7 @@
       return world.state.waves.at(wave).state == wave_state::kFinished;
     }));
     CHECK(world.reboots.size() == 6);
-    REQUIRE(world.Becomes("map", job_state::kFinished));
+    REQUIRE(world.Becomes("map", job_status::kFinished));
     // The second placement prefers workers that the wave has visited.
     CHECK(world.starts[job_id("map")] == 2);
     CHECK(world.Job("map").failures == 0);
@@ -119,9 +120,9 @@
     world.Submit("job-" + std::to_string(i));
   }
   REQUIRE(world.StepUntil(
-      [&] { return world.CountJobs(job_state::kFinished) == 20; }));
+      [&] { return world.CountJobs(job_status::kFinished) == 20; }));
   CHECK(world.Vm("w0").quarantined);
-  CHECK(world.CountJobs(job_state::kParked) == 0);
+  CHECK(world.CountJobs(job_status::kParked) == 0);
 
   world.bad_workers.clear();
   world.StepFor(std::chrono::hours(2));
@@ -159,9 +160,9 @@
   }
   world.Submit("map");
   world.StepFor(std::chrono::minutes(10));
-  CHECK(world.Job("map").state != job_state::kParked);
+  CHECK(world.Job("map").state != job_status::kParked);
   world.refusing.clear();
-  CHECK(world.Becomes("map", job_state::kFinished));
+  CHECK(world.Becomes("map", job_status::kFinished));
 }
 
 TEST_CASE("Some jobs can never run") {
@@ -171,10 +172,10 @@
     world.bad_jobs = {job_id("broken")};
     world.Submit("broken");
     world.Submit("sound");
-    REQUIRE(world.Becomes("broken", job_state::kParked));
+    REQUIRE(world.Becomes("broken", job_status::kParked));
     CHECK(world.Job("broken").reason.starts_with("it failed on 3 workers"));
     CHECK(world.starts[job_id("broken")] == 3);
-    REQUIRE(world.Becomes("sound", job_state::kFinished));
+    REQUIRE(world.Becomes("sound", job_status::kFinished));
     for (const auto& [id, vm] : world.state.vms) {
       CHECK_FALSE(vm.quarantined);
     }
@@ -182,7 +183,7 @@
 
   SECTION("one that no worker could hold is parked, with what it takes") {
     world.Submit("huge", 64);
-    REQUIRE(world.Becomes("huge", job_state::kParked));
+    REQUIRE(world.Becomes("huge", job_status::kParked));
     CHECK(world.Job("huge").reason.find("64 processors") != std::string::npos);
   }
 }
@@ -194,8 +195,8 @@
     world.Submit("batch-" + std::to_string(i));
   }
   world.StepFor(std::chrono::minutes(1));
-  REQUIRE(world.CountJobs(job_state::kPlaced) == 4);
-  job_spec urgent = world.Spec("preview");
+  REQUIRE(world.CountJobs(job_status::kPlaced) == 4);
+  job_requirements urgent = world.Spec("preview");
   urgent.urgent = true;
   world.Apply(submit_job{urgent});
   const time_point asked = world.now;
@@ -204,8 +205,8 @@
       world.StepUntil([&] { return world.starts[job_id("preview")] == 1; }));
   CHECK(world.now - asked <= std::chrono::milliseconds(2100));
   world.StepFor(std::chrono::minutes(1));
-  CHECK(world.CountJobs(job_state::kWaiting) == 1);
-  CHECK(world.CountJobs(job_state::kPlaced) == 4);
+  CHECK(world.CountJobs(job_status::kWaiting) == 1);
+  CHECK(world.CountJobs(job_status::kPlaced) == 4);
 }
 
 TEST_CASE("A team reaches its quota of accelerators") {
@@ -214,12 +215,12 @@
     vm.accelerators = 2;
   }
   for (int i = 0; i < 6; ++i) {
-    job_spec spec = world.Spec("train-" + std::to_string(i), 1);
+    job_requirements spec = world.Spec("train-" + std::to_string(i), 1);
     spec.accelerators = 1;
     world.Apply(submit_job{spec});
   }
   world.StepFor(std::chrono::minutes(1));
-  CHECK(world.CountJobs(job_state::kPlaced) == 4);
+  CHECK(world.CountJobs(job_status::kPlaced) == 4);
   CHECK(world.Planner().reasons().at("job:train-5") ==
         "team coast would hold 5 of its 4 accelerators");
 }
--- a/tests/core/fleet/planner_harness.h
+++ b/tests/core/fleet/planner_harness.h
@@ -117,10 +117,10 @@
   }
 
   const planner& Planner() const { return planner_; }
-  const vm_state& Vm(const std::string& name) const {
+  const fleet_vm& Vm(const std::string& name) const {
     return state.vms.at(vm_id(name));
   }
-  const job_progress& Job(const std::string& name) const {
+  const fleet_job& Job(const std::string& name) const {
     return state.jobs.at(job_id(name));
   }
   std::size_t CountPhase(vm_phase phase) const {
@@ -200,7 +200,7 @@
                 EndTask(what.job, task_state::kCheckpointed);
               },
               [&](const stop_task& what) {
-                EndTask(what.job, task_state::kLapsed);
+                EndTask(what.job, task_state::kLeaseExpired);
               },
               [](const auto&) {},
           },
@@ -263,7 +263,7 @@
       }
       running_task& run = running_.at(task.job);
       if (now >= run.lease_end) {
-        task.state = task_state::kLapsed;
+        task.state = task_state::kLeaseExpired;
       } else if (now >= run.ends) {
         task.state = task_state::kFinished;
       }
--- a/tests/core/log/control_log_test.cc
+++ b/tests/core/log/control_log_test.cc
@@ -21,8 +21,8 @@
   // Both read generation 0 and publish through different entries. Both records
   // get into the log; the second operator must be told who was first.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
-  log_user two(&log, 2, "entry-2");
+  control_log_harness one(&log, 1, "entry-1");
+  control_log_harness two(&log, 2, "entry-2");
   one.Start();
   two.Start();
   one.Command(7, "ana", Publish(0));
@@ -42,10 +42,10 @@
   // the log for a while. It appends them again; the fold takes the first copy
   // only and the operator gets one answer, of that copy.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.next_result = append_result::kUnknown;
-  one.is_out = false;
+  one.is_down = false;
   one.Submit(Publish(0));
   CHECK(one.state().targets_version == 1);
 
@@ -90,9 +90,9 @@
 
 TEST_CASE("An operator publishes while the log is out") {
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
-  one.LoseLog();
+  one.DisconnectLog();
   one.Command(7, "ana", Publish(0));
   CHECK(one.answers.empty());
   one.Tick(6s);
@@ -102,7 +102,7 @@
 
   SECTION("and the change doesn't spring up when the log is back") {
     const std::size_t tried = one.appends.size();
-    one.is_out = false;
+    one.is_down = false;
     one.Settle();
     one.Tick(6s);
     CHECK(one.appends.size() == tried);
@@ -116,7 +116,7 @@
   // Following it would put an older configuration in force, so the entry keeps
   // what it has, goes on serving with it, writes nothing, and shows the fault.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.Command(1, "ana", Publish(0));
   one.Command(2, "ana", Publish(1));
@@ -125,11 +125,11 @@
   const record lost = records.back();
   records.pop_back();
   one.Settle();
-  CHECK(one.core->fault() == log_fault::kShorter);
+  CHECK(one.core->fault() == log_fault::kTruncated);
   CHECK_FALSE(one.core->log_readable());
   CHECK(one.core->caught_up());
   CHECK(one.state().offset == 2);
-  CHECK(one.notes.size() == 1);
+  CHECK(one.log_messages.size() == 1);
   one.Command(3, "ana", Publish(2));
   CHECK(one.answers.back().result == command_result::kUnknown);
   CHECK(records.size() == 1);
@@ -148,10 +148,10 @@
     taken.state = std::make_shared<const fleet_state>(one.state());
     taken.digest = Digest(one.state());
     log.Append(kSnapshotStream, {record{record_id("s"), "", taken}});
-    log_user last(&log, 3, "entry-3");
+    control_log_harness last(&log, 3, "entry-3");
     last.Start();
     CHECK(last.state().offset == 2);
-    CHECK(last.core->fault() == log_fault::kShorter);
+    CHECK(last.core->fault() == log_fault::kTruncated);
     CHECK_FALSE(last.core->caught_up());
   }
 
@@ -168,12 +168,12 @@
 
 TEST_CASE("Retention passes an entry by") {
   memory_log log;
-  log_user one(&log, 1, "entry-1");
-  log_user two(&log, 2, "entry-2");
+  control_log_harness one(&log, 1, "entry-1");
+  control_log_harness two(&log, 2, "entry-2");
   one.Start();
   one.Join();
   two.Start();
-  two.LoseLog();
+  two.DisconnectLog();
   constexpr int kPublications = 30;
   for (int i = 0; i < kPublications; ++i) {
     one.Tick(kLong);
@@ -183,7 +183,7 @@
   log.streams[kControlStream].begin = 15;
 
   SECTION("and it goes on from a newer snapshot") {
-    two.is_out = false;
+    two.is_down = false;
     two.Settle();
     CHECK(two.state() == one.state());
     CHECK(two.core->caught_up());
@@ -194,9 +194,9 @@
     // the others. It waits, shows why, and goes on when a snapshot comes.
     const auto snapshots = log.streams[kSnapshotStream];
     log.streams.erase(kSnapshotStream);
-    two.is_out = false;
+    two.is_down = false;
     two.Settle();
-    CHECK(two.core->fault() == log_fault::kCut);
+    CHECK(two.core->fault() == log_fault::kRetentionGap);
     CHECK(two.state().offset == 1);
     CHECK_FALSE(two.core->caught_up());
 
@@ -211,7 +211,7 @@
   // A joiner that trusted one would start from a state that nobody has. It
   // takes the newest good one, and reads no more of them than it has to.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.Join();
   for (int i = 0; i < 250; ++i) {
@@ -227,9 +227,9 @@
   }
   log.streams[kControlStream].begin = 10;
 
-  log_user two(&log, 2, "entry-2");
+  control_log_harness two(&log, 2, "entry-2");
   two.Start();
-  CHECK(two.HasNote("wrong digest") == (damaged > 0));
+  CHECK(two.HasLogMessage("wrong digest") == (damaged > 0));
   CHECK(two.snapshots_read <= 2 + 4 * damaged);
   CHECK(two.state() == one.state());
 }
@@ -241,7 +241,7 @@
   memory_log log;
   generation published = 0;
   for (std::uint64_t life = 1; life <= 12; ++life) {
-    log_user next(&log, life, "entry-" + std::to_string(life % 3));
+    control_log_harness next(&log, life, "entry-" + std::to_string(life % 3));
     next.Start();
     REQUIRE(next.state().targets_version == published);
     next.Join();
@@ -263,7 +263,7 @@
   // wasn't written. The entry's own records have to survive that, however often
   // it happens, and an operator's command isn't invalid because of it.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.next_result = append_result::kRejected;
   one.next_is_written = false;
@@ -287,7 +287,7 @@
   // One record is too large for the log, which refuses each append that holds
   // it. The others must get through.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.Submit(unknown_record{memory_log::kTooLarge});
   for (int i = 0; i < 20; ++i) {
@@ -303,11 +303,11 @@
   // A process of another fleet, or one that was expelled, says that its log
   // reaches far beyond ours. Believing it would make every entry unready.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
   one.Join();
-  one.HearOf(1000000, 5, incarnation{66});
-  one.HearOf(1, 5, incarnation{66});
+  one.ReceivePeerOffset(1000000, 5, incarnation{66});
+  one.ReceivePeerOffset(1, 5, incarnation{66});
   CHECK(one.core->caught_up());
   CHECK(one.core->divergent_peers().empty());
 }
@@ -316,14 +316,14 @@
   // Nine entries have a backlog when the log comes back. Each keeps to its rate
   // and starts at a time of its own.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
+  control_log_harness one(&log, 1, "entry-1");
   one.Start();
-  one.LoseLog();
+  one.DisconnectLog();
   for (int i = 0; i < 500; ++i) {
     one.Submit(Publish(i));
   }
   one.Tick(10s);
-  one.is_out = false;
+  one.is_down = false;
   one.appends.clear();
   one.Settle();
   for (int i = 0; i < 200; ++i) {
@@ -337,8 +337,8 @@
   // A fault in one entry's reducer or memory would let it plan VMs into pools
   // that the others don't know. Heartbeats carry digests at some offsets.
   memory_log log;
-  log_user one(&log, 1, "entry-1");
-  log_user two(&log, 2, "entry-2");
+  control_log_harness one(&log, 1, "entry-1");
+  control_log_harness two(&log, 2, "entry-2");
   one.Start();
   two.Start();
   two.Join();
@@ -352,25 +352,25 @@
   REQUIRE(digest == two.core->digest());
 
   SECTION("with a peer at the same offset") {
-    one.HearOf(kDigestInterval, digest, two.who);
+    one.ReceivePeerOffset(kDigestInterval, digest, two.who);
     CHECK(one.core->divergent_peers().empty());
-    one.HearOf(kDigestInterval, digest + 1, two.who);
-    one.HearOf(kDigestInterval, digest + 1, two.who);
+    one.ReceivePeerOffset(kDigestInterval, digest + 1, two.who);
+    one.ReceivePeerOffset(kDigestInterval, digest + 1, two.who);
     CHECK(one.core->divergent_peers().size() == 1);
-    CHECK(one.notes.size() == 1);
+    CHECK(one.log_messages.size() == 1);
   }
 
   SECTION("with a peer that is behind") {
     one.Command(2, "ana", Publish(one.state().targets_version));
-    one.HearOf(kDigestInterval, digest, two.who);
-    one.HearOf(kDigestInterval - 1, 0, two.who);
+    one.ReceivePeerOffset(kDigestInterval, digest, two.who);
+    one.ReceivePeerOffset(kDigestInterval - 1, 0, two.who);
     CHECK(one.core->divergent_peers().empty());
-    one.HearOf(kDigestInterval, digest + 1, two.who);
+    one.ReceivePeerOffset(kDigestInterval, digest + 1, two.who);
     CHECK(one.core->divergent_peers().contains(two.who));
   }
 
   SECTION("with a peer that is ahead, once they get there") {
-    one.HearOf(2 * kDigestInterval, 12345, two.who);
+    one.ReceivePeerOffset(2 * kDigestInterval, 12345, two.who);
     CHECK_FALSE(one.core->caught_up());
     while (one.state().offset < 2 * kDigestInterval) {
       one.Command(2, "ana", Publish(one.state().targets_version));
--- a/tests/core/log/fold_property_test.cc
+++ b/tests/core/log/fold_property_test.cc
@@ -16,9 +16,9 @@
 namespace {
 
 // Draws records about a few names, so that they meet and conflict.
-class record_source {
+class record_generator {
  public:
-  explicit record_source(std::uint64_t seed) : random_(seed) {}
+  explicit record_generator(std::uint64_t seed) : random_(seed) {}
 
   // Returns a record that fits `state` more often than not.
   log_entry Draw(const fleet_state& state) {
@@ -111,7 +111,7 @@
                           static_cast<wave_state>(Choose(4)), ""};
   }
   record_body Job(const fleet_state& state) {
-    job_spec spec;
+    job_requirements spec;
     spec.name = Name<job_id>("job");
     spec.pool = Name<pool_id>("pool");
     if (Choose(3) == 0) {
@@ -120,7 +120,7 @@
     return set_job_state{Choose(2) * Epoch(state),
                          spec.name,
                          Expected(state.jobs, spec.name),
-                         static_cast<job_state>(Choose(6)),
+                         static_cast<job_status>(Choose(6)),
                          Name<vm_id>("vm"),
                          operation_id(),
                          ""};
@@ -154,7 +154,7 @@
 };
 
 std::vector<log_entry> DrawLog(std::uint64_t seed, int records) {
-  record_source source(seed);
+  record_generator source(seed);
   fleet_state state;
   std::vector<log_entry> log;
   for (int i = 0; i < records; ++i) {
@@ -167,7 +167,7 @@
 constexpr int kRecords = 400;
 
 // What is left of a state without the marks that each record leaves.
-fleet_state WithoutMarks(fleet_state state) {
+fleet_state WithoutPositions(fleet_state state) {
   state.offset = 0;
   state.writers.clear();
   return state;
@@ -249,7 +249,7 @@
       RC_ASSERT(state.lease.epoch >= before.lease.epoch);
       RC_ASSERT(state.targets_version >= before.targets_version);
       if (result.outcome != fold_outcome::kApplied) {
-        RC_ASSERT(WithoutMarks(state) == WithoutMarks(before));
+        RC_ASSERT(WithoutPositions(state) == WithoutPositions(before));
       }
       CheckMembers(state);
       CheckVms(before, state, entry.content.body, greatest);
--- a/tests/core/log/fold_test.cc
+++ b/tests/core/log/fold_test.cc
@@ -100,7 +100,7 @@
         fold_outcome::kDuplicate);
   CHECK(log.WriteAs(id(2), join).outcome == fold_outcome::kDuplicate);
   CHECK(log.state.members.size() == 2);
-  CHECK(log.state.writers.at(kSecond) == writer_mark{2, 2});
+  CHECK(log.state.writers.at(kSecond) == writer_position{2, 2});
 }
 
 TEST_CASE("An entry that isn't the next one is refused") {
@@ -236,49 +236,49 @@
   log.Prepare();
   const vm_id vm("vm-1");
   log.Write(assign_vm{1, vm, 0, pool_id("red"), ""});
-  job_spec spec;
+  job_requirements spec;
   spec.name = job_id("tiles");
   spec.pool = pool_id("red");
   log.Write(submit_job{spec}, "ana");
-  const auto set = [&](lease_epoch epoch, job_state state) {
+  const auto set = [&](lease_epoch epoch, job_status state) {
     return log
         .Write(set_job_state{epoch, spec.name,
                              log.state.jobs.at(spec.name).version, state, vm,
                              operation_id(), ""})
         .outcome;
   };
-  CHECK(set(0, job_state::kPlaced) == fold_outcome::kIgnored);
-  CHECK(set(1, job_state::kPlaced) == fold_outcome::kApplied);
-  CHECK(set(1, job_state::kWaiting) == fold_outcome::kApplied);
+  CHECK(set(0, job_status::kPlaced) == fold_outcome::kIgnored);
+  CHECK(set(1, job_status::kPlaced) == fold_outcome::kApplied);
+  CHECK(set(1, job_status::kWaiting) == fold_outcome::kApplied);
   CHECK(log.state.jobs.at(spec.name).failures == 1);
-  CHECK(set(1, job_state::kParked) == fold_outcome::kApplied);
+  CHECK(set(1, job_status::kParked) == fold_outcome::kApplied);
 
   SECTION("and an operator frees it") {
-    CHECK(set(0, job_state::kWaiting) == fold_outcome::kApplied);
+    CHECK(set(0, job_status::kWaiting) == fold_outcome::kApplied);
     CHECK(log.state.jobs.at(spec.name).failures == 0);
   }
 
   SECTION("and its worker is quarantined, which refuses new jobs") {
     log.Write(set_quarantine{0, vm, log.state.vms.at(vm).version, true, ""},
               "ana");
-    set(0, job_state::kWaiting);
-    CHECK(set(1, job_state::kPlaced) == fold_outcome::kConflict);
+    set(0, job_status::kWaiting);
+    CHECK(set(1, job_status::kPlaced) == fold_outcome::kConflict);
   }
 }
 
 TEST_CASE("Ended jobs are forgotten, the oldest first") {
   log_writer log;
   log.Prepare();
-  for (std::size_t i = 0; i <= kRememberedJobs; ++i) {
-    job_spec spec;
+  for (std::size_t i = 0; i <= kRetainedEndedJobs; ++i) {
+    job_requirements spec;
     spec.name = job_id("job-" + std::to_string(i));
     spec.pool = pool_id("red");
     log.Write(submit_job{spec});
     log.Write(set_job_state{0, spec.name, log.state.offset,
-                            job_state::kCancelled, vm_id(), operation_id(),
+                            job_status::kCancelled, vm_id(), operation_id(),
                             ""});
   }
-  CHECK(log.state.jobs.size() == kRememberedJobs);
+  CHECK(log.state.jobs.size() == kRetainedEndedJobs);
   CHECK_FALSE(log.state.jobs.contains(job_id("job-0")));
 }
 
@@ -287,14 +287,14 @@
   log_writer log;
   log.Prepare();
   fold_result last;
-  for (std::size_t i = 0; i <= kMostJobs; ++i) {
-    job_spec spec;
+  for (std::size_t i = 0; i <= kMaxJobs; ++i) {
+    job_requirements spec;
     spec.name = job_id("job-" + std::to_string(i));
     spec.pool = pool_id("red");
     last = log.Write(submit_job{spec});
   }
   CHECK(last.outcome == fold_outcome::kConflict);
-  CHECK(log.state.jobs.size() == kMostJobs);
+  CHECK(log.state.jobs.size() == kMaxJobs);
 }
 
 TEST_CASE("Records that don't belong are skipped") {
--- a/tests/core/log/lease_test.cc
+++ b/tests/core/log/lease_test.cc
@@ -227,7 +227,7 @@
   const bool holds = rc::check([](std::uint64_t seed) {
     planner_lease_settings settings;
     settings.margin = 0s;
-    settings.take_spread = 100ms;
+    settings.take_jitter = 100ms;
     fleet three(3, settings, seed);
     random_source random(seed);
     constexpr int kSteps = 20000;
--- a/tests/core/log/memory_log.h
+++ b/tests/core/log/memory_log.h
@@ -60,9 +60,11 @@
 };
 
 // An entry's control_log with an adapter that carries its actions out at once.
-class log_user {
+class control_log_harness {
  public:
-  log_user(memory_log* log, std::uint64_t self, const std::string& name)
+  control_log_harness(memory_log* log,
+                      std::uint64_t self,
+                      const std::string& name)
       : log_(log), random_(self), who{self} {
     control_log_settings settings;
     settings.name = entry_id(name);
@@ -96,18 +98,20 @@
     Do([&](effects& out) { core->OnTick(now, out); });
     Settle();
   }
-  void HearOf(log_offset offset, std::uint64_t digest, incarnation from) {
+  void ReceivePeerOffset(log_offset offset,
+                         std::uint64_t digest,
+                         incarnation from) {
     Do([&](effects& out) { core->OnPeerOffset(offset, digest, from, out); });
   }
-  void LoseLog() {
-    is_out = true;
+  void DisconnectLog() {
+    is_down = true;
     const log_unavailable event{kControlStream, "timeout"};
     Do([&](effects& out) { core->OnLogUnavailable(now, event, out); });
   }
   // Reads on until nothing new comes.
   void Settle() {
     constexpr int kRounds = 20;
-    for (int round = 0; round < kRounds && !is_out; ++round) {
+    for (int round = 0; round < kRounds && !is_down; ++round) {
       const auto followed = followed_;
       for (const auto& [name, after] : followed) {
         Read(name, after);
@@ -125,10 +129,11 @@
     Do([&](effects& out) { core->OnLogRead(now, event, out); });
   }
 
-  bool HasNote(const std::string& part) const {
-    return std::any_of(notes.begin(), notes.end(), [&](const auto& note) {
-      return note.message.find(part) != std::string::npos;
-    });
+  bool HasLogMessage(const std::string& part) const {
+    return std::any_of(log_messages.begin(), log_messages.end(),
+                       [&](const auto& note) {
+                         return note.message.find(part) != std::string::npos;
+                       });
   }
 
   const fleet_state& state() const { return core->state(); }
@@ -139,12 +144,12 @@
   incarnation who;
   std::optional<control_log> core;
   time_point now{};
-  bool is_out = false;
+  bool is_down = false;
   // How the next append ends and whether its records are written.
   append_result next_result = append_result::kAppended;
   bool next_is_written = true;
   std::vector<answer_operator> answers;
-  std::vector<write_note> notes;
+  std::vector<write_log_message> log_messages;
   std::vector<append_records> appends;
   std::size_t snapshots_read = 0;
 
@@ -154,22 +159,23 @@
     effects out;
     call(out);
     for (action& item : out.actions) {
-      std::visit([&](auto& body) { CarryOut(body); }, item);
+      std::visit([&](auto& body) { Execute(body); }, item);
     }
   }
   template <typename Action>
-  void CarryOut(Action& /*item*/) {}
-  void CarryOut(answer_operator& item) { answers.push_back(item); }
-  void CarryOut(write_note& item) { notes.push_back(item); }
-  void CarryOut(follow_stream& item) { followed_[item.stream] = item.after; }
-  void CarryOut(unfollow_stream& item) { followed_.erase(item.stream); }
-  void CarryOut(append_records& item) {
+  void Execute(Action& /*item*/) {}
+  void Execute(answer_operator& item) { answers.push_back(item); }
+  void Execute(write_log_message& item) { log_messages.push_back(item); }
+  void Execute(follow_stream& item) { followed_[item.stream] = item.after; }
+  void Execute(unfollow_stream& item) { followed_.erase(item.stream); }
+  void Execute(append_records& item) {
     appends.push_back(item);
-    const append_result result = is_out ? append_result::kUnknown : next_result;
+    const append_result result =
+        is_down ? append_result::kUnknown : next_result;
     append_finished event{item.append, result, 0};
-    if (!is_out && !memory_log::Takes(item.records)) {
+    if (!is_down && !memory_log::Takes(item.records)) {
       event.result = append_result::kRejected;
-    } else if (next_is_written && !is_out) {
+    } else if (next_is_written && !is_down) {
       event.first = log_->Append(item.stream, item.records);
     }
     Do([&](effects& out) { core->OnAppendFinished(now, event, out); });
--- a/tests/core/requests/endpoint_table_test.cc
+++ b/tests/core/requests/endpoint_table_test.cc
@@ -96,7 +96,7 @@
 TEST_CASE("An endpoint takes new work only if nothing speaks against it") {
   request_harness world;
   world.AddEndpoint("runner-1", "suwon");
-  vm_state& state = world.fleet.vms[vm_id("runner-1")];
+  fleet_vm& state = world.fleet.vms[vm_id("runner-1")];
   bool expected = false;
 
   SECTION("neither the list nor the fold") {
--- a/tests/core/requests/golden_session_test.cc
+++ b/tests/core/requests/golden_session_test.cc
@@ -21,7 +21,7 @@
             [&](const request_arrived& item) {
               core_.OnArrival(item, Context(), now_, out);
             },
-            [&](const caller_gone& item) {
+            [&](const caller_disconnected& item) {
               core_.OnCallerGone(item, Context(), now_, out);
             },
             [&](const peer_disconnected& item) {
@@ -216,7 +216,7 @@
 void Drain(request_session& session) {
   session.Title("The VM here drains: what runs ends, new work goes elsewhere");
   session.Arrive(5, "GET", "/petitions/9");
-  const vm_state near = session.fleet().vms.at(vm_id("near"));
+  const fleet_vm near = session.fleet().vms.at(vm_id("near"));
   set_vm_phase drain;
   drain.epoch = session.fleet().lease.epoch;
   drain.vm = vm_id("near");
--- a/tests/core/requests/session_text.h
+++ b/tests/core/requests/session_text.h
@@ -88,7 +88,7 @@
         return "request_arrived " + Digits(item.sequence) + ": " +
                Text(item.request);
       },
-      [](const caller_gone& item) {
+      [](const caller_disconnected& item) {
         return "caller_gone " + Digits(item.sequence);
       },
       [](const frame_received& item) {
@@ -185,7 +185,7 @@
         return std::string("set_ready ") + (item.ready ? "yes" : "no: ") +
                item.reason;
       },
-      [](const write_note& item) {
+      [](const write_log_message& item) {
         return "write_note " + std::string(NameOf(item.level)) + ": " +
                item.message;
       },
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -71,7 +71,7 @@
     REQUIRE_FALSE(record);
     CHECK(record.fault().field.rfind(change.place, 0) == 0);
   }
-  for (const std::string& text : testing::BrokenTexts(*sound.value)) {
+  for (const std::string& text : testing::MalformedTexts(*sound.value)) {
     CHECK_FALSE(decode({sound.key, text}));
   }
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -16,14 +16,16 @@
 
 /// Bounds each read and accept, so that a test whose peer stays silent fails
 /// instead of hanging.
-inline void BoundWaits(int socket) {
+inline void SetReceiveTimeout(int socket) {
   const timeval most = {20, 0};
   setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof(most));
 }
 
 class raw_connection {
  public:
-  explicit raw_connection(int socket) : socket_(socket) { BoundWaits(socket); }
+  explicit raw_connection(int socket) : socket_(socket) {
+    SetReceiveTimeout(socket);
+  }
   raw_connection(raw_connection&& other) noexcept
       : socket_(std::exchange(other.socket_, -1)) {}
   raw_connection& operator=(raw_connection&&) = delete;
@@ -103,7 +105,7 @@
     bind(socket_, reinterpret_cast<const sockaddr*>(&address), size);
     getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size);
     port_ = ntohs(address.sin_port);
-    BoundWaits(socket_);
+    SetReceiveTimeout(socket_);
     listen(socket_, 16);
   }
   raw_listener(const raw_listener&) = delete;
--- a/tests/observe/logging_test.cc
+++ b/tests/observe/logging_test.cc
@@ -24,7 +24,7 @@
 
   SECTION("with time, level, message and fields") {
     const json line =
-        json::parse(MakeLogLine(time, core::note_level::kWarning, "late",
+        json::parse(MakeLogLine(time, core::log_severity::kWarning, "late",
                                 {{"class", "urgent"}, {"level", "7"}}));
     CHECK(line["time"] == "1970-01-01T00:00:01.500000Z");
     CHECK(line["level"] == "warning");
@@ -34,7 +34,7 @@
   }
 
   SECTION("of plain ASCII, whatever bytes a peer has sent") {
-    const std::string line = MakeLogLine(time, core::note_level::kInfo,
+    const std::string line = MakeLogLine(time, core::log_severity::kInfo,
                                          "a\nb\xff\"", {{"k\x01", "한"}});
     CHECK(json::accept(line));
     for (const char character : line) {
@@ -48,12 +48,13 @@
   const std::filesystem::path path =
       std::filesystem::temp_directory_path() /
       ("plantainhead-log-" + std::to_string(std::random_device()()));
-  ConfigureLogging(core::note_level::kInfo, path.string());
-  WriteLog(core::note_level::kDebug, "left out");
-  WriteLog(core::note_level::kInfo, "first");
-  WriteLog(core::write_note{core::note_level::kError, "second", {{"a", "b"}}});
+  ConfigureLogging(core::log_severity::kInfo, path.string());
+  WriteLog(core::log_severity::kDebug, "left out");
+  WriteLog(core::log_severity::kInfo, "first");
+  WriteLog(core::write_log_message{
+      core::log_severity::kError, "second", {{"a", "b"}}});
   StopLogging();
-  WriteLog(core::note_level::kError, "after the end");
+  WriteLog(core::log_severity::kError, "after the end");
 
   std::ifstream file(path);
   std::vector<std::string> messages;
@@ -65,7 +66,7 @@
 }
 
 TEST_CASE("A log file that can't be opened is told at once") {
-  CHECK_THROWS_AS(ConfigureLogging(core::note_level::kInfo, "/nowhere/a.log"),
+  CHECK_THROWS_AS(ConfigureLogging(core::log_severity::kInfo, "/nowhere/a.log"),
                   std::system_error);
 }
 
--- a/tests/operators/control_test.cc
+++ b/tests/operators/control_test.cc
@@ -204,7 +204,7 @@
     CHECK(run.SubmitJob(job) == exit_code::kOk);
     CHECK(run.ChangeJob("j1", "cancel", "") == exit_code::kOk);
     CHECK(fleet.entry.state.jobs.at(core::job_id("j1")).state ==
-          core::job_state::kCancelled);
+          core::job_status::kCancelled);
   }
 
   // The pause is carried out, its answer is lost, and another operator resumes
--- a/tests/operators/routes_test.cc
+++ b/tests/operators/routes_test.cc
@@ -106,7 +106,7 @@
   }
 
   SECTION("that is paused, at the version that the entry has seen") {
-    core::wave_progress& wave = entry.state.waves[core::wave_id("w1")];
+    core::fleet_wave& wave = entry.state.waves[core::wave_id("w1")];
     wave.version = 7;
     CHECK(entry.Ask("POST", "/v1/waves/w1/pause", R"({"reason":"storm"})")
               .status == 200);
@@ -133,7 +133,7 @@
             "processors":4,"declared_run_time":"2h","urgent":true})");
 
     CHECK(answer.status == 200);
-    const core::job_spec& spec =
+    const core::job_requirements& spec =
         std::get<core::submit_job>(entry.commands.at(0)).spec;
     CHECK(spec.processors == 4);
     CHECK(spec.declared_run_time == std::chrono::hours(2));
--- a/tests/platform/fleet_model_test.cc
+++ b/tests/platform/fleet_model_test.cc
@@ -101,9 +101,9 @@
   CHECK(TaskAt(kStart + 18s).state == task_state::kRunning);
   CHECK(Run("o3", renew_task{kJob, kVm, 10s}, kStart + 19s) ==
         operation_progress::kRefused);
-  CHECK(TaskAt(kStart + 19s).state == task_state::kLapsed);
+  CHECK(TaskAt(kStart + 19s).state == task_state::kLeaseExpired);
   CHECK(StartTask("o1", kStart + 20s) == operation_progress::kDone);
-  CHECK(TaskAt(kStart + 20s).state == task_state::kLapsed);
+  CHECK(TaskAt(kStart + 20s).state == task_state::kLeaseExpired);
   CHECK(StartTask("o4", kStart + 20s) == operation_progress::kDone);
   CHECK(TaskAt(kStart + 20s).started_by == operation_id("o4"));
 }
--- a/tests/platform/record_codec_test.cc
+++ b/tests/platform/record_codec_test.cc
@@ -50,18 +50,18 @@
   state.waves[wave_id("w")] = {
       {pool_id("a")}, kAt,     wave_state::kPaused, 2, {vm_id("vm-1")},
       "ann",          "budget"};
-  job_spec spec{job_id("j"),
-                team_id("t"),
-                pool_id("a"),
-                4,
-                512,
-                1,
-                std::chrono::seconds(9),
-                kAt,
-                true};
+  job_requirements spec{job_id("j"),
+                        team_id("t"),
+                        pool_id("a"),
+                        4,
+                        512,
+                        1,
+                        std::chrono::seconds(9),
+                        kAt,
+                        true};
   state.jobs[job_id("j")] = {
-      spec, job_state::kParked, 4,    vm_id("vm-1"), operation_id("o2"),
-      3,    "fails everywhere", "bob"};
+      spec, job_status::kParked, 4,    vm_id("vm-1"), operation_id("o2"),
+      3,    "fails everywhere",  "bob"};
   state.ledgers[class_name("c")].Add(kAt, {{1, 2, 3, 4, 5}});
   state.departed = {{kAnn, 4}};
   state.ended_waves = {{8, wave_id("v")}};
@@ -73,15 +73,15 @@
 }
 
 std::vector<record_body> AllBodies() {
-  const job_spec spec{job_id("j"),
-                      team_id("t"),
-                      pool_id("a"),
-                      4,
-                      512,
-                      1,
-                      std::chrono::seconds(9),
-                      kAt,
-                      true};
+  const job_requirements spec{job_id("j"),
+                              team_id("t"),
+                              pool_id("a"),
+                              4,
+                              512,
+                              1,
+                              std::chrono::seconds(9),
+                              kAt,
+                              true};
   return {
       publish_configuration{Targets(), 6},
       join_entry{kAnn, entry_id("e1"), zone_id("z"), "10.0.0.1", 7000, 8000},
@@ -97,7 +97,7 @@
       start_wave{wave_id("w"), {pool_id("a"), pool_id("b")}, kAt},
       set_wave_state{4, wave_id("w"), 2, wave_state::kCancelled, "operator"},
       submit_job{spec},
-      set_job_state{4, job_id("j"), 2, job_state::kCheckpointing, vm_id("vm"),
+      set_job_state{4, job_id("j"), 2, job_status::kCheckpointing, vm_id("vm"),
                     operation_id("o"), "move"},
       set_quarantine{4, vm_id("vm"), 2, true, "fails all"},
       count_requests{kBob, kAt, {{class_name("c"), {{1, 2, 3, 4, 5}}}}},
--- a/tests/record_mutations.h
+++ b/tests/record_mutations.h
@@ -82,7 +82,7 @@
 }
 
 /// Returns texts that are no record of any kind.
-inline std::vector<std::string> BrokenTexts(const std::string& sound) {
+inline std::vector<std::string> MalformedTexts(const std::string& valid) {
   constexpr std::size_t kDeep = 1'000'000;
   return {"",
           " ",
@@ -92,8 +92,8 @@
           "\"text\"",
           std::string(1, '\0'),
           "\xff\xfe",
-          sound.substr(0, sound.size() / 2),
-          sound + "x",
+          valid.substr(0, valid.size() / 2),
+          valid + "x",
           "{\"a\":\"\xc3\x28\"}",
           std::string(kDeep, '['),
           std::string(kDeep, '[') + std::string(kDeep, ']'),
--- a/tests/settings/targets_test.cc
+++ b/tests/settings/targets_test.cc
@@ -56,7 +56,8 @@
       CHECK(ToString(error.findings()[0]) ==
             "t.yaml:3:5: service 'intake' names pool 'nowhere', which isn't "
             "defined");
-      CHECK(error.findings()[1].place == core::source_place{"t.yaml", 7, 13});
+      CHECK(error.findings()[1].place ==
+            core::source_location{"t.yaml", 7, 13});
       CHECK(ToString(error.findings()[2]) ==
             "t.yaml:10:5: 'classes[0].can-wiat' is not known; did you mean "
             "'can-wait'?");
--- a/tools/daemon_main.h
+++ b/tools/daemon_main.h
@@ -20,7 +20,7 @@
 
 /// Where a daemon logs to, as `observe::ConfigureLogging` has it.
 struct log_target {
-  core::note_level level = core::note_level::kInfo;
+  core::log_severity level = core::log_severity::kInfo;
   std::string file = "-";
 };
 
--- a/tools/plantain_load.cc
+++ b/tools/plantain_load.cc
@@ -87,8 +87,8 @@
   }
   if (!all.class_file.empty()) {
     for (const YAML::Node& node : YAML::LoadFile(all.class_file)) {
-      const core::source_place place = {all.class_file, node.Mark().line + 1,
-                                        node.Mark().column + 1};
+      const core::source_location place = {all.class_file, node.Mark().line + 1,
+                                           node.Mark().column + 1};
       classes.push_back(caller::ParseLoadClass(
           node.as<std::map<std::string, std::string>>(), place));
     }
