--- a/include/plantainhead/core/configuration.h
+++ b/include/plantainhead/core/configuration.h
@@ -12,20 +12,24 @@
 
 namespace plantainhead::core {
 
-/// What operators promise for one class of work. There are no weights: the
-/// system works out from these how much each class gets.
+/// The service-level objective of one class of requests. Operators set no
+/// weights: the system derives each class's share of the capacity from these
+/// objectives.
 struct work_class {
   class_name name;
   service_name service;
-  /// Share of the requests that must be served in time, in (0, 1].
+  /// Fraction of requests that must be served within `within`, in (0, 1].
   double served = 0.99;
-  /// Time from arrival to whole answer within which a request counts as served.
+  /// Greatest time from arrival to the complete response for a request to count
+  /// as served.
   duration within = std::chrono::seconds(1);
-  /// Share of requests that may go unserved over `window`, in [0, 1).
+  /// Fraction of requests that may go unserved over `window`, in [0, 1): the
+  /// error budget.
   double unavailability = 0.01;
-  /// Period over which the budget is counted.
+  /// Period over which the error budget is measured.
   duration window = std::chrono::hours(24 * 30);
-  /// True for work that may wait behind other classes but must finish.
+  /// True for requests that may be queued behind other classes but must
+  /// complete eventually.
   bool can_wait = false;
 
   friend bool operator==(const work_class&, const work_class&) = default;
@@ -39,17 +43,18 @@
   friend bool operator==(const service_spec&, const service_spec&) = default;
 };
 
-/// A pool of VMs and the team that it counts against.
+/// A pool of VMs and the team whose quota it is charged to.
 struct pool_spec {
   pool_id name;
   team_id team;
-  /// Fewest VMs that the pool keeps, whatever the demand.
+  /// Minimum number of VMs in the pool, regardless of demand.
   std::uint32_t min_vms = 0;
 
   friend bool operator==(const pool_spec&, const pool_spec&) = default;
 };
 
-/// The most that all pools and jobs of one team may hold.
+/// Resource quota of one team: the maximum that all its pools and jobs may use
+/// together.
 struct team_spec {
   team_id name;
   std::uint32_t vms = 0;
@@ -58,8 +63,9 @@
   friend bool operator==(const team_spec&, const team_spec&) = default;
 };
 
-/// How much each measure matters to the operators, as published priorities of
-/// the measures (never weights on classes). Greater matters more.
+/// Relative priorities of the optimization objectives, set by operators. They
+/// rank objectives and never weigh classes against each other. A greater value
+/// means a higher priority.
 struct objective_priorities {
   double buffer_cost = 1.0;
   double roll_out_time = 1.0;
@@ -69,7 +75,8 @@
                          const objective_priorities&) = default;
 };
 
-/// All that operators publish as targets; replaced as a whole.
+/// The complete set of targets that operators publish. Each publication
+/// replaces the whole configuration.
 struct configuration {
   std::vector<service_spec> services;
   std::vector<work_class> classes;
@@ -77,18 +84,18 @@
   std::vector<team_spec> teams;
   objective_priorities priorities;
 
-  /// Returns the class called `name`, or null.
-  /// Thread safety: safe from any thread while nobody writes.
+  /// Returns the class named `name`, or null. Thread safety: safe from any
+  /// thread while no thread writes.
   const work_class* FindClass(const class_name& name) const;
 
-  /// Returns the service called `name`, or null.
-  /// Thread safety: safe from any thread while nobody writes.
+  /// Returns the service named `name`, or null. Thread safety: safe from any
+  /// thread while no thread writes.
   const service_spec* FindService(const service_name& name) const;
 
   friend bool operator==(const configuration&, const configuration&) = default;
 };
 
-/// Collects the parts of a configuration and checks them together.
+/// Builds a configuration from its parts and validates them together.
 ///
 ///     configuration targets = configuration_builder()
 ///                                 .AddPool({pool_id("casework")})
@@ -99,18 +106,21 @@
 /// Thread safety: none.
 class configuration_builder {
  public:
-  /// Each part is kept with the place where it was read, for findings.
+  /// Each part is stored with the source location it was read from, which its
+  /// findings report.
   configuration_builder& AddService(service_spec spec, source_location at = {});
   configuration_builder& AddClass(work_class spec, source_location at = {});
   configuration_builder& AddPool(pool_spec spec, source_location at = {});
   configuration_builder& AddTeam(team_spec spec, source_location at = {});
   configuration_builder& SetPriorities(objective_priorities priorities);
 
-  /// Returns all that is wrong with what was added: empty and repeated names,
-  /// references to things that aren't there, shares and times out of range.
+  /// Returns all validation errors in the parts added so far: empty and
+  /// duplicate names, references to undefined objects, and fractions and
+  /// durations out of range.
   std::vector<finding> Check() const;
 
-  /// Returns the configuration. Throws `findings_error` with all of `Check()`.
+  /// Returns the configuration. Throws `findings_error` with all findings of
+  /// `Check()` if there are any.
   configuration Build() const;
 
  private:
--- a/include/plantainhead/core/findings.h
+++ b/include/plantainhead/core/findings.h
@@ -7,8 +7,8 @@
 
 namespace plantainhead::core {
 
-/// Where something was found: a file with line and column from 1, or 0 where
-/// the place has none.
+/// Source location of a finding: a file with 1-based line and column, or 0
+/// where the location has none.
 struct source_location {
   std::string file;
   int line = 0;
@@ -18,7 +18,7 @@
                          const source_location&) = default;
 };
 
-/// One thing that is wrong with an input, and what to do about it.
+/// One validation error in an input, with advice on how to correct it.
 struct finding {
   source_location place;
   std::string message;
@@ -26,15 +26,15 @@
   friend bool operator==(const finding&, const finding&) = default;
 };
 
-/// Returns "file:line:column: message".
-/// Thread safety: safe from any thread.
+/// Returns the finding formatted as "file:line:column: message". Thread safety:
+/// safe from any thread.
 std::string ToString(const finding& item);
 
-/// Thrown by builders and parsers once the whole input has been read, with all
-/// that was found in it. `what()` has a line for each finding.
+/// Thrown by builders and parsers after the whole input has been read, with all
+/// findings. `what()` has one line for each finding.
 class findings_error : public std::runtime_error {
  public:
-  /// Precondition: `findings` isn't empty.
+  /// Precondition: `findings` is not empty.
   explicit findings_error(std::vector<finding> findings);
 
   /// Thread safety: safe from any thread.
--- a/include/plantainhead/core/ids.h
+++ b/include/plantainhead/core/ids.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <utility>
 
-/// Names and numbers of the things that plantainhead manages. Each kind has a
-/// type of its own, so that a pool can't be passed where a VM is meant.
+/// Identifiers of the objects that plantainhead manages. Each kind has its own
+/// type, so that for example a pool cannot be passed where a VM is expected.
 namespace plantainhead::core {
 
-/// A name of one kind of thing. `Tag` makes the kinds distinct.
-/// Thread safety: as safe as `std::string`.
+/// A string identifier for one kind of object. `Tag` makes the kinds distinct
+/// types. Thread safety: the same as `std::string`.
 template <typename Tag>
 class basic_id {
  public:
@@ -22,7 +22,7 @@
   const std::string& value() const { return value_; }
   bool empty() const { return value_.empty(); }
 
-  // clang-tidy 14 takes the 0 that the compiler writes into the defaulted
+  // clang-tidy 14 mistakes the 0 that the compiler writes into the defaulted
   // operator for a null pointer, and reports it on this line.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   friend auto operator<=>(const basic_id&, const basic_id&) = default;
@@ -43,39 +43,44 @@
 using entry_id = basic_id<struct entry_tag>;
 using wave_id = basic_id<struct wave_tag>;
 using job_id = basic_id<struct job_tag>;
-/// Identifies one action at the platform; sending it twice acts once.
+/// Identifies one platform operation. Operations are idempotent by this id:
+/// sending one twice executes it once.
 using operation_id = basic_id<struct operation_tag>;
-/// Identifies one record of the log; the fold drops a second copy.
+/// Identifies one log record. A second copy of a record is ignored when the log
+/// is applied.
 using record_id = basic_id<struct record_tag>;
-/// A stream of the platform's log.
+/// Names a stream of the platform's log.
 using stream_name = basic_id<struct stream_tag>;
-/// A caller's identity joined with its `Idempotency-Key`.
+/// A caller's identity combined with its `Idempotency-Key`.
 using claim_key = basic_id<struct claim_tag>;
 
-/// One life of one entry process: a random number drawn at its start.
+/// Identifies one run of one entry process: a random number drawn at process
+/// start.
 enum class incarnation : std::uint64_t { kNone = 0 };
 
-/// Position of a record in a stream. The first record has offset 1, so 0 means
-/// "nothing applied yet".
+/// Position of a record in a stream. The first record has offset 1; 0 means
+/// that no record has been applied.
 using log_offset = std::uint64_t;
 
-/// Counts the changes of one object; a change names the one that it expects.
+/// Version number of one object, incremented by each change. A change names the
+/// generation that it expects (optimistic concurrency control).
 using generation = std::uint64_t;
 
-/// Counts the holders of the planner lease.
+/// Epoch of the planner lease, incremented each time the lease is taken.
 using lease_epoch = std::uint64_t;
 
-/// Identifies a request from its arrival to its answer. The incarnation makes
-/// an answer that was meant for an earlier life of the entry match nothing.
+/// Identifies a request from arrival to response. Because it includes the
+/// incarnation, a response meant for an earlier run of the entry matches no
+/// current request.
 struct request_id {
   incarnation entry = incarnation::kNone;
   std::uint64_t sequence = 0;
 
-  // As in basic_id. NOLINTNEXTLINE(modernize-use-nullptr)
+  // See basic_id. NOLINTNEXTLINE(modernize-use-nullptr)
   friend auto operator<=>(const request_id&, const request_id&) = default;
 };
 
-/// Identifies one attempt at an endpoint, within one entry process.
+/// Identifies one call to an endpoint, within one entry process.
 enum class call_id : std::uint64_t { kNone = 0 };
 
 /// Identifies one append to the log, within one entry process.
--- a/include/plantainhead/core/names.h
+++ b/include/plantainhead/core/names.h
@@ -9,9 +9,9 @@
 
 namespace plantainhead::core {
 
-/// A table of the names of an enumeration's values. Each enumeration `E` that
-/// is read or written as text has an overload `NamesOf(E)` that returns its
-/// table.
+/// Table that maps the values of an enumeration to their names. Each
+/// enumeration `E` that is read or written as text has an overload `NamesOf(E)`
+/// that returns its table.
 template <typename E, std::size_t N>
 using name_table = std::array<std::pair<E, std::string_view>, N>;
 
@@ -27,8 +27,8 @@
   return "?";
 }
 
-/// Returns the value that is called `name`, or nothing.
-/// Thread safety: safe from any thread.
+/// Returns the value named `name`, or `nullopt` if there is none. Thread
+/// safety: safe from any thread.
 template <typename E>
 std::optional<E> FromName(std::string_view name) {
   for (const auto& [entry, entry_name] : NamesOf(E{})) {
--- a/include/plantainhead/core/platform_types.h
+++ b/include/plantainhead/core/platform_types.h
@@ -10,10 +10,10 @@
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
-/// What the platform tells and does.
+/// Types of the platform interface: VM and task listings, and operations.
 namespace plantainhead::core {
 
-/// What the platform's lagging list says of a VM.
+/// State of a VM in the platform's VM list, which lags behind the actual state.
 enum class vm_listing_state { kLive, kLeaving };
 
 inline constexpr name_table<vm_listing_state, 2> kVmListingStateNames = {{
@@ -24,7 +24,7 @@
   return kVmListingStateNames;
 }
 
-/// One VM of the platform's list. A VM serves at most one endpoint.
+/// One entry of the platform's VM list. A VM serves at most one endpoint.
 struct vm_listing {
   vm_id vm;
   vm_listing_state state = vm_listing_state::kLive;
@@ -34,19 +34,20 @@
   std::uint32_t processors = 0;
   std::uint32_t memory_mb = 0;
   std::uint32_t accelerators = 0;
-  /// Pool that the platform says the VM is in; plantainhead's own record wins.
+  /// Pool that the platform reports for the VM. Plantainhead's own records take
+  /// precedence.
   pool_id pool;
-  /// Address of the endpoint; port 0 when it serves none.
+  /// Address of the endpoint. The port is 0 if the VM serves no endpoint.
   std::string host;
   std::uint16_t port = 0;
   service_name service;
-  /// Requests that the endpoint runs at once.
+  /// Number of requests that the endpoint processes concurrently.
   std::uint32_t slots = 0;
 
   friend bool operator==(const vm_listing&, const vm_listing&) = default;
 };
 
-/// What a worker says of a task.
+/// State of a task as its worker reports it.
 enum class task_state {
   kRunning,
   kCheckpointed,
@@ -66,7 +67,7 @@
   return kTaskStateNames;
 }
 
-/// A task as the platform reports it, with a lag.
+/// One entry of the platform's task list, which lags behind the actual state.
 struct task_listing {
   job_id job;
   vm_id vm;
@@ -79,19 +80,19 @@
   friend bool operator==(const task_listing&, const task_listing&) = default;
 };
 
-/// Asks a VM's runner to take no new work and end what it runs.
+/// Asks the VM's runner to accept no new work and to complete its running work.
 struct drain_vm {
   vm_id vm;
 };
 struct reboot_vm {
   vm_id vm;
 };
-/// Tells the platform which pool a VM is in.
+/// Informs the platform of the pool that a VM is assigned to.
 struct move_vm {
   vm_id vm;
   pool_id pool;
 };
-/// Starts a job as a task under a lease of `lease` that must be renewed.
+/// Starts a job as a task whose lease of length `lease` must be renewed.
 struct start_task {
   job_id job;
   vm_id vm;
@@ -109,7 +110,7 @@
   job_id job;
   vm_id vm;
 };
-/// Limits a task to `percent` of its processors.
+/// Limits a task to `percent` percent of its processors.
 struct throttle_task {
   job_id job;
   vm_id vm;
@@ -129,12 +130,13 @@
                                         throttle_task,
                                         stop_task>;
 
-/// How an operation at the platform ended.
+/// Result of a platform operation.
 enum class operation_result {
   kDone,
-  /// It was refused; asking again won't help.
+  /// The platform rejected the operation; a retry will not succeed.
   kRefused,
-  /// Whether it took effect isn't known; it can be sent again under its id.
+  /// It is unknown whether the operation took effect. It can be retried with
+  /// the same id.
   kUnknown,
 };
 
--- a/include/plantainhead/core/random.h
+++ b/include/plantainhead/core/random.h
@@ -6,9 +6,9 @@
 
 namespace plantainhead::core {
 
-/// Source of randomness for the decisions. It is seeded by the adapter, so that
-/// a recorded session replays to the same decisions.
-/// Thread safety: none; each core owns one.
+/// Pseudo-random number generator of the decision logic. The adapter seeds it,
+/// so that a recorded session replays to the same decisions. Thread safety:
+/// none; each core owns one.
 using random_source = std::mt19937_64;
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/time.h
+++ b/include/plantainhead/core/time.h
@@ -8,10 +8,11 @@
 
 using duration = std::chrono::microseconds;
 
-/// The clock of the decisions. It has no `now()`: every event comes with its
-/// time. The adapter reads the wall clock once at its start and adds the time
-/// of the steady clock, so that the time never goes back within a process and
-/// still compares with dates that operators write.
+/// Clock type for the times passed to the decision logic. It has no `now()`:
+/// each event is delivered with its time. The adapter reads the wall clock once
+/// at process start and adds the time elapsed on the steady clock. Time
+/// therefore never goes backwards within a process and stays comparable with
+/// the dates that operators write.
 struct clock {
   using rep = std::int64_t;
   using period = std::micro;
--- a/include/plantainhead/core/visit.h
+++ b/include/plantainhead/core/visit.h
@@ -3,7 +3,7 @@
 
 namespace plantainhead::core {
 
-/// Joins lambdas into one visitor for `std::visit`.
+/// Combines lambdas into one visitor for `std::visit`.
 template <typename... Callables>
 struct overloaded : Callables... {
   using Callables::operator()...;
--- a/include/plantainhead/version.h
+++ b/include/plantainhead/version.h
@@ -3,7 +3,7 @@
 
 namespace plantainhead {
 
-/// The version that `--version` of every program prints.
+/// Version printed by the `--version` flag of every program.
 inline constexpr const char kVersion[] = "0.1.0";
 
 }  // namespace plantainhead
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::core {
 namespace {
 
-// Collects findings about a list of named parts.
+// Validates lists of named parts and collects the findings.
 class spec_validator {
  public:
   explicit spec_validator(std::vector<finding>* findings)
--- a/src/core/contains.h
+++ b/src/core/contains.h
@@ -5,7 +5,8 @@
 
 namespace plantainhead::core {
 
-/// Returns whether a sequence holds a value. Thread safety: as the sequence's.
+/// Returns true if `range` contains `value`. Thread safety: the same as that of
+/// the range.
 template <typename Range, typename Value>
 bool Contains(const Range& range, const Value& value) {
   return std::find(range.begin(), range.end(), value) != range.end();
--- a/src/core/hex.h
+++ b/src/core/hex.h
@@ -8,8 +8,8 @@
 
 namespace plantainhead::core {
 
-/// Returns `number` as 16 hexadecimal digits.
-/// Thread safety: safe from any thread.
+/// Returns `number` as 16 hexadecimal digits. Thread safety: safe from any
+/// thread.
 inline std::string ToHex(std::uint64_t number) {
   constexpr char kDigits[] = "0123456789abcdef";
   constexpr int kLength = 16;
--- a/src/core/jitter.h
+++ b/src/core/jitter.h
@@ -6,8 +6,8 @@
 
 namespace plantainhead::core {
 
-/// Returns a random time from 0 to `greatest`, which must not be negative.
-/// Thread safety: none; changes `random`.
+/// Returns a random duration in [0, `greatest`].
+/// `greatest` must not be negative. Thread safety: none; changes `random`.
 inline duration Jitter(random_source& random, duration greatest) {
   const auto choices = static_cast<std::uint64_t>(greatest.count()) + 1;
   return duration(static_cast<duration::rep>(random() % choices));
--- a/tests/core/configuration_test.cc
+++ b/tests/core/configuration_test.cc
@@ -15,7 +15,7 @@
   builder.AddPool({pool_id("casework"), team_id(), 1})
       .AddService({service_name("intake"), {pool_id("casework")}});
 
-  SECTION("whose parts fit together") {
+  SECTION("whose parts are consistent") {
     work_class urgent;
     urgent.name = class_name("urgent");
     urgent.service = service_name("intake");
@@ -26,7 +26,7 @@
     CHECK(targets.FindService(service_name("intake"))->pools.size() == 1);
   }
 
-  SECTION("with three mistakes and is told all of them at once") {
+  SECTION("with three mistakes, all of which are reported together") {
     work_class bad;
     bad.name = class_name("urgent");
     bad.service = service_name("nowhere");
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <utility>
 
-/// Plain sockets on 127.0.0.1, for tests that need bytes which no HTTP library
-/// would send.
+/// Raw sockets on 127.0.0.1, for tests that send byte sequences which no HTTP
+/// library would produce.
 namespace plantainhead::testing {
 
-/// Bounds each read and accept, so that a test whose peer stays silent fails
-/// instead of hanging.
+/// Sets a timeout for each read and accept, so that a test whose peer sends
+/// nothing fails instead of hanging.
 inline void SetReceiveTimeout(int socket) {
   const timeval most = {20, 0};
   setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof(most));
@@ -35,7 +35,8 @@
     send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 
-  /// Reads until `end` was seen; returns less when the peer closes first.
+  /// Reads until `end` has been received. Returns fewer bytes if the peer
+  /// closes the connection first.
   std::string ReadUntil(const std::string& end) const {
     std::string all;
     char byte = 0;
@@ -46,7 +47,7 @@
     return all;
   }
 
-  /// Reads until the peer closes.
+  /// Reads until the peer closes the connection.
   std::string ReadAll() const {
     std::string all;
     char byte = 0;
@@ -56,7 +57,7 @@
     return all;
   }
 
-  /// Reads a head and the `size` bytes that follow it.
+  /// Reads an HTTP message head and the `size` bytes that follow it.
   std::string ReadMessage(std::size_t size = 0) const {
     std::string all = ReadUntil("\r\n\r\n");
     char byte = 0;
@@ -72,7 +73,8 @@
     }
   }
 
-  /// Makes Close() send a reset instead of the end of the connection.
+  /// Makes Close() send a reset (RST) instead of closing the connection
+  /// gracefully.
   void ResetOnClose() const {
     const linger now = {1, 0};
     setsockopt(socket_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
@@ -116,7 +118,7 @@
   raw_connection Accept() const {
     return raw_connection(accept(socket_, nullptr, nullptr));
   }
-  /// Later connections are refused.
+  /// Stops listening; later connections are refused.
   void Close() {
     if (socket_ >= 0) {
       close(std::exchange(socket_, -1));
--- a/tests/main.cc
+++ b/tests/main.cc
@@ -4,8 +4,9 @@
 #include <cstdlib>
 
 int main(int argc, char** argv) {
-  // Property tests draw the same cases in every run, so that a commit has one
-  // verdict; RC_PARAMS="seed=N" in the environment looks further.
+  // Property tests generate the same cases in every run, so that the result for
+  // a commit is reproducible. Set RC_PARAMS="seed=N" in the environment to test
+  // other cases.
   constexpr int kKeepIfSet = 0;
   setenv("RC_PARAMS", "seed=20261202", kKeepIfSet);
   return Catch::Session().run(argc, argv);
--- a/tests/record_mutations.h
+++ b/tests/record_mutations.h
@@ -7,20 +7,22 @@
 #include <utility>
 #include <vector>
 
-/// Records of another writer, made from a sound one: each value in it is left
-/// out or replaced by one that makes no sense there.
+/// Malformed variants of a valid record, as a faulty or incompatible writer
+/// might produce them: in each, one value is removed or replaced by an invalid
+/// one.
 namespace plantainhead::testing {
 
 struct mutation {
-  /// As decoders tell the place, as in "routes[0].name".
+  /// Path of the changed value in the format of the decoders' errors, for
+  /// example "routes[0].name".
   std::string place;
-  /// What was done there, as in "null".
+  /// Kind of change, for example "null".
   std::string change;
   nlohmann::json record;
 };
 
-/// Returns the values that may stand in place of `value`: all other types, and
-/// numbers and texts beyond any range.
+/// Returns replacements for `value`: values of all other types, and numbers and
+/// texts beyond any valid range.
 inline std::vector<std::pair<std::string, nlohmann::json>> Replacements(
     const nlohmann::json& value) {
   using json = nlohmann::json;
@@ -49,7 +51,7 @@
   return others;
 }
 
-/// Returns each change of one value inside `root`, in order.
+/// Returns all mutations of a single value inside `root`, in document order.
 inline std::vector<mutation> Mutations(const nlohmann::json& root) {
   using json = nlohmann::json;
   std::vector<mutation> all;
@@ -81,7 +83,7 @@
   return all;
 }
 
-/// Returns texts that are no record of any kind.
+/// Returns texts that are not valid records of any kind.
 inline std::vector<std::string> MalformedTexts(const std::string& valid) {
   constexpr std::size_t kDeep = 1'000'000;
   return {"",
--- a/tests/run_until.h
+++ b/tests/run_until.h
@@ -7,9 +7,9 @@
 
 namespace plantainhead::testing {
 
-/// Runs the context until `is_done`, and returns whether it came to that. The
-/// limit only ends a test that would hang; no test depends on how long it
-/// takes.
+/// Runs the context until `is_done` returns true, and returns whether it did.
+/// The time limit only ends a test that would otherwise hang; no test depends
+/// on how long this takes.
 inline bool RunUntil(boost::asio::io_context* context,
                      const std::function<bool()>& is_done) {
   constexpr auto kLimit = std::chrono::seconds(60);
