--- a/include/plantainhead/core/log/append_ids.h
+++ b/include/plantainhead/core/log/append_ids.h
@@ -7,12 +7,13 @@
 
 namespace plantainhead::core {
 
-/// Hands out the numbers of appends. All modules of one entry that append to
-/// the log share one, so that an `append_finished` belongs to one of them only.
-/// Thread safety: none; owned by the thread of the decisions.
+/// Generates append ids. All modules of one entry that append to the log share
+/// one generator, so that each `append_finished` event belongs to exactly one
+/// module. Thread safety: none; owned by the thread that runs the decision
+/// logic.
 class append_ids {
  public:
-  /// Returns a number that this object has not returned before, never `kNone`.
+  /// Returns an id that this object has not returned before, never `kNone`.
   append_id Next() { return static_cast<append_id>(++last_); }
 
  private:
--- a/include/plantainhead/core/log/control_log.h
+++ b/include/plantainhead/core/log/control_log.h
@@ -23,28 +23,32 @@
 
 namespace plantainhead::core {
 
+/// Settings of a control_log.
 struct control_log_settings {
-  /// Name of this entry, the author of its records.
+  /// Name of this entry, written as the author of its records.
   entry_id name;
   record_queue_settings queue;
-  /// An operator's command that was not read back by then is answered unknown.
+  /// An operator's command whose record is not read back within this time is
+  /// answered with the result unknown.
   duration command_timeout = std::chrono::seconds(5);
-  /// A snapshot is due once the stream has grown by so many records. A start
-  /// reads up to so many after it; every entry reads each snapshot.
+  /// Number of new records after which a snapshot is due. An entry that starts
+  /// reads up to this many records after the snapshot. Every entry reads every
+  /// snapshot.
   log_offset snapshot_records = 4000;
-  /// A snapshot that was not read back by then is taken again.
+  /// A snapshot that is not read back within this time is written again.
   duration snapshot_retry = std::chrono::seconds(10);
 };
 
-/// What keeps an entry from following the log.
+/// Reason why an entry cannot follow the log.
 enum class log_fault {
   kNone,
   /// The log ends before the offset that this entry has applied.
   kTruncated,
-  /// The log has another record at an offset that this entry has applied.
+  /// The log contains a different record at an offset that this entry has
+  /// applied.
   kReplaced,
-  /// Retention has dropped records that this entry needs, and no snapshot
-  /// reaches beyond them.
+  /// Retention has deleted records that this entry needs, and no snapshot
+  /// covers them.
   kRetentionGap,
 };
 
@@ -58,97 +62,105 @@
   return kLogFaultNames;
 }
 
-/// Entries compute the digest of their folds at offsets that are multiples of
-/// this. A digest walks the whole state, which costs too much at each record.
+/// Entries compute the digest of their fleet state only at offsets that are
+/// multiples of this interval. A digest traverses the whole state, which is too
+/// expensive for each record.
 inline constexpr log_offset kDigestInterval = 64;
 
-/// Owns one entry's fold of the control stream: starts it from the newest valid
-/// snapshot, applies what is read, writes this entry's records and snapshots,
-/// and answers operators' commands once their records are read back.
+/// Maintains one entry's fleet state from the control stream: restores it from
+/// the newest valid snapshot, applies the records read, appends this entry's
+/// records and snapshots, and answers operators' commands once their records
+/// have been read back.
 ///
-/// The owner hands in every event of the two streams and of the appends, a tick
-/// at least every `kTickInterval`, and what heartbeats say. The adapter goes on
-/// trying to read a followed stream after `log_unavailable`.
+/// The owner passes in every event of the control and snapshot streams and of
+/// the appends, a tick at least every `kTickInterval`, and the offsets and
+/// digests from heartbeats. The adapter keeps trying to read a followed stream
+/// after `log_unavailable`.
 ///
 /// Thread safety: none.
 class control_log {
  public:
-  /// Preconditions: `settings.queue.self` isn't `kNone`; the pointers outlive
-  /// this.
+  /// Preconditions: `settings.queue.self` is not `kNone`; the pointers outlive
+  /// this object.
   control_log(control_log_settings settings,
               append_ids* ids,
               random_source* random);
 
-  /// Starts to read. Call once.
+  /// Starts reading the log. Must be called exactly once.
   void Start(time_point now, effects& out);
 
-  /// Takes in what was read of the control or the snapshot stream; other
-  /// streams are ignored. Returns how many entries were applied.
+  /// Handles records read from the control or snapshot stream; other streams
+  /// are ignored. Returns the number of records applied.
   std::size_t OnLogRead(time_point now, const log_read& event, effects& out);
   void OnLogUnavailable(time_point now,
                         const log_unavailable& event,
                         effects& out);
 
-  /// Returns true if the append was one of this module's.
+  /// Returns true if this module issued the append.
   bool OnAppendFinished(time_point now,
                         const append_finished& event,
                         effects& out);
   void OnTick(time_point now, effects& out);
 
-  /// Takes in what a peer's heartbeat says of its fold; its digest is 0 where
-  /// it has none. Heartbeats of processes
-  /// that aren't members of this entry's view tell nothing.
+  /// Handles the offset and digest from a peer's heartbeat; `digest` is 0 if
+  /// the peer has none at that offset. Heartbeats of processes that are not
+  /// members of this entry's view are ignored.
   void OnPeerOffset(log_offset offset,
                     std::uint64_t digest,
                     incarnation from,
                     effects& out);
 
-  /// Queues records of this entry's own decisions, in order.
+  /// Queues records for this entry's own decisions, in order.
   void Submit(time_point now, std::vector<record_body> bodies, effects& out);
 
-  /// Queues an operator's command. Ends in exactly one `answer_operator`:
-  /// accepted with the offset at which the record was read back and applied;
-  /// conflict with what is in force and who wrote it; invalid; or unknown after
-  /// `command_timeout`. A command that was answered unknown isn't appended any
-  /// more, so that it doesn't spring up long after the operator went on; the
-  /// detail says if an append that is under way may still bring it.
+  /// Queues the record of an operator's command. Each command results in
+  /// exactly one `answer_operator`: accepted with the offset at which the
+  /// record was read back and applied; conflict with the value in force and its
+  /// author; invalid; or unknown after `command_timeout`. After an unknown
+  /// answer the record is not appended again, so that the change cannot take
+  /// effect long after the operator has moved on. The detail says whether an
+  /// append in flight may still write it.
   void OnCommand(time_point now, const operator_command& event, effects& out);
 
   const fleet_state& state() const { return state_; }
 
-  /// Digest of `state()` for heartbeats, or 0 when there is none at this
-  /// offset: entries compare their folds at every `kDigestInterval`th offset
-  /// only.
+  /// Returns the digest of `state()` for heartbeats, or 0 if there is none at
+  /// this offset: entries compare digests only at multiples of
+  /// `kDigestInterval`.
   std::uint64_t digest() const;
 
-  /// Returns true once all that this entry can learn of has been applied: the
-  /// end of the stream, peers' offsets, snapshots. It stays true while the log
-  /// is out or has come back shorter, since nobody has a newer state then.
+  /// Returns true once this entry has applied everything it knows of: the end
+  /// of the stream and the offsets from peers and snapshots. Stays true while
+  /// the log is unavailable or truncated, since no entry has a newer state
+  /// then.
   bool caught_up() const;
 
-  /// False while the stream can't be read and while `fault()`: nothing that is
-  /// appended will be read back, and others' records don't arrive.
+  /// Returns false while the stream cannot be read or while `fault()` is set:
+  /// appended records would not be read back, and records of other entries do
+  /// not arrive.
   bool log_readable() const;
 
-  /// Greatest offset of the control stream that this entry has heard of.
+  /// Greatest offset of the control stream that this entry knows of, from
+  /// reads, peers or snapshots.
   log_offset max_known_offset() const { return max_known_offset_; }
 
   log_fault fault() const { return fault_; }
-  /// A sentence about `fault()`; empty without one.
+  /// Description of `fault()`; empty if there is none.
   const std::string& fault_detail() const { return fault_detail_; }
 
-  /// Peers that had another digest at one offset: their fold or ours is wrong.
+  /// Peers that reported a different digest at the same offset: either their
+  /// state or this entry's is wrong.
   const std::set<incarnation>& divergent_peers() const {
     return divergent_peers_;
   }
 
-  /// Offset of the newest valid snapshot that was read.
+  /// Offset of the state in the newest valid snapshot that was read.
   log_offset newest_snapshot() const { return newest_snapshot_; }
 
  private:
   enum class phase {
     kStopped,
-    /// Asking where the snapshot stream ends.
+    /// Determining the end of the snapshot stream.
     kFindingSnapshots,
     kReadingSnapshots,
     kFollowing,
@@ -159,7 +171,7 @@
     time_point deadline;
   };
 
-  // Reading (control_log.cc).
+  // Reading and applying the control stream (control_log.cc).
   std::size_t OnControlRead(const log_read& event, effects& out);
   std::size_t ApplyEntries(const log_read& event, effects& out);
   void ApplyEntry(const log_entry& entry, log_offset end, effects& out);
@@ -173,7 +185,7 @@
   void SetFault(log_fault fault, std::string detail, effects& out);
   void ClearFault(effects& out);
 
-  // Snapshots (control_log_snapshots.cc).
+  // Reading and writing snapshots (control_log_snapshots.cc).
   void FindSnapshots(effects& out);
   void ReadSnapshots(log_offset count, effects& out);
   void OnSnapshotRead(const log_read& event, effects& out);
@@ -184,14 +196,14 @@
   bool IsBackupSnapshotDue(time_point now);
   bool IsSnapshotWriter() const;
 
-  // Digests (control_log_digests.cc).
+  // Digest comparison (control_log_digests.cc).
   void CompareDigests(log_offset offset,
                       std::uint64_t digest,
                       incarnation from,
                       effects& out);
   void CheckDigests(log_offset end, effects& out);
 
-  // Operators (control_log_commands.cc).
+  // Answers to operators (control_log_commands.cc).
   void AnswerReadBack(const log_entry& entry,
                       const fold_result& result,
                       effects& out);
@@ -208,24 +220,27 @@
   log_fault fault_ = log_fault::kNone;
   std::string fault_detail_;
   bool log_readable_ = true;
-  /// The stream's end is known.
+  /// True once the end of the control stream is known.
   bool end_known_ = false;
-  /// Asked for the stream again after a gap, and not read since.
+  /// True after the stream was requested again because of a gap, until the next
+  /// contiguous read.
   bool following_again_ = false;
   log_offset begin_ = 0;
   log_offset end_ = 0;
   log_offset max_known_offset_ = 0;
-  /// Id of the record at `state_.offset`, if it was read as an entry.
+  /// Id of the record at `state_.offset`; empty if the state comes from a
+  /// snapshot.
   std::optional<record_id> newest_record_;
 
   std::shared_ptr<const fleet_state> candidate_;
   log_offset newest_snapshot_ = 0;
-  /// Its place in the snapshot stream, and where that stream begins.
+  /// Position of that snapshot in the snapshot stream, and the first offset
+  /// that this stream still retains.
   log_offset newest_snapshot_at_ = 0;
   log_offset snapshots_begin_ = 0;
   log_offset snapshots_end_ = 0;
   log_offset snapshots_read_ = 0;
-  /// How many of the newest snapshots are being read.
+  /// Number of newest snapshots requested by the current read.
   log_offset snapshots_requested_ = 0;
   append_id snapshot_append_ = append_id::kNone;
   time_point next_snapshot_{};
--- a/include/plantainhead/core/log/digest.h
+++ b/include/plantainhead/core/log/digest.h
@@ -7,11 +7,12 @@
 
 namespace plantainhead::core {
 
-/// Returns a hash (XXH3, 64 bits) of everything in `state`. Equal states have
-/// equal digests on every machine; two entries with different digests at one
-/// offset have folded the log differently. It walks the whole state, so callers
-/// keep the digest of an offset rather than ask again.
-/// Thread safety: safe from any thread while nobody writes to `state`.
+/// Returns a 64-bit XXH3 hash of the complete `state`. Equal states have equal
+/// digests on every machine; two entries with different digests at the same
+/// offset have applied the log differently. The function traverses the whole
+/// state, so callers cache the digest of an offset instead of computing it
+/// again. Thread safety: safe from any thread while no thread writes to
+/// `state`.
 std::uint64_t Digest(const fleet_state& state);
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/log/fleet_state.h
+++ b/include/plantainhead/core/log/fleet_state.h
@@ -15,7 +15,7 @@
 
 namespace plantainhead::core {
 
-/// A member of the view.
+/// An entry process that is a member of the view.
 struct entry_member {
   incarnation who = incarnation::kNone;
   entry_id name;
@@ -23,23 +23,23 @@
   std::string host;
   std::uint16_t peer_port = 0;
   std::uint16_t http_port = 0;
-  /// Members that hear nothing from it.
+  /// Members that report receiving nothing from this entry.
   std::set<incarnation> accusers;
 
   friend bool operator==(const entry_member&, const entry_member&) = default;
 };
 
-/// Who plans, under which epoch.
+/// Current holder and epoch of the planner lease.
 struct planner_lease {
   incarnation holder = incarnation::kNone;
   lease_epoch epoch = 0;
-  /// Offset of the newest record that took or renewed it.
+  /// Offset of the newest record that took or renewed the lease.
   log_offset renewed_at = 0;
 
   friend bool operator==(const planner_lease&, const planner_lease&) = default;
 };
 
-/// What is agreed about one VM.
+/// Replicated state of one VM.
 struct fleet_vm {
   pool_id pool;
   vm_phase phase = vm_phase::kServing;
@@ -48,19 +48,19 @@
   wave_id wave;
   bool quarantined = false;
   std::string reason;
-  /// Who wrote the newest change.
+  /// Author of the newest change.
   std::string author;
 
   friend bool operator==(const fleet_vm&, const fleet_vm&) = default;
 };
 
-/// What is agreed about one wave.
+/// Replicated state of one maintenance wave.
 struct fleet_wave {
   std::vector<pool_id> pools;
   time_point finish_by;
   wave_state state = wave_state::kRunning;
   generation version = 0;
-  /// VMs that have been rebooted and are back.
+  /// VMs that the wave has rebooted and returned to service.
   std::set<vm_id> visited;
   std::string author;
   std::string reason;
@@ -68,36 +68,38 @@
   friend bool operator==(const fleet_wave&, const fleet_wave&) = default;
 };
 
-/// What is agreed about one job.
+/// Replicated state of one job.
 struct fleet_job {
   job_requirements spec;
   job_status state = job_status::kWaiting;
   generation version = 0;
   vm_id vm;
   operation_id operation;
-  /// Tasks of this job that failed, for parking.
+  /// Number of failed tasks of this job. The planner parks a job after too many
+  /// failures.
   std::uint32_t failures = 0;
   std::string reason;
-  /// Who wrote the newest change.
+  /// Author of the newest change.
   std::string author;
 
   friend bool operator==(const fleet_job&, const fleet_job&) = default;
 };
 
-/// The newest record of one entry process.
+/// Position of the newest record that one entry process has written.
 struct writer_position {
-  /// Its number in the record's id, see `MakeRecordId`.
+  /// Sequence number in the record's id, see `MakeRecordId`.
   std::uint64_t number = 0;
-  /// Offset at which it was read.
+  /// Offset of the record in the control stream.
   log_offset offset = 0;
 
   friend bool operator==(const writer_position&,
                          const writer_position&) = default;
 };
 
-/// The fold of the control stream up to `offset`. Equal offsets mean equal
-/// states at every entry. The maps are ordered so that digests and plans are
-/// the same everywhere. Thread safety: none; each core owns one.
+/// Replicated state of the fleet: the result of applying (folding) the control
+/// stream up to `offset`. All entries at the same offset have equal states. The
+/// maps are ordered so that digests and plans are identical everywhere. Thread
+/// safety: none; each core owns one.
 struct fleet_state {
   log_offset offset = 0;
   configuration targets;
@@ -106,47 +108,47 @@
   /// Offset of the record that published `targets`.
   log_offset targets_offset = 0;
   std::map<incarnation, entry_member> members;
-  /// Offset of the newest change of `members`: the number of the view.
+  /// Offset of the newest change of `members`, which serves as the view number.
   log_offset view = 0;
   planner_lease lease;
   std::map<vm_id, fleet_vm> vms;
   std::map<wave_id, fleet_wave> waves;
   std::map<job_id, fleet_job> jobs;
-  /// Requests of each class that the targets name.
+  /// Request counts of each class that the targets define.
   std::map<class_name, class_ledger> ledgers;
   /// Incarnations that left, were expelled or were replaced, with the offset of
-  /// that record: none of them can join again. Bounded by
+  /// that record. None of them can join again. Bounded by
   /// `kRetainedIncarnations`.
   std::map<incarnation, log_offset> departed;
-  /// Cancelled and finished waves and jobs by the offset of that record, for
-  /// forgetting the oldest. Bounded by `kRetainedEndedWaves`,
-  /// `kRetainedEndedJobs`.
+  /// Cancelled and finished waves and jobs by the offset of the record that
+  /// ended them, so that the oldest are evicted first. Bounded by
+  /// `kRetainedEndedWaves` and `kRetainedEndedJobs`.
   std::map<log_offset, wave_id> ended_waves;
   std::map<log_offset, job_id> ended_jobs;
-  /// How far each entry process has written. A process numbers its records and
-  /// appends them in order, one append at a time, so that a record with a
-  /// number up to its mark is a second copy. Bounded by
+  /// Newest record of each entry process. A process numbers its records and
+  /// appends them in order, one append at a time, so a record whose number does
+  /// not exceed the stored number is a duplicate. Bounded by
   /// `kRetainedIncarnations`.
   std::map<incarnation, writer_position> writers;
-  /// Offsets and ids of recent records whose ids have another form, to drop
-  /// second copies. Bounded by `kRetainedRecordIds`.
+  /// Offsets and ids of recent records whose ids are not of the `MakeRecordId`
+  /// format, used to detect duplicates. Bounded by `kRetainedRecordIds`.
   std::map<log_offset, record_id> recent_records;
   std::set<record_id> recent_ids;
 
   friend bool operator==(const fleet_state&, const fleet_state&) = default;
 };
 
-/// How many record ids the fold remembers one by one. A second copy comes from
-/// an append that is repeated within seconds; no entry process writes such ids.
+/// Number of individual record ids retained for duplicate detection. Duplicates
+/// come from appends that are retried within seconds; entry processes do not
+/// write ids of this format.
 inline constexpr std::size_t kRetainedRecordIds = 8192;
 
-/// How many incarnations the fold remembers as writers, and how many as
-/// departed. An append that is repeated, or a join that arrives after its
-/// process was expelled, comes within minutes; entry processes start some tens
-/// of times a day.
+/// Number of incarnations retained as writers, and number retained as departed.
+/// A retried append, or a join that arrives after its process was expelled,
+/// comes within minutes, while entry processes start some tens of times a day.
 inline constexpr std::size_t kRetainedIncarnations = 1024;
 
-/// How many ended waves and jobs the fold keeps for operators to look at.
+/// Number of ended waves and jobs retained for operators to inspect.
 inline constexpr std::size_t kRetainedEndedWaves = 100;
 inline constexpr std::size_t kRetainedEndedJobs = 1000;
 
--- a/include/plantainhead/core/log/fleet_view.h
+++ b/include/plantainhead/core/log/fleet_view.h
@@ -11,64 +11,66 @@
 
 namespace plantainhead::core {
 
-/// Returns true while the job has a worker that may run its task.
-/// Thread safety: safe from any thread while nobody writes the job.
+/// Returns true while the job is placed on a VM that may run its task. Thread
+/// safety: safe from any thread while no thread writes the job.
 inline bool HoldsTask(const fleet_job& job) {
   return job.state == job_status::kPlaced ||
          job.state == job_status::kCheckpointing;
 }
 
-/// One VM as the fold and the platform's list show it together.
+/// One VM with its data from the fleet state and from the platform's list.
 struct vm_view {
   vm_id id;
-  /// Null for a VM that the fold doesn't know yet.
+  /// Null if the fleet state does not contain the VM yet.
   const fleet_vm* state = nullptr;
-  /// Null for a VM that is not on the list.
+  /// Null if the platform does not list the VM.
   const vm_listing* listing = nullptr;
-  /// What this entry has seen of it; null for one not seen yet.
+  /// Observations of the VM by this entry; null if there are none yet.
   const phase_watch::sight* seen = nullptr;
-  /// Where it is, or was when it was listed last.
+  /// Current location, or the location when the VM was last listed.
   zone_id zone;
   rack_id rack;
-  /// Requests in flight as far as they were reported.
+  /// Reported number of requests in flight at the VM.
   std::uint32_t in_flight = 0;
-  /// Jobs that the fold has placed on it.
+  /// Number of jobs placed on the VM in the fleet state.
   std::uint32_t jobs = 0;
   bool healthy = true;
-  /// A record about it has been appended and not yet read back.
+  /// True while a record about the VM has been appended but not read back.
   bool is_pending = false;
 
-  /// True when the list shows it live.
+  /// Returns true if the platform lists the VM as live.
   bool listed_live() const {
     return listing != nullptr && listing->state == vm_listing_state::kLive;
   }
-  /// True when the fold wants it to serve.
+  /// Returns true if the VM's phase in the fleet state is serving.
   bool serving() const {
     return state != nullptr && state->phase == vm_phase::kServing;
   }
-  /// True when it takes work and nothing is about to change that.
+  /// Returns true if the VM accepts work and no record that changes it is
+  /// pending.
   bool available() const {
     return serving() && !state->quarantined && listed_live() && healthy &&
            !is_pending;
   }
-  /// True when it is out of work though nobody asked for it.
+  /// Returns true if the VM should serve but is not live or not healthy.
   bool is_lost() const {
     return serving() && !state->quarantined && (!listed_live() || !healthy);
   }
 };
 
-/// One pool with its VMs.
+/// One configured pool with its VMs.
 struct pool_view {
   const pool_spec* spec = nullptr;
   std::vector<const vm_view*> vms;
   std::uint32_t available = 0;
-  /// VMs that hold jobs, and jobs that wait for a worker of the pool.
+  /// Number of VMs that hold jobs, and number of jobs that wait for a worker of
+  /// the pool.
   std::uint32_t with_jobs = 0;
   std::uint32_t waiting_jobs = 0;
 };
 
-/// The fold and the list joined, for one plan. It points into the inputs, which
-/// must outlive it. Thread safety: none.
+/// Joins the fleet state with the platform's list for one planning round. It
+/// holds pointers into the inputs, which must outlive it. Thread safety: none.
 class fleet_view {
  public:
   fleet_view(const planner_inputs& inputs,
@@ -82,16 +84,16 @@
   const std::map<vm_id, vm_view>& vms() const { return vms_; }
   const std::map<pool_id, pool_view>& pools() const { return pools_; }
 
-  /// Jobs that wait for a worker.
+  /// Jobs that wait for placement on a worker.
   const std::vector<const fleet_job*>& waiting() const { return waiting_; }
 
-  /// Changes with every record about a VM or a job: the sum of their
-  /// generations, which only grow.
+  /// Version that changes with every record about a VM or a job: the sum of
+  /// their generations, which only increase.
   generation work_version() const { return work_version_; }
 
-  /// Returns the VM, or null.
+  /// Returns the VM, or null if it is unknown.
   const vm_view* FindVm(const vm_id& id) const;
-  /// Returns the pool if the configuration has it, or null.
+  /// Returns the pool, or null if the configuration does not define it.
   const pool_view* FindPool(const pool_id& id) const;
 
  private:
--- a/include/plantainhead/core/log/lease.h
+++ b/include/plantainhead/core/log/lease.h
@@ -11,53 +11,62 @@
 
 namespace plantainhead::core {
 
+/// Settings of a planner_lease_holder.
 struct planner_lease_settings {
   incarnation self = incarnation::kNone;
-  /// Others take the lease once they have read no renewal for so long.
+  /// Lease duration: other entries take the lease when they have read no
+  /// renewal for this long.
   duration lease = std::chrono::seconds(9);
-  /// The holder stops acting so much earlier. Covers clocks that run at
-  /// different speeds and an action that is under way when the lease lapses.
+  /// Safety margin by which the holder stops acting before the lease expires.
+  /// It covers clocks that run at different rates and an action that is in
+  /// progress at expiry.
   duration margin = std::chrono::seconds(2);
-  /// Each entry waits for a random time up to this before it takes the lease.
+  /// Each entry waits for a random time up to this before it takes a free or
+  /// expired lease.
   duration take_jitter = std::chrono::seconds(1);
-  /// A longer time between two ticks means that this process was paused.
+  /// A gap between two ticks longer than this means that the process was
+  /// paused.
   duration pause_threshold = std::chrono::milliseconds(500);
 };
 
-/// Takes, renews and loses the planner lease for one entry.
+/// Acquires and renews the planner lease for one entry and tracks whether the
+/// entry holds it.
 ///
-/// Two entries never hold it at one moment, as long as their clocks' speeds
-/// differ by less than `margin` in `lease`: a holder counts from when it sent
-/// its newest renewal, others from when they read that renewal, which is later;
-/// and a taking names the renewal that its writer has read, so that one which
-/// missed a newer renewal is a conflict in the fold.
+/// Two entries never hold the lease at the same time, as long as their clock
+/// rates differ by less than `margin` per `lease`. The holder measures the
+/// lease from the time it sent its newest renewal, while others measure it from
+/// the time they read that renewal, which is later. In addition, a record that
+/// takes the lease names the newest renewal that its writer has read, so that
+/// it is a conflict if the writer missed a newer renewal.
 ///
 /// The owner calls `OnTick` at least every `kTickInterval` and `Observe` after
-/// each change of the fold. Thread safety: none.
+/// each change of the fleet state. Thread safety: none.
 class planner_lease_holder {
  public:
-  /// Preconditions: `margin` is below two thirds of `lease`, so that a renewal
-  /// can be read back in time; `random` outlives this.
+  /// Preconditions: `margin` is less than two thirds of `lease`, so that a
+  /// renewal can be read back in time; `random` outlives this object.
   planner_lease_holder(planner_lease_settings settings, random_source* random);
 
-  /// Takes in what the fold says of the lease.
+  /// Updates this object from the lease in the fleet state.
   void Observe(time_point now, const fleet_state& state);
 
-  /// Appends a renewal or a taking when one is due. `readable` is false while
-  /// the log can't be read: then nobody's renewals are seen, and the time
-  /// without one starts anew once it can be.
+  /// Appends a record that renews or takes the lease when one is due.
+  /// `readable` is false while the log cannot be read: renewals are not seen
+  /// during that time, so the lease timeout restarts when the log becomes
+  /// readable.
   void OnTick(time_point now,
               const fleet_state& state,
               bool readable,
               effects& out);
 
-  /// Returns true while this entry may act as the planner. Asked just before
-  /// each action, also after a pause of this process: it depends only on `now`
-  /// and on what was read before.
+  /// Returns true while this entry may act as the planner. Must be checked
+  /// immediately before each action. The result is also correct right after a
+  /// pause of the process, because it depends only on `now` and on records read
+  /// before.
   bool Holds(time_point now) const;
 
-  /// The epoch for this entry's records; 0 when it isn't the holder in the
-  /// fold.
+  /// Epoch for this entry's records, or 0 if this entry is not the holder in
+  /// the fleet state.
   lease_epoch epoch() const { return epoch_; }
 
  private:
@@ -67,18 +76,18 @@
 
   planner_lease_settings settings_;
   random_source* random_;
-  /// What was last seen of the fold's lease.
+  /// Lease in the fleet state as last observed.
   planner_lease seen_;
-  /// Since when there was no renewal, no pause and no outage.
+  /// Time since which there has been no renewal, no pause and no log outage.
   time_point no_renewal_since_{};
   std::optional<time_point> last_tick_;
-  /// This entry's wait before it takes the lease that was last seen.
+  /// Random delay before this entry takes the lease that was last observed.
   duration take_jitter_{};
   lease_epoch epoch_ = 0;
-  /// When the newest record that was read back was sent.
+  /// Time at which the newest lease record that has been read back was sent.
   time_point confirmed_sent_at_{};
-  /// When the renewal, and the first taking of the lease that was last seen,
-  /// were sent that aren't read back yet.
+  /// Times at which the pending renewal, and the first pending record that
+  /// takes the lease last observed, were sent. Empty if none is pending.
   std::optional<time_point> renewal_sent_;
   std::optional<time_point> take_sent_;
   time_point next_renewal_{};
--- a/include/plantainhead/core/log/record_gate.h
+++ b/include/plantainhead/core/log/record_gate.h
@@ -11,7 +11,7 @@
 
 namespace plantainhead::core {
 
-/// Names of objects in the gate, in reasons and in notes.
+/// Keys of objects in the gate, also used in reasons and log messages.
 inline std::string ObjectOf(const vm_id& vm) {
   return "vm:" + vm.value();
 }
@@ -25,15 +25,16 @@
   return "job:" + job.value();
 }
 
-/// Lets one record for each generation of an object through and holds back its
-/// repetition until the fold shows another generation or `timeout` has passed.
-/// A record that goes out twice takes effect once: both expect the same
+/// Deduplicates records before they are appended: lets one record through for
+/// each generation of an object and suppresses repetitions until the fleet
+/// state has another generation or `timeout` has passed. A record that is
+/// appended twice takes effect once, since both copies expect the same
 /// generation. Thread safety: none.
 class record_gate {
  public:
   explicit record_gate(duration timeout) : timeout_(timeout) {}
 
-  /// Returns true while a record for this generation of `object` is under way.
+  /// Returns true while a record for this generation of `object` is pending.
   bool IsPending(const std::string& object,
                  generation expected,
                  time_point now) const {
@@ -42,8 +43,8 @@
            now - found->second.second < timeout_;
   }
 
-  /// Appends `body` unless a record for this generation of `object` is under
-  /// way. Returns whether it was appended.
+  /// Appends `body` unless a record for this generation of `object` is pending.
+  /// Returns whether it was appended.
   bool Append(const std::string& object,
               generation expected,
               record_body body,
@@ -57,7 +58,7 @@
     return true;
   }
 
-  /// Forgets records that are older than the patience.
+  /// Removes pending records that are older than the timeout.
   void Expire(time_point now) {
     std::erase_if(pending_, [&](const auto& item) {
       return now - item.second.second >= timeout_;
@@ -66,7 +67,7 @@
 
   bool empty() const { return pending_.empty(); }
 
-  /// Forgets all, as when the lease was lost.
+  /// Removes all pending records, for example after the lease was lost.
   void Clear() { pending_.clear(); }
 
  private:
--- a/include/plantainhead/core/log/record_number.h
+++ b/include/plantainhead/core/log/record_number.h
@@ -8,8 +8,8 @@
 
 namespace plantainhead::core {
 
-/// What the id of an entry process's record says: who wrote it and as which of
-/// its records, from 1.
+/// Contents of a record id written by an entry process: the writer and the
+/// sequence number of the record, starting at 1.
 struct record_number {
   incarnation writer = incarnation::kNone;
   std::uint64_t number = 0;
@@ -17,13 +17,13 @@
   friend bool operator==(const record_number&, const record_number&) = default;
 };
 
-/// Returns the id for the writer's record with that number: 16 hexadecimal
-/// digits, a hyphen, the number.
-/// Thread safety: safe from any thread.
+/// Returns the id of the record with the given writer and number: 16
+/// hexadecimal digits, a hyphen, and the decimal number. Thread safety: safe
+/// from any thread.
 record_id MakeRecordId(const record_number& number);
 
-/// Returns what `MakeRecordId` was given, or nothing for an id of another form.
-/// Thread safety: safe from any thread.
+/// Returns the writer and number that `MakeRecordId` encoded, or `nullopt` if
+/// the id has another format. Thread safety: safe from any thread.
 std::optional<record_number> ParseRecordId(const record_id& id);
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/log/record_queue.h
+++ b/include/plantainhead/core/log/record_queue.h
@@ -18,67 +18,72 @@
 
 namespace plantainhead::core {
 
+/// Settings of a record_queue.
 struct record_queue_settings {
-  /// The process whose records these are.
+  /// Incarnation of the process that writes the records.
   incarnation self = incarnation::kNone;
-  /// Least time from one append to the next: the rate that an entry keeps to
-  /// when it has much to write, as after an outage.
+  /// Minimum time between two appends. It limits the append rate of an entry
+  /// with a large backlog, for example after an outage.
   duration append_interval = std::chrono::milliseconds(50);
-  /// Most records in one append.
+  /// Maximum number of records in one append.
   std::size_t max_batch_records = 64;
-  /// Most records that wait; what comes on top is refused.
+  /// Maximum number of queued records; further ones are rejected.
   std::size_t limit = 1024;
-  /// Pause after a failed append, doubled for each further one.
+  /// Delay after a failed append, doubled after each further failure.
   duration initial_backoff = std::chrono::milliseconds(100);
   duration max_backoff = std::chrono::seconds(5);
-  /// The greatest pause after an append that the log refused. It is short,
-  /// since other records of the batch may be waiting for a smaller one.
+  /// Maximum delay after an append that the log rejected. It is short, because
+  /// other records of the batch may only be waiting for a smaller batch.
   duration max_rejected_backoff = std::chrono::milliseconds(500);
-  /// After an outage each entry starts to append at a random time within this.
+  /// After an outage each entry resumes appending after a random delay up to
+  /// this.
   duration recovery_jitter = std::chrono::seconds(1);
 };
 
-/// Whether a record that is taken back can still appear in the stream.
+/// Whether a withdrawn record can still appear in the stream.
 enum class withdrawal { kNotWritten, kMaybeWritten };
 
-/// A record that was given a new id.
+/// A record whose id was changed.
 struct renamed_record {
   record_id from;
   record_id to;
 };
 
-/// The records that an entry has yet to get into the control stream. It numbers
-/// them, appends them in that order with one append in flight, and appends
-/// again under the same ids when an answer was lost; the fold drops what
-/// arrives twice. Thread safety: none.
+/// Queue of an entry's records that are not yet in the control stream. It
+/// numbers the records, appends them in that order with at most one append in
+/// flight, and retries with the same ids when the result of an append is
+/// unknown; duplicates are ignored when the log is applied. Thread safety:
+/// none.
 class record_queue {
  public:
-  /// Preconditions: `settings.self` isn't `kNone`; the pointers outlive this.
+  /// Preconditions: `settings.self` is not `kNone`; the pointers outlive this
+  /// object.
   record_queue(record_queue_settings settings,
                append_ids* ids,
                random_source* random);
 
-  /// Adds a record and returns its id, or nothing when the queue is full.
+  /// Adds a record and returns its id, or `nullopt` if the queue is full.
   std::optional<record_id> Push(std::string author, record_body body);
 
-  /// Takes back a record that is still here; nothing if it isn't (it was
-  /// appended, or read back).
+  /// Removes a record that is still queued. Returns `nullopt` if it is not (it
+  /// was appended or read back).
   std::optional<withdrawal> Withdraw(const record_id& id);
 
-  /// Drops the record, which was read back. Unknown ids do nothing.
+  /// Removes a record that has been read back. Unknown ids are ignored.
   void OnReadBack(const record_id& id);
 
-  /// The stream can be read again after an outage.
+  /// Handles the end of an outage: the stream is readable again.
   void OnRecovered(time_point now);
 
-  /// Returns true if this was the queue's append. A record that the log refused
-  /// goes to the end of the queue under a new id, which is added to `renamed`.
+  /// Returns true if this queue issued the append. A record that the log
+  /// rejected moves to the end of the queue under a new id, which is added to
+  /// `renamed`.
   bool OnAppendFinished(time_point now,
                         const append_finished& event,
                         std::vector<renamed_record>& renamed);
 
-  /// Appends what waits, if it is time. Drops first what has become void under
-  /// `state`.
+  /// Appends queued records if an append is due. First drops records that have
+  /// become obsolete under `state`.
   void AppendPending(time_point now, const fleet_state& state, effects& out);
 
   std::size_t size() const { return waiting_.size(); }
@@ -86,7 +91,8 @@
  private:
   struct waiting_record {
     record content;
-    /// An append that held it ended without an answer.
+    /// True if an append that contained the record ended with an unknown
+    /// result.
     bool maybe_written = false;
     bool in_flight = false;
   };
@@ -105,15 +111,15 @@
   std::deque<waiting_record> waiting_;
   std::uint64_t last_number_ = 0;
   append_id in_flight_ = append_id::kNone;
-  /// Most records in the next append.
+  /// Maximum number of records in the next append.
   std::size_t batch_ = 0;
   time_point next_append_{};
   duration backoff_{};
 };
 
-/// Returns true for a record that would do nothing under `state` and can only
-/// do less later: of a planner that was replaced, about members that are gone.
-/// Thread safety: safe from any thread while nobody writes to `state`.
+/// Returns true for a record that would have no effect under `state` or any
+/// later state: a record of a replaced planner, or about members that are gone.
+/// Thread safety: safe from any thread while no thread writes to `state`.
 bool IsObsolete(const record_body& body, const fleet_state& state);
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/log/records.h
+++ b/include/plantainhead/core/log/records.h
@@ -15,18 +15,19 @@
 #include "plantainhead/core/requests/request_counts.h"
 #include "plantainhead/core/time.h"
 
-/// Records of the platform's log. What must be agreed or last is a record; the
-/// state of the fleet is the fold of the records in the order of their offsets.
+/// Records of the platform's log. Everything that entries must agree on or that
+/// must persist is a record; the state of the fleet results from applying the
+/// records in the order of their offsets.
 namespace plantainhead::core {
 
-/// The stream of configuration, membership, pools, waves and jobs.
+/// Stream of configuration, membership, pools, waves and jobs.
 inline const stream_name kControlStream{"control"};
-/// The stream of snapshots of the fold of `kControlStream`.
+/// Stream of snapshots of the fleet state that results from `kControlStream`.
 inline const stream_name kSnapshotStream{"control-snapshots"};
 
 // --- configuration ---------------------------------------------------------
 
-/// Replaces the configuration if it still has the generation `expected`.
+/// Replaces the configuration if its generation is still `expected`.
 struct publish_configuration {
   configuration document;
   generation expected = 0;
@@ -34,31 +35,32 @@
 
 // --- membership ------------------------------------------------------------
 
-/// An entry process starts to take part.
+/// Adds an entry process to the view.
 struct join_entry {
   incarnation who = incarnation::kNone;
   entry_id name;
   zone_id zone;
-  /// Where other entries reach it.
+  /// Address for other entries.
   std::string host;
   std::uint16_t peer_port = 0;
-  /// Where operators and callers reach it.
+  /// Port for operators and callers.
   std::uint16_t http_port = 0;
 };
 
-/// An entry process ends in good order.
+/// Removes an entry process that shuts down gracefully.
 struct leave_entry {
   incarnation who = incarnation::kNone;
 };
 
-/// One entry hears nothing from another. The fold expels the accused once more
-/// than half of the other members accuse it.
+/// Reports that one entry receives nothing from another. A member is expelled
+/// once more than half of the other members accuse it.
 struct accuse_entry {
   incarnation accuser = incarnation::kNone;
   incarnation accused = incarnation::kNone;
 };
 
-/// The accuser hears the accused again.
+/// Withdraws an accusation: the accuser receives messages from the accused
+/// again.
 struct withdraw_accusation {
   incarnation accuser = incarnation::kNone;
   incarnation accused = incarnation::kNone;
@@ -67,18 +69,18 @@
 // --- planner ---------------------------------------------------------------
 
 /// Takes the planner lease with epoch `expected` + 1, if `expected` is still
-/// the epoch in force.
+/// the current epoch.
 struct take_planner_lease {
   incarnation holder = incarnation::kNone;
   lease_epoch expected = 0;
-  /// Offset of the newest renewal that the taker has read (`renewed_at` of the
-  /// fold), or 0 to take without this check. A renewal that the taker has not
-  /// read yet makes the taking a conflict.
+  /// Offset of the newest renewal that the writer has read (`renewed_at` of the
+  /// fleet state), or 0 to skip this check. If there is a newer renewal that
+  /// the writer has not read, the record is a conflict.
   log_offset renewed_at = 0;
 };
 
-/// Shows that the holder is alive; others count the lease's time from the
-/// moment they read it.
+/// Renews the planner lease. Other entries measure the lease from the time they
+/// read this record.
 struct renew_planner_lease {
   incarnation holder = incarnation::kNone;
   lease_epoch epoch = 0;
@@ -86,7 +88,7 @@
 
 // --- VMs -------------------------------------------------------------------
 
-/// Where a VM stands between serving and maintenance.
+/// Phase of a VM between serving and maintenance.
 enum class vm_phase { kServing, kDraining, kDrained, kRebooting, kReturning };
 
 inline constexpr name_table<vm_phase, 5> kVmPhaseNames = {{
@@ -100,31 +102,32 @@
   return kVmPhaseNames;
 }
 
-/// Puts a VM into a pool. `expected` is the generation of the VM, 0 for one
-/// that the fold doesn't know yet.
+/// Assigns a VM to a pool. `expected` is the generation of the VM, or 0 if the
+/// fleet state does not contain it yet.
 struct assign_vm {
   lease_epoch epoch = 0;
   vm_id vm;
   generation expected = 0;
   pool_id pool;
-  /// Why, for `plantainctl explain`.
+  /// Reason shown by `plantainctl explain`.
   std::string reason;
 };
 
-/// Moves a VM to the next phase; the commitment that precedes each operation.
+/// Changes the phase of a VM. This record is written before the platform
+/// operation that it allows.
 struct set_vm_phase {
   lease_epoch epoch = 0;
   vm_id vm;
   generation expected = 0;
   vm_phase phase = vm_phase::kServing;
-  /// The operation at the platform that this record allows, if any.
+  /// The platform operation that this record allows, if any.
   operation_id operation;
-  /// The wave that asked for it, if any.
+  /// The wave that requires the change, if any.
   wave_id wave;
   std::string reason;
 };
 
-/// Forgets a VM that the platform no longer lists.
+/// Deletes a VM that the platform no longer lists.
 struct forget_vm {
   lease_epoch epoch = 0;
   vm_id vm;
@@ -133,14 +136,16 @@
 
 // --- waves -----------------------------------------------------------------
 
-/// An operator's intention: reboot every VM of these pools before `finish_by`.
+/// Starts a maintenance wave requested by an operator: reboot every VM of these
+/// pools before `finish_by`.
 struct start_wave {
   wave_id wave;
   std::vector<pool_id> pools;
-  /// 1970-01-01 when there is no limit.
+  /// 1970-01-01 if there is no deadline.
   time_point finish_by;
 };
 
+/// State of a maintenance wave.
 enum class wave_state { kRunning, kPaused, kCancelled, kFinished };
 
 inline constexpr name_table<wave_state, 4> kWaveStateNames = {{
@@ -153,8 +158,8 @@
   return kWaveStateNames;
 }
 
-/// Sets a wave's state. `epoch` is 0 when an operator asks for it, else that of
-/// the planner.
+/// Sets the state of a wave. `epoch` is 0 if an operator requests it, otherwise
+/// the epoch of the planner.
 struct set_wave_state {
   lease_epoch epoch = 0;
   wave_id wave;
@@ -165,7 +170,8 @@
 
 // --- jobs ------------------------------------------------------------------
 
-/// What one job asks of a worker. Declared figures are often far off.
+/// Resources that a job requires of a worker, and its limits. Declared values
+/// are often inaccurate.
 struct job_requirements {
   job_id name;
   team_id team;
@@ -174,7 +180,7 @@
   std::uint32_t memory_mb = 0;
   std::uint32_t accelerators = 0;
   duration declared_run_time{};
-  /// 1970-01-01 when there is no limit.
+  /// 1970-01-01 if there is no deadline.
   time_point finish_by;
   bool urgent = false;
 
@@ -182,10 +188,12 @@
                          const job_requirements&) = default;
 };
 
+/// Submits a job.
 struct submit_job {
   job_requirements spec;
 };
 
+/// Scheduling status of a job.
 enum class job_status {
   kWaiting,
   kPlaced,
@@ -207,8 +215,8 @@
   return kJobStatusNames;
 }
 
-/// Moves a job to a state, on a VM where the state has one. `epoch` is 0 when
-/// an operator cancels or frees a parked job.
+/// Sets the status of a job, and its VM if the status has one. `epoch` is 0 if
+/// an operator cancels a job or resumes a parked one.
 struct set_job_state {
   lease_epoch epoch = 0;
   job_id job;
@@ -219,7 +227,8 @@
   std::string reason;
 };
 
-/// Takes a worker that fails every task out of use, or back.
+/// Quarantines a worker on which every task fails, or releases it from
+/// quarantine.
 struct set_quarantine {
   lease_epoch epoch = 0;
   vm_id vm;
@@ -230,9 +239,9 @@
 
 // --- error budgets ---------------------------------------------------------
 
-/// Requests that one entry answered since its previous such record. Each entry
-/// writes its own, so that the fold's ledgers lose at most one interval of an
-/// entry that is killed.
+/// Counts of the requests that one entry has answered since its previous record
+/// of this type. Each entry writes its own, so that when an entry is killed the
+/// ledgers lose at most one interval of its counts.
 struct count_requests {
   incarnation who = incarnation::kNone;
   time_point at;
@@ -241,16 +250,18 @@
 
 // --- claims (on the claim streams, not on the control stream) ---------------
 
-/// The first claim of a key in its stream may dispatch; all others may not.
+/// Claims an idempotency key. Only the writer of the first claim of a key in
+/// its stream may dispatch the request.
 struct claim_request {
   claim_key key;
   incarnation claimant = incarnation::kNone;
   request_id request;
-  /// When the claim was written, for the claim window.
+  /// Time at which the claim was written; the claim window starts here.
   time_point at;
 };
 
-/// The claimant has not dispatched and never will; the key is free again.
+/// Releases a claim: the claimant has not dispatched the request and never
+/// will, so the key can be claimed again.
 struct release_claim {
   claim_key key;
   incarnation claimant = incarnation::kNone;
@@ -261,18 +272,20 @@
 
 struct fleet_state;
 
-/// The whole fold of the control stream up to `state->offset`.
+/// Snapshot of the complete fleet state after the control stream up to
+/// `state->offset`.
 struct snapshot_taken {
   /// Never null.
   std::shared_ptr<const fleet_state> state;
-  /// Digest of `state`; a reader that computes another one ignores the
+  /// Digest of `state`. A reader that computes a different one ignores the
   /// snapshot.
   std::uint64_t digest = 0;
 };
 
 // --- others ------------------------------------------------------------------
 
-/// A record of a type that this version doesn't know; the fold skips it.
+/// A record of a type that this version does not know. It is skipped when the
+/// log is applied.
 struct unknown_record {
   std::string type;
 };
@@ -298,16 +311,16 @@
                                  snapshot_taken,
                                  unknown_record>;
 
-/// One record. Its id makes it safe to append again when the answer to an
-/// append was lost: the fold drops the second copy.
+/// One log record. The id makes it safe to retry an append whose result was
+/// lost: the second copy is ignored.
 struct record {
   record_id id;
-  /// The operator or the entry that wrote it.
+  /// Operator or entry that wrote the record.
   std::string author;
   record_body body;
 };
 
-/// A record as read back from a stream.
+/// A record read from a stream, with its offset.
 struct log_entry {
   log_offset offset = 0;
   record content;
--- a/src/core/log/control_log.cc
+++ b/src/core/log/control_log.cc
@@ -45,7 +45,7 @@
     return;
   }
   log_readable_ = false;
-  out.Log(log_severity::kWarning, "the log can't be read",
+  out.Log(log_severity::kWarning, "the log cannot be read",
           {{"stream", event.stream.value()}, {"detail", event.detail}});
 }
 
@@ -64,7 +64,7 @@
   if (event.append != append_id::kNone && event.append == snapshot_append_) {
     snapshot_append_ = append_id::kNone;
     if (event.result == append_result::kRejected) {
-      out.Log(log_severity::kError, "the log refuses a snapshot");
+      out.Log(log_severity::kError, "the log rejected a snapshot");
     }
     return true;
   }
@@ -93,15 +93,15 @@
     }
   }
   if (refused > 0) {
-    out.Log(log_severity::kError, "too many records wait for the log",
+    out.Log(log_severity::kError, "record queue full; dropped records",
             {{"dropped", std::to_string(refused)}});
   }
   AppendPending(now, out);
 }
 
-// An entry whose log came back shorter holds the newest state that there is.
-// Were it not caught up, all entries would stop taking requests at once for a
-// fault of the platform that requests don't depend on.
+// After the log was truncated, this entry holds the newest state that exists.
+// If it counted as not caught up, all entries would stop accepting requests at
+// once because of a platform fault that requests do not depend on.
 bool control_log::caught_up() const {
   return phase_ == phase::kFollowing && end_known_ &&
          state_.offset >= max_known_offset_;
@@ -111,8 +111,8 @@
   return log_readable_ && fault_ == log_fault::kNone;
 }
 
-// A log that lost its end or its middle is not written to: what is appended
-// there may take offsets that other entries have applied with other records.
+// Nothing is written to a log that lost records: new records could take offsets
+// at which other entries have applied different records.
 bool control_log::CanWrite() const {
   return phase_ == phase::kFollowing && end_known_ &&
          fault_ == log_fault::kNone;
@@ -168,16 +168,16 @@
          IsNextRecordAvailable(event, out);
 }
 
-// The log came back with fewer records than were applied, as a restored copy
-// does. Its next records take offsets that this entry has applied with other
-// contents, so following it would revert a configuration or move a VM twice.
-// The entry keeps its state and reads its newest offset again: only the same
-// record there shows that the end was merely late.
+// The log returned with fewer records than were applied, as after a restore
+// from a backup. Its next records take offsets that this entry has applied with
+// other contents, so following it would revert a configuration or move a VM
+// twice. The entry keeps its state and reads its newest offset again. Only
+// finding the same record there proves that the reported end was merely stale.
 bool control_log::MatchesAppliedHistory(const log_read& event, effects& out) {
   if (event.end < state_.offset) {
     if (fault_ != log_fault::kTruncated) {
       SetFault(log_fault::kTruncated,
-               "the log ends at offset " + std::to_string(event.end) +
+               "log truncated: it ends at offset " + std::to_string(event.end) +
                    ", but " + std::to_string(state_.offset) +
                    " has been applied",
                out);
@@ -196,9 +196,9 @@
       return true;
     }
     SetFault(log_fault::kReplaced,
-             "the log has record " + entry.content.id.value() + " at offset " +
-                 std::to_string(entry.offset) + ", where " +
-                 newest_record_->value() + " has been applied",
+             "log history replaced: record " + entry.content.id.value() +
+                 " found at offset " + std::to_string(entry.offset) +
+                 ", where " + newest_record_->value() + " has been applied",
              out);
     return false;
   }
@@ -215,8 +215,9 @@
   if (event.begin > next && (event.entries.empty() || has_gap)) {
     begin_ = event.begin;
     SetFault(log_fault::kRetentionGap,
-             "the log begins at offset " + std::to_string(event.begin) +
-                 ", but " + std::to_string(next) + " is needed",
+             "records deleted by retention: the log begins at offset " +
+                 std::to_string(event.begin) + ", but " + std::to_string(next) +
+                 " is needed",
              out);
     out.Do(unfollow_stream{kControlStream});
     FindSnapshots(out);
@@ -224,7 +225,8 @@
   }
   if (has_gap && !following_again_) {
     following_again_ = true;
-    out.Log(log_severity::kWarning, "a read skipped records; reading again",
+    out.Log(log_severity::kWarning,
+            "gap in the records read from the log; reading again",
             {{"next", std::to_string(next)}});
     FollowControl(state_.offset, out);
   }
--- a/src/core/log/control_log_commands.cc
+++ b/src/core/log/control_log_commands.cc
@@ -5,7 +5,7 @@
 #include "plantainhead/core/log/control_log.h"
 #include "plantainhead/core/visit.h"
 
-// How a control_log answers operators.
+// Answers of the control_log to operators' commands.
 namespace plantainhead::core {
 namespace {
 
@@ -32,7 +32,8 @@
     case fold_outcome::kIgnored:
       return command_result::kInvalid;
     case fold_outcome::kDuplicate:
-      // The first copy lies before the snapshot that this entry started from.
+      // The first copy precedes the snapshot that this entry started from, so
+      // its outcome is not known here.
       return command_result::kUnknown;
   }
   return command_result::kUnknown;
@@ -61,7 +62,8 @@
     out.Do(answer_operator{event.sequence, result, 0, std::move(detail)});
   };
   if (!IsForOperators(event.body)) {
-    answer(command_result::kInvalid, "operators don't write such records");
+    answer(command_result::kInvalid,
+           "operators cannot write records of this type");
     return;
   }
   if (fault_ != log_fault::kNone) {
@@ -71,7 +73,7 @@
   const std::optional<record_id> id = queue_.Push(event.author, event.body);
   if (!id) {
     answer(command_result::kUnknown,
-           "nothing was written: too many records wait for the log");
+           "nothing was written: the record queue is full");
     return;
   }
   commands_[*id] = {event.sequence, now + settings_.command_timeout};
--- a/src/core/log/control_log_digests.cc
+++ b/src/core/log/control_log_digests.cc
@@ -4,12 +4,13 @@
 #include "core/hex.h"
 #include "plantainhead/core/log/control_log.h"
 
-// How a control_log compares its fold with other entries'.
+// Comparison of this entry's fleet state with that of other entries.
 namespace plantainhead::core {
 namespace {
 
-// Digests of peers that are ahead, and own ones for peers that are behind.
-// Peers are seconds apart; what doesn't fit is compared at a later offset.
+// Maximum number of stored digests: of peers that are ahead, and this entry's
+// own for peers that are behind. Peers differ by seconds; a digest that does
+// not fit is skipped and the comparison is made at a later offset.
 constexpr std::size_t kKeptDigests = 32;
 
 }  // namespace
@@ -19,8 +20,9 @@
   return own == own_digests_.end() ? 0 : own->second;
 }
 
-// Called after each entry. Digests that the others have long passed, as at a
-// start, aren't worth their cost.
+// Called after each applied entry. Digests at offsets that the other entries
+// passed long ago, as during startup, are not computed because nobody compares
+// them.
 void control_log::CheckDigests(log_offset end, effects& out) {
   constexpr log_offset kRecent = 4 * kDigestInterval;
   const bool is_due = state_.offset % kDigestInterval == 0;
@@ -43,8 +45,9 @@
                                std::uint64_t digest,
                                incarnation from,
                                effects& out) {
-  // A process of another fleet, or one that was expelled with a log of its own,
-  // may claim any offset; waiting for it would make every entry unready.
+  // A process of another fleet, or an expelled one that has a different log,
+  // may report any offset. Waiting for that offset would make every entry
+  // unready.
   if (!state_.members.contains(from)) {
     return;
   }
@@ -52,10 +55,11 @@
   CompareDigests(offset, digest, from, out);
 }
 
-// Equal offsets mean equal folds. If they don't, one of the two has a fault in
-// its reducer or its memory, and VMs may be planned into two pools. It is shown
-// and both go on: nobody can tell which is right, and stopping all entries
-// would turn a doubt into an outage.
+// Entries at equal offsets have equal states. If their digests differ, one of
+// them has faulty apply logic or corrupted memory, and VMs may be planned into
+// two pools. The fault is reported and both continue: neither can tell which
+// state is correct, and stopping all entries would turn a possible fault into
+// an outage.
 void control_log::CompareDigests(log_offset offset,
                                  std::uint64_t theirs,
                                  incarnation from,
@@ -76,7 +80,7 @@
   }
   if (divergent_peers_.insert(from).second) {
     out.Log(log_severity::kError,
-            "another entry has folded the log to another state",
+            "state digest of another entry differs at the same offset",
             {{"offset", std::to_string(offset)}, {"peer", ToHex(from)}});
   }
 }
--- a/src/core/log/control_log_snapshots.cc
+++ b/src/core/log/control_log_snapshots.cc
@@ -7,22 +7,24 @@
 #include "plantainhead/core/log/control_log.h"
 #include "plantainhead/core/log/record_number.h"
 
-// How a control_log starts from snapshots and takes them.
+// Restores a control_log from snapshots and writes snapshots.
 namespace plantainhead::core {
 namespace {
 
-// A start reads so many of the newest snapshots, and only if all of these are
-// bad, four times as many. A snapshot takes up to 2 MB as text and several
-// times that while it is decoded; a day of them wouldn't fit into an entry's
-// memory.
+// Number of newest snapshots that an entry reads at startup. Only if all of
+// them are invalid, it reads four times as many. A snapshot takes up to 2 MB as
+// text and several times that while it is decoded; the snapshots of a whole day
+// would not fit into an entry's memory.
 constexpr log_offset kInitialSnapshotCount = 1;
 constexpr log_offset kSnapshotCountFactor = 4;
 
-// Beyond the end of any stream. A read after it brings no records, only where
-// the stream begins and ends.
+// Offset beyond the end of any stream. A read after it returns no records, only
+// the beginning and the end of the stream.
 constexpr log_offset kBeyondEnd = log_offset{1} << 62;
 
-// A snapshot is due while half of what the log keeps is left for its append.
+// A snapshot becomes due when the newest one lies in the older half of the
+// records that the log retains, so that it is appended before retention deletes
+// the records after the newest one.
 constexpr log_offset kRetentionDivisor = 2;
 
 incarnation WriterOf(const record_id& id) {
@@ -63,7 +65,7 @@
   if (phase_ != phase::kReadingSnapshots) {
     return;
   }
-  // Retention may pass by while a read is under way.
+  // Retention may delete snapshots while a read is in progress.
   const log_offset reachable = std::max(
       snapshots_read_, event.begin - std::min<log_offset>(event.begin, 1));
   if (reachable >= snapshots_end_) {
@@ -76,8 +78,9 @@
   if (taken == nullptr) {
     return;
   }
-  // A damaged snapshot, or one that another version wrote with fields that this
-  // one can't read, would start this entry from a state that nobody has.
+  // A corrupted snapshot, or one written by another version with fields that
+  // this version cannot read, would start this entry from a state that no other
+  // entry has.
   if (taken->state == nullptr || Digest(*taken->state) != taken->digest) {
     out.Log(log_severity::kError, "ignored a snapshot with a wrong digest",
             {{"snapshot", std::to_string(entry.offset)},
@@ -110,20 +113,22 @@
   if (candidate_ != nullptr && candidate_->offset > state_.offset) {
     state_ = *candidate_;
     newest_record_.reset();
-    out.Log(log_severity::kInfo, "starts from a snapshot",
+    out.Log(log_severity::kInfo, "restored the state from a snapshot",
             {{"offset", std::to_string(state_.offset)}});
   }
   candidate_.reset();
   snapshots_requested_ = snapshots_end_;
-  // Nothing reaches beyond the cut yet; the next snapshot that is read may.
+  // No snapshot covers the deleted records yet; a later snapshot may.
   if (fault_ == log_fault::kRetentionGap && state_.offset + 1 < begin_) {
     return;
   }
   FollowControl(state_.offset, out);
 }
 
-// Of the records that the log keeps, the newest 1/`divisor` must not lie wholly
-// before a snapshot.
+// Returns true if the state has grown by `records` since the newest snapshot,
+// or, once retention has deleted records, if that snapshot lies in the oldest
+// 1/`divisor` of the retained records, or if retention has deleted the snapshot
+// itself.
 bool control_log::IsSnapshotDue(log_offset records, log_offset divisor) const {
   const bool is_dropped =
       newest_snapshot_ != 0 && newest_snapshot_at_ < snapshots_begin_;
@@ -136,8 +141,8 @@
   return growth >= records || is_old || is_dropped;
 }
 
-// One entry takes snapshots: the planner, else the member with the least
-// incarnation.
+// A single entry writes snapshots: the planner, or without one the member with
+// the smallest incarnation.
 bool control_log::IsSnapshotWriter() const {
   if (state_.members.contains(state_.lease.holder)) {
     return state_.lease.holder == settings_.queue.self;
@@ -146,10 +151,10 @@
          state_.members.begin()->first == settings_.queue.self;
 }
 
-// The taker may be dead and not yet expelled, or frozen. Then retention would
-// pass the newest snapshot by and nobody could join any more. So any member
-// takes one that is overdue, after a time of its own, in which another's may
-// arrive.
+// The snapshot writer may be dead but not yet expelled, or frozen. Retention
+// would then delete the records after the newest snapshot, and no entry could
+// join any more. Therefore any member writes an overdue snapshot, after a
+// random delay in which a snapshot of another member may arrive.
 bool control_log::IsBackupSnapshotDue(time_point now) {
   const bool is_overdue =
       state_.members.contains(settings_.queue.self) &&
--- a/src/core/log/digest.cc
+++ b/src/core/log/digest.cc
@@ -12,8 +12,8 @@
 namespace plantainhead::core {
 namespace {
 
-// Writes values one after another in one form for all machines: numbers as 8
-// bytes with the least first, texts and lists after their length.
+// Serializes values in a canonical, machine-independent format: numbers as 8
+// bytes in little-endian order, strings and lists prefixed with their length.
 class canonical_writer {
  public:
   explicit canonical_writer(std::size_t expected_bytes) {
@@ -167,7 +167,7 @@
   std::string bytes_;
 };
 
-// A guess that saves most growing of the buffer.
+// Estimates the serialized size, which avoids most reallocations of the buffer.
 std::size_t EstimateBytes(const fleet_state& state) {
   constexpr std::size_t kBytesPerObject = 160;
   constexpr std::size_t kBytesPerRecord = 48;
@@ -199,7 +199,7 @@
   writer.PutMap(state.ended_waves);
   writer.PutMap(state.ended_jobs);
   writer.PutMap(state.writers);
-  // `recent_ids` holds the values of this map.
+  // `recent_ids` contains the values of this map.
   writer.PutMap(state.recent_records);
   return writer.Hash();
 }
--- a/src/core/log/fold.cc
+++ b/src/core/log/fold.cc
@@ -14,7 +14,7 @@
 namespace {
 
 std::string OffsetText(log_offset applied, log_offset got) {
-  return "entry " + std::to_string(got) + " can't follow offset " +
+  return "entry " + std::to_string(got) + " cannot follow offset " +
          std::to_string(applied);
 }
 
@@ -27,7 +27,7 @@
   state.writers.erase(oldest);
 }
 
-// Returns false if the record was seen before.
+// Returns false if the record is a duplicate.
 bool RememberNumbered(fleet_state& state, const record_number& id) {
   const auto [position, is_new] = state.writers.try_emplace(id.writer);
   if (!is_new && id.number <= position->second.number) {
@@ -60,7 +60,8 @@
 
 fold_result ApplyBody(fleet_state& state, const record& content) {
   const auto misplaced = [](const auto&) {
-    return fold_rules::Ignored("doesn't belong on the control stream");
+    return fold_rules::Ignored(
+        "this record type does not belong on the control stream");
   };
   return std::visit(
       overloaded{
@@ -86,7 +87,8 @@
             return fold_rules::ApplyRecord(state, body);
           },
           [&](const unknown_record& body) {
-            return fold_rules::Ignored("unknown type '" + body.type + "'");
+            return fold_rules::Ignored("unknown record type '" + body.type +
+                                       "'");
           },
           [&](const claim_request& body) { return misplaced(body); },
           [&](const release_claim& body) { return misplaced(body); },
@@ -111,7 +113,7 @@
   }
   state.offset = entry.offset;
   if (entry.content.id.empty()) {
-    return fold_rules::Ignored("has no record id");
+    return fold_rules::Ignored("the record has no id");
   }
   if (!Remember(state, entry.content.id)) {
     return {fold_outcome::kDuplicate, {}};
--- a/src/core/log/fold_budget.cc
+++ b/src/core/log/fold_budget.cc
@@ -3,14 +3,14 @@
 namespace plantainhead::core::fold_rules {
 
 fold_result ApplyRecord(fleet_state& state, const count_requests& body) {
-  // An entry that was expelled while frozen may count what its new life counts
-  // again.
+  // An entry that was expelled while frozen may report counts that its new
+  // incarnation reports again.
   if (!state.members.contains(body.who)) {
-    return Conflict("the entry isn't a member");
+    return Conflict("the entry is not a member");
   }
   for (const auto& [name, counts] : body.classes) {
-    // Names come from the targets, so the ledgers are bounded by them; a class
-    // that was taken out since is not counted any more.
+    // Only classes in the targets are counted, which bounds the number of
+    // ledgers. Counts of a class that was removed from the targets are dropped.
     if (state.targets.FindClass(name) != nullptr) {
       state.ledgers[name].Add(body.at, counts);
     }
--- a/src/core/log/fold_members.cc
+++ b/src/core/log/fold_members.cc
@@ -21,7 +21,8 @@
   state.departed.erase(oldest);
 }
 
-// Takes a member out of the view, with all that it said about others.
+// Removes a member from the view together with its accusations of other
+// members.
 void Remove(fleet_state& state, incarnation who) {
   state.members.erase(who);
   for (auto& [other, member] : state.members) {
@@ -34,7 +35,7 @@
   state.view = state.offset;
 }
 
-// Returns a member that more than half of the others accuse.
+// Returns a member that is accused by more than half of the others, or `kNone`.
 incarnation FindExpelled(const fleet_state& state) {
   const std::size_t others = state.members.size() - 1;
   for (const auto& [who, member] : state.members) {
@@ -45,8 +46,8 @@
   return incarnation::kNone;
 }
 
-// A member that goes leaves fewer others, so that fewer accusers are enough for
-// the next; the rule holds again after each record.
+// Removing a member reduces the number of others, so fewer accusers suffice for
+// the next. The loop restores the rule after each record.
 void ExpelAccused(fleet_state& state) {
   while (!state.members.empty()) {
     const incarnation expelled = FindExpelled(state);
@@ -79,22 +80,23 @@
 
 fold_result StalePlanner(const fleet_state& state, lease_epoch epoch) {
   return Conflict("planner epoch " + std::to_string(epoch) +
-                  " isn't in force: " + DescribeLease(state));
+                  " is not in force: " + DescribeLease(state));
 }
 
 fold_result ApplyRecord(fleet_state& state, const join_entry& body) {
   if (body.who == incarnation::kNone || body.name.empty()) {
-    return Ignored("joins without an incarnation or a name");
+    return Ignored("a joining entry needs an incarnation and a name");
   }
   if (IsMember(state, body.who)) {
-    return Ignored("is a member already");
+    return Ignored("the entry is already a member");
   }
   if (const auto it = state.departed.find(body.who);
       it != state.departed.end()) {
     return Conflict("incarnation " + ToHex(body.who) + " departed at offset " +
-                    std::to_string(it->second) + " and can't join again");
+                    std::to_string(it->second) + " and cannot join again");
   }
-  // A restarted VM: its former process is gone, though nobody has expelled it.
+  // A process with the same name restarted. Its previous process has ended even
+  // though nobody has expelled it.
   for (auto it = state.members.begin(); it != state.members.end();) {
     const auto member = it++;
     if (member->second.name == body.name) {
@@ -115,11 +117,12 @@
 
 fold_result ApplyRecord(fleet_state& state, const leave_entry& body) {
   if (!IsMember(state, body.who)) {
-    return Ignored("leaves without being a member");
+    return Ignored("the leaving entry is not a member");
   }
   Remove(state, body.who);
-  // A holder that leaves has stopped acting before it wrote this, so the lease
-  // is free at once. One that is expelled may still act until it lapses.
+  // A holder that leaves stops acting before it writes this record, so the
+  // lease is free at once. An expelled holder may still act until its lease
+  // expires.
   if (state.lease.holder == body.who) {
     state.lease.holder = incarnation::kNone;
   }
@@ -134,7 +137,7 @@
     return Ignored("accuser and accused must be two members");
   }
   if (!accused->second.accusers.insert(body.accuser).second) {
-    return Ignored("accuses again");
+    return Ignored("the accuser has already accused this member");
   }
   ExpelAccused(state);
   return Applied();
@@ -144,7 +147,7 @@
   const auto accused = state.members.find(body.accused);
   if (accused == state.members.end() ||
       accused->second.accusers.erase(body.accuser) == 0) {
-    return Ignored("withdraws an accusation that isn't there");
+    return Ignored("there is no accusation to withdraw");
   }
   return Applied();
 }
@@ -152,13 +155,13 @@
 fold_result ApplyRecord(fleet_state& state, const take_planner_lease& body) {
   planner_lease& lease = state.lease;
   if (!IsMember(state, body.holder)) {
-    return Ignored("takes the planner lease without being a member");
+    return Ignored("an entry that takes the planner lease must be a member");
   }
   if (body.expected != lease.epoch) {
     return Conflict(DescribeLease(state));
   }
-  // Without this check a taker that reads the log late would take a lease that
-  // its holder has just renewed, and both would act for a while.
+  // Without this check an entry that reads the log late could take a lease that
+  // its holder has just renewed, and both would act as planner for a while.
   if (body.renewed_at != 0 && body.renewed_at != lease.renewed_at) {
     return Conflict(DescribeLease(state));
   }
--- a/src/core/log/fold_rules.h
+++ b/src/core/log/fold_rules.h
@@ -7,8 +7,8 @@
 #include "plantainhead/core/log/fold.h"
 #include "plantainhead/core/log/records.h"
 
-/// The rules of the fold, one for each kind of record. `state.offset` is
-/// already that of the record.
+/// Functions that apply one record to the fleet state, one for each kind of
+/// record. `state.offset` is already the offset of the record.
 namespace plantainhead::core::fold_rules {
 
 inline fold_result Applied() {
@@ -21,13 +21,15 @@
   return {fold_outcome::kIgnored, std::move(why)};
 }
 
-/// Tells if a record with `epoch` comes from the planner in force.
+/// Returns true if `epoch` is the epoch of the current planner.
 bool IsPlanner(const fleet_state& state, lease_epoch epoch);
 
-/// The conflict of a record that comes from a planner no longer in force.
+/// Returns the conflict for a record of a planner that is no longer the current
+/// one.
 fold_result StalePlanner(const fleet_state& state, lease_epoch epoch);
 
-/// The conflict of a record that expects another generation of `what`.
+/// Returns the conflict for a record that expects a different generation of
+/// `what`.
 fold_result WrongGeneration(const std::string& what,
                             generation in_force,
                             generation expected,
--- a/src/core/log/fold_vms.cc
+++ b/src/core/log/fold_vms.cc
@@ -35,7 +35,7 @@
 }
 
 fold_result UnknownVm(const vm_id& vm) {
-  return Conflict("VM '" + vm.value() + "' isn't known");
+  return Conflict("VM '" + vm.value() + "' is unknown");
 }
 
 fold_result WrongVersion(const vm_id& vm,
@@ -102,14 +102,14 @@
                         const assign_vm& body,
                         const std::string& author) {
   if (body.vm.empty()) {
-    return Ignored("names no VM");
+    return Ignored("the record names no VM");
   }
   if (!IsPlanner(state, body.epoch)) {
     return StalePlanner(state, body.epoch);
   }
   if (!HasPool(state, body.pool)) {
     return Conflict("pool '" + body.pool.value() +
-                    "' isn't in the configuration of " + state.targets_author);
+                    "' is not in the configuration of " + state.targets_author);
   }
   const auto it = state.vms.find(body.vm);
   if (it == state.vms.end()) {
@@ -120,7 +120,7 @@
     return WrongVersion(body.vm, vm, body.expected);
   }
   if (vm.phase != vm_phase::kServing) {
-    return Conflict(Describe(body.vm, vm) + " and can't be moved");
+    return Conflict(Describe(body.vm, vm) + " and cannot be moved");
   }
   if (vm.pool == body.pool) {
     return Ignored(Describe(body.vm, vm) + " already");
@@ -147,14 +147,15 @@
     return WrongVersion(body.vm, vm, body.expected);
   }
   if (!IsAllowed(vm.phase, body.phase)) {
-    return Conflict(Describe(body.vm, vm) + " and can't become " +
+    return Conflict(Describe(body.vm, vm) + " and cannot become " +
                     std::string(NameOf(body.phase)));
   }
-  // An operator may pause a wave while the planner's next drain is on its way
-  // to the log. Refusing it here makes the pause hold from its own offset on.
+  // An operator may pause a wave while the planner's next drain record is being
+  // appended. Rejecting that record makes the pause effective from its own
+  // offset on.
   if (body.phase == vm_phase::kDraining && !body.wave.empty() &&
       !IsRunning(state, body.wave)) {
-    return Conflict("wave '" + body.wave.value() + "' isn't running");
+    return Conflict("wave '" + body.wave.value() + "' is not running");
   }
   ChangePhase(state, vm, body, author);
   return Applied();
--- a/src/core/log/fold_work.cc
+++ b/src/core/log/fold_work.cc
@@ -33,7 +33,7 @@
       return from == job_status::kWaiting || from == job_status::kCheckpointing;
     case job_status::kCheckpointing:
       return from == job_status::kPlaced;
-    // A task that was given up for lost may report its end later.
+    // A task that was considered lost may still report its completion later.
     case job_status::kFinished:
     case job_status::kParked:
       return from != job_status::kParked;
@@ -56,8 +56,8 @@
 }
 
 fold_result UnknownPool(const fleet_state& state, const pool_id& pool) {
-  return Conflict("pool '" + pool.value() + "' isn't in the configuration of " +
-                  state.targets_author);
+  return Conflict("pool '" + pool.value() +
+                  "' is not in the configuration of " + state.targets_author);
 }
 
 std::string Describe(const wave_id& wave, const fleet_wave& progress) {
@@ -78,17 +78,19 @@
   return ", written by " + author;
 }
 
-// What an operator may ask of a job: to cancel it, or to free a parked one.
+// Returns true if an operator may request this change: to cancel a job, or to
+// resume a parked one.
 bool IsForOperators(job_status from, job_status to) {
   return to == job_status::kCancelled ||
          (from == job_status::kParked && to == job_status::kWaiting);
 }
 
-// Tells why a job can't be placed there, or nothing if it can.
+// Returns the reason why a job cannot be placed on the VM, or an empty string
+// if it can.
 std::string FindPlacementConflict(const fleet_state& state, const vm_id& vm) {
   const auto it = state.vms.find(vm);
   if (it == state.vms.end()) {
-    return "VM '" + vm.value() + "' isn't known";
+    return "VM '" + vm.value() + "' is unknown";
   }
   if (it->second.quarantined) {
     return "VM '" + vm.value() + "' is quarantined" +
@@ -162,15 +164,15 @@
                         const start_wave& body,
                         const std::string& author) {
   if (body.wave.empty() || body.pools.empty()) {
-    return Ignored("names no wave or no pool");
+    return Ignored("the record names no wave or no pool");
   }
   if (const auto it = state.waves.find(body.wave); it != state.waves.end()) {
     return Conflict(Describe(body.wave, it->second) +
                     WrittenBy(it->second.author));
   }
   if (state.waves.size() >= kMaxWaves) {
-    return Conflict("there are " + std::to_string(kMaxWaves) +
-                    " waves already");
+    return Conflict("the limit of " + std::to_string(kMaxWaves) +
+                    " waves is reached");
   }
   for (const pool_id& pool : body.pools) {
     if (!HasPool(state.targets, pool)) {
@@ -193,7 +195,7 @@
   }
   const auto it = state.waves.find(body.wave);
   if (it == state.waves.end()) {
-    return Conflict("wave '" + body.wave.value() + "' isn't known");
+    return Conflict("wave '" + body.wave.value() + "' is unknown");
   }
   fleet_wave& wave = it->second;
   if (body.expected != wave.version) {
@@ -205,7 +207,7 @@
     return Conflict(Describe(body.wave, wave) + WrittenBy(wave.author));
   }
   if (body.epoch == 0 && body.state == wave_state::kFinished) {
-    return Ignored("only the planner finishes a wave");
+    return Ignored("only the planner can finish a wave");
   }
   wave.state = body.state;
   wave.reason = body.reason;
@@ -226,21 +228,22 @@
                         const std::string& author) {
   const job_requirements& spec = body.spec;
   if (spec.name.empty() || spec.processors == 0) {
-    return Ignored("a job needs a name and a processor");
+    return Ignored("a job needs a name and at least one processor");
   }
   if (const auto it = state.jobs.find(spec.name); it != state.jobs.end()) {
     return Conflict(Describe(spec.name, it->second) +
                     WrittenBy(it->second.author));
   }
   if (state.jobs.size() >= kMaxJobs) {
-    return Conflict("there are " + std::to_string(kMaxJobs) + " jobs already");
+    return Conflict("the limit of " + std::to_string(kMaxJobs) +
+                    " jobs is reached");
   }
   if (!HasPool(state.targets, spec.pool)) {
     return UnknownPool(state, spec.pool);
   }
   if (!HasTeam(state.targets, spec.team)) {
     return Conflict("team '" + spec.team.value() +
-                    "' isn't in the configuration of " + state.targets_author);
+                    "' is not in the configuration of " + state.targets_author);
   }
   fleet_job& job = state.jobs[spec.name];
   job.spec = spec;
@@ -257,7 +260,7 @@
   }
   const auto it = state.jobs.find(body.job);
   if (it == state.jobs.end()) {
-    return Conflict("job '" + body.job.value() + "' isn't known");
+    return Conflict("job '" + body.job.value() + "' is unknown");
   }
   fleet_job& job = it->second;
   if (body.expected != job.version) {
@@ -268,7 +271,7 @@
     return Conflict(Describe(body.job, job) + WrittenBy(job.author));
   }
   if (body.epoch == 0 && !IsForOperators(job.state, body.state)) {
-    return Ignored("operators only cancel jobs and free parked ones");
+    return Ignored("operators can only cancel jobs and resume parked ones");
   }
   if (body.state == job_status::kPlaced) {
     if (std::string conflict = FindPlacementConflict(state, body.vm);
--- a/src/core/log/lease.cc
+++ b/src/core/log/lease.cc
@@ -15,8 +15,8 @@
     seen_ = state.lease;
     no_renewal_since_ = now;
     take_jitter_ = Jitter(*random_, settings_.take_jitter);
-    // A taking names the lease that it saw, so one that is still under way can
-    // only be a conflict from here on.
+    // A record that takes the lease names the lease that its writer saw, so a
+    // pending one can only be a conflict from now on.
     take_sent_.reset();
     next_take_ = now;
   }
@@ -24,8 +24,8 @@
   epoch_ = is_holder ? seen_.epoch : 0;
 }
 
-// Called when the lease has changed. With one renewal under way at a time, a
-// newer `renewed_at` of the same epoch is that renewal.
+// Called when the lease has changed. Only one renewal is pending at a time, so
+// a newer `renewed_at` of the same epoch is that renewal.
 void planner_lease_holder::ObserveOwnLease(const planner_lease& changed) {
   if (changed.holder != settings_.self) {
     renewal_sent_.reset();
@@ -44,9 +44,9 @@
                                   const fleet_state& state,
                                   bool readable,
                                   effects& out) {
-  // After a pause, of this process or of the log, renewals may be there that
-  // this entry hasn't read. If it counted that time it would take the lease of
-  // a live holder after every outage.
+  // After a pause of this process or an outage of the log there may be renewals
+  // that this entry has not read. If that time counted, the entry would take
+  // the lease of a live holder after every outage.
   const bool was_paused =
       !last_tick_ || now - *last_tick_ > settings_.pause_threshold || !readable;
   last_tick_ = now;
@@ -71,9 +71,9 @@
   out.Append(renew_planner_lease{settings_.self, epoch_});
 }
 
-// The holder itself takes the lease anew, too, when its renewal got lost for
-// good: it can't send a second one, because it couldn't tell which of the two
-// is read back and might count from the later one.
+// The holder also takes the lease again when its renewal was lost permanently.
+// It cannot send a second renewal, because it could not tell which of the two
+// was read back and might measure the lease from the later one.
 void planner_lease_holder::TryTake(time_point now,
                                    const fleet_state& state,
                                    effects& out) {
@@ -90,9 +90,10 @@
                                 state.lease.renewed_at});
 }
 
-// A holder that was frozen finds at its first look at the clock that the lease
-// has lapsed, before it has read anything: the time counts from when its newest
-// confirmed record was sent, which is before anyone else could read it.
+// A holder that was frozen detects from the clock alone that the lease has
+// expired, before it reads anything. The lease is measured from the time its
+// newest confirmed record was sent, which is before any other entry could read
+// it.
 bool planner_lease_holder::Holds(time_point now) const {
   return epoch_ != 0 &&
          now < confirmed_sent_at_ + settings_.lease - settings_.margin;
--- a/src/core/log/record_number.cc
+++ b/src/core/log/record_number.cc
@@ -40,7 +40,7 @@
     return std::nullopt;
   }
   const record_number parsed{incarnation{*writer}, *number};
-  // Only the exact form counts: "+1" or "01" would be other ids.
+  // Only the canonical format is accepted; "+1" or "01" would be different ids.
   return MakeRecordId(parsed) == id ? std::optional(parsed) : std::nullopt;
 }
 
--- a/src/core/log/record_queue.cc
+++ b/src/core/log/record_queue.cc
@@ -92,9 +92,9 @@
   }
 }
 
-// All entries notice the end of an outage at the same moment and each has a
-// backlog. Without the spread the log would get them all at once and might fail
-// again under them.
+// All entries detect the end of an outage at the same time, each with a
+// backlog. Without random delays the log would receive all backlogs at once and
+// could fail again under the load.
 void record_queue::OnRecovered(time_point now) {
   backoff_ = duration::zero();
   batch_ = settings_.max_batch_records;
@@ -137,13 +137,14 @@
   BackOff(now, settings_.max_backoff);
 }
 
-// An append is refused as long as the log can't be connected to, or is asked
-// for too much, so no record is given up for it; but one that the log never
-// takes must not hold up the others. Refused records go behind the rest and the
-// next append is half as large, until such a record is alone in its append. The
-// fold takes a writer's records in the order of their numbers, hence the new
-// id; it is safe because the old one surely isn't in the log. A record whose
-// earlier append ended unknown may be there: it keeps its id and its place.
+// The log rejects appends while it cannot be connected to, or when an append is
+// too large. Such a rejection is no reason to drop a record, but a record that
+// the log never accepts must not block the others. Rejected records therefore
+// move behind the rest, and the next append is half as large, until such a
+// record is alone in its append. Records of one writer are applied in the order
+// of their numbers, so a moved record gets a new id; this is safe because the
+// old one is certainly not in the log. A record whose earlier append ended with
+// an unknown result may be in the log, so it keeps its id and position.
 void record_queue::OnRejected(time_point now,
                               std::vector<renamed_record>& renamed) {
   std::size_t sent = 0;
@@ -180,7 +181,7 @@
         return IsObsolete(item.content.body, state);
       });
   if (dropped > 0) {
-    out.Log(log_severity::kInfo, "dropped records that have become void",
+    out.Log(log_severity::kInfo, "dropped obsolete records",
             {{"records", std::to_string(dropped)}});
   }
 }
--- a/tests/core/log/control_log_test.cc
+++ b/tests/core/log/control_log_test.cc
@@ -18,8 +18,9 @@
 }
 
 TEST_CASE("Two operators publish at once at two entries") {
-  // Both read generation 0 and publish through different entries. Both records
-  // get into the log; the second operator must be told who was first.
+  // Both operators read generation 0 and publish through different entries.
+  // Both records are written to the log, and the second operator must be told
+  // who was first.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   control_log_harness two(&log, 2, "entry-2");
@@ -38,9 +39,9 @@
 }
 
 TEST_CASE("The answer to an append of the control log is lost") {
-  // The records were written, but the entry doesn't know and hears nothing from
-  // the log for a while. It appends them again; the fold takes the first copy
-  // only and the operator gets one answer, of that copy.
+  // The records were written, but the entry does not know it and cannot read
+  // the log for a while. It appends them again. Only the first copy is applied,
+  // and the operator gets one answer, for that copy.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -49,14 +50,14 @@
   one.Submit(Publish(0));
   CHECK(one.state().targets_version == 1);
 
-  SECTION("and it isn't appended again once it was read back") {
+  SECTION("and the record is not appended again once it was read back") {
     one.next_result = append_result::kAppended;
     one.Tick(kLong);
     CHECK(one.appends.size() == 1);
   }
 
-  SECTION("and it is, while reads come late") {
-    // The log answers neither appends nor reads, yet takes the records.
+  SECTION("and the record is appended again while reads are late") {
+    // The log reports neither append results nor reads, but writes the records.
     effects out;
     append_ids ids;
     random_source random(3);
@@ -88,7 +89,7 @@
   }
 }
 
-TEST_CASE("An operator publishes while the log is out") {
+TEST_CASE("An operator publishes while the log is unavailable") {
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -100,7 +101,7 @@
   CHECK(one.answers[0].result == command_result::kUnknown);
   CHECK(one.answers[0].detail.find("may still appear") != std::string::npos);
 
-  SECTION("and the change doesn't spring up when the log is back") {
+  SECTION("and the change is not applied when the log is available again") {
     const std::size_t tried = one.appends.size();
     one.is_down = false;
     one.Settle();
@@ -111,10 +112,10 @@
   }
 }
 
-TEST_CASE("The log comes back shorter") {
-  // The platform restores its log from a copy that lacks the newest records.
-  // Following it would put an older configuration in force, so the entry keeps
-  // what it has, goes on serving with it, writes nothing, and shows the fault.
+TEST_CASE("The log returns truncated") {
+  // The platform restores its log from a backup that lacks the newest records.
+  // Following it would put an older configuration in force. The entry must keep
+  // its state, continue serving with it, write nothing, and report the fault.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -134,7 +135,7 @@
   CHECK(one.answers.back().result == command_result::kUnknown);
   CHECK(records.size() == 1);
 
-  SECTION("and was only late: the same record is there again") {
+  SECTION("but its end was only stale: the same record is there again") {
     records.push_back(lost);
     one.Settle();
     CHECK(one.core->fault() == log_fault::kNone);
@@ -142,7 +143,7 @@
     CHECK(one.core->caught_up());
   }
 
-  SECTION("and a process that starts then never takes part") {
+  SECTION("and a process that starts then never becomes ready") {
     records.clear();
     snapshot_taken taken;
     taken.state = std::make_shared<const fleet_state>(one.state());
@@ -155,7 +156,7 @@
     CHECK_FALSE(last.core->caught_up());
   }
 
-  SECTION("and another record takes the lost one's offset") {
+  SECTION("and another record takes the offset of the lost one") {
     record other = lost;
     other.id = record_id("other");
     records.push_back(other);
@@ -166,7 +167,7 @@
   }
 }
 
-TEST_CASE("Retention passes an entry by") {
+TEST_CASE("Retention deletes records that an entry has not read") {
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   control_log_harness two(&log, 2, "entry-2");
@@ -182,16 +183,17 @@
   REQUIRE(one.core->newest_snapshot() >= 20);
   log.streams[kControlStream].begin = 15;
 
-  SECTION("and it goes on from a newer snapshot") {
+  SECTION("and it continues from a newer snapshot") {
     two.is_down = false;
     two.Settle();
     CHECK(two.state() == one.state());
     CHECK(two.core->caught_up());
   }
 
-  SECTION("and no snapshot reaches beyond the cut") {
-    // It must not skip the records it lacks: it would have another fold than
-    // the others. It waits, shows why, and goes on when a snapshot comes.
+  SECTION("and no snapshot covers the deleted records") {
+    // The entry must not skip the missing records, because its state would
+    // differ from that of the others. It waits, reports the fault, and
+    // continues when a snapshot arrives.
     const auto snapshots = log.streams[kSnapshotStream];
     log.streams.erase(kSnapshotStream);
     two.is_down = false;
@@ -208,8 +210,9 @@
 }
 
 TEST_CASE("The newest snapshots are damaged") {
-  // A joiner that trusted one would start from a state that nobody has. It
-  // takes the newest good one, and reads no more of them than it has to.
+  // An entry that trusted a damaged snapshot would start from a state that no
+  // other entry has. It must use the newest valid one and read no more
+  // snapshots than necessary.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -235,9 +238,9 @@
 }
 
 TEST_CASE("All entries are replaced one after another") {
-  // The VMs keep nothing, so the log is all that is left of each configuration.
-  // Each dies without a word and retention follows close behind the snapshots,
-  // which a live entry has to take in the place of a dead one.
+  // The VMs have no persistent storage, so each configuration exists only in
+  // the log. Each entry dies without leaving, and retention closely follows the
+  // snapshots, so a live entry has to write them in place of a dead one.
   memory_log log;
   generation published = 0;
   for (std::uint64_t life = 1; life <= 12; ++life) {
@@ -259,9 +262,9 @@
 }
 
 TEST_CASE("The log refuses connections for a while") {
-  // An append on a connection that was never made ends as rejected: it surely
-  // wasn't written. The entry's own records have to survive that, however often
-  // it happens, and an operator's command isn't invalid because of it.
+  // An append without a connection ends as rejected: it was certainly not
+  // written. The entry's own records must survive any number of such failures,
+  // and an operator's command must not be answered invalid because of them.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -283,9 +286,9 @@
   CHECK(one.state().targets_version == 0);
 }
 
-TEST_CASE("The log never takes one of the records") {
-  // One record is too large for the log, which refuses each append that holds
-  // it. The others must get through.
+TEST_CASE("The log permanently rejects one of the records") {
+  // One record is too large for the log, which rejects each append that
+  // contains it. The other records must still be written.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -299,9 +302,9 @@
   CHECK(one.state().targets_version == 20);
 }
 
-TEST_CASE("A stranger's heartbeat tells nothing") {
-  // A process of another fleet, or one that was expelled, says that its log
-  // reaches far beyond ours. Believing it would make every entry unready.
+TEST_CASE("Heartbeats of processes that are not members are ignored") {
+  // A process of another fleet, or an expelled one, reports an offset far
+  // beyond this log. Believing it would make every entry unready.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -312,9 +315,9 @@
   CHECK(one.core->divergent_peers().empty());
 }
 
-TEST_CASE("The end of an outage brings no burst") {
-  // Nine entries have a backlog when the log comes back. Each keeps to its rate
-  // and starts at a time of its own.
+TEST_CASE("The end of an outage causes no burst of appends") {
+  // Several entries have a backlog when the log becomes available again. Each
+  // must keep to its append rate and start at a random time.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   one.Start();
@@ -333,9 +336,10 @@
   CHECK(one.state().targets_version == 500);
 }
 
-TEST_CASE("Entries compare their folds") {
-  // A fault in one entry's reducer or memory would let it plan VMs into pools
-  // that the others don't know. Heartbeats carry digests at some offsets.
+TEST_CASE("Entries compare their state digests") {
+  // Faulty apply logic or corrupted memory in one entry could make it plan VMs
+  // into pools that the others do not know. Heartbeats carry digests at some
+  // offsets to detect this.
   memory_log log;
   control_log_harness one(&log, 1, "entry-1");
   control_log_harness two(&log, 2, "entry-2");
@@ -369,7 +373,7 @@
     CHECK(one.core->divergent_peers().contains(two.who));
   }
 
-  SECTION("with a peer that is ahead, once they get there") {
+  SECTION("with a peer that is ahead, once they reach its offset") {
     one.ReceivePeerOffset(2 * kDigestInterval, 12345, two.who);
     CHECK_FALSE(one.core->caught_up());
     while (one.state().offset < 2 * kDigestInterval) {
--- a/tests/core/log/fold_property_test.cc
+++ b/tests/core/log/fold_property_test.cc
@@ -15,12 +15,13 @@
 namespace plantainhead::core {
 namespace {
 
-// Draws records about a few names, so that they meet and conflict.
+// Generates random records about a small set of names, so that they often refer
+// to the same object and conflict.
 class record_generator {
  public:
   explicit record_generator(std::uint64_t seed) : random_(seed) {}
 
-  // Returns a record that fits `state` more often than not.
+  // Returns a record that is valid under `state` more often than not.
   log_entry Draw(const fleet_state& state) {
     constexpr int kCopyOneIn = 15;
     if (!drawn_.empty() && Choose(kCopyOneIn) == 0) {
@@ -38,7 +39,7 @@
   Id Name(const char* kind) {
     return Id(kind + std::to_string(Choose(3)));
   }
-  // Processes die and others start, so the choice moves on.
+  // Processes end and others start, so the range of incarnations moves on.
   incarnation Entry() {
     constexpr std::uint64_t kLives = 6;
     constexpr std::uint64_t kRecordsPerLife = 20;
@@ -166,7 +167,7 @@
 
 constexpr int kRecords = 400;
 
-// What is left of a state without the marks that each record leaves.
+// Returns the state without the fields that every record changes.
 fleet_state WithoutPositions(fleet_state state) {
   state.offset = 0;
   state.writers.clear();
@@ -204,8 +205,8 @@
   }
 }
 
-// A VM changes its pool only by a record that named its generation, while it
-// serves; a name never has one generation twice.
+// A VM changes its pool only by a record that names its current generation and
+// while it is serving. A VM id never has the same generation twice.
 void CheckVms(const fleet_state& before,
               const fleet_state& after,
               const record_body& body,
@@ -231,7 +232,8 @@
   }
 }
 
-TEST_CASE("Whatever is in the log, the fold keeps its rules") {
+TEST_CASE(
+    "Any sequence of log records preserves the invariants of the fleet state") {
   const bool holds = rc::check([](std::uint64_t seed) {
     fleet_state state;
     std::map<vm_id, generation> greatest;
@@ -259,7 +261,8 @@
   CHECK(holds);
 }
 
-TEST_CASE("A snapshot and the tail give the state of the whole log") {
+TEST_CASE(
+    "A snapshot and the records after it give the state of the whole log") {
   const bool holds = rc::check([](std::uint64_t seed) {
     const std::vector<log_entry> log = DrawLog(seed, kRecords);
     const std::size_t cut = seed % kRecords;
@@ -296,9 +299,9 @@
   CHECK(holds);
 }
 
-TEST_CASE("However reads split the log, the fold is the same") {
-  // Reads are long or short, and after a new start of following some entries
-  // come again.
+TEST_CASE("The fleet state does not depend on how reads split the log") {
+  // Reads have random lengths, and some records are delivered again, as after
+  // reading restarts.
   const bool holds = rc::check([](std::uint64_t seed) {
     const std::vector<log_entry> log = DrawLog(seed, kRecords);
     fleet_state whole;
--- a/tests/core/log/fold_test.cc
+++ b/tests/core/log/fold_test.cc
@@ -15,7 +15,7 @@
 constexpr incarnation kSecond{2};
 constexpr incarnation kThird{3};
 
-// Folds records one after another with ids and offsets of their own.
+// Applies records one after another and assigns their ids and offsets.
 class log_writer {
  public:
   fold_result Write(record_body body, std::string author = "writer") {
@@ -35,7 +35,7 @@
     body.name = entry_id(name);
     Write(body);
   }
-  // Three members, the first of which plans, and two pools.
+  // Creates three members, the first of which is the planner, and two pools.
   void Prepare() {
     Join(kFirst, "entry-1");
     Join(kSecond, "entry-2");
@@ -54,9 +54,9 @@
 };
 
 TEST_CASE("Two operators publish a configuration at once") {
-  // Both read generation 0 and publish. The log orders them: the first is in
-  // force, the second must be refused, or the first operator's change would
-  // vanish without a word.
+  // Both operators read generation 0 and publish. The log orders the records:
+  // the first takes effect, and the second must be a conflict, or the first
+  // operator's change would be lost silently.
   log_writer log;
   const fold_result ana = log.Write(publish_configuration{{}, 0}, "ana");
   const fold_result ben = log.Write(publish_configuration{{}, 0}, "ben");
@@ -71,8 +71,9 @@
 }
 
 TEST_CASE("A record is appended twice") {
-  // The answer to an append is lost after its records were written, so the
-  // writer appends them again. The stream holds both; the second does nothing.
+  // The result of an append is lost after its records were written, so the
+  // writer appends them again. The stream contains both copies; the second must
+  // have no effect.
   log_writer log;
   log.WriteAs("same", publish_configuration{{}, 0}, "ana");
   const fold_result second =
@@ -84,9 +85,10 @@
 }
 
 TEST_CASE("A delayed append arrives after later ones of its writer") {
-  // An append of records 1 and 2 times out in the network. The writer drops 1,
-  // which has become void, and appends 2 again; then the first append arrives
-  // after all. Neither of its records may act: 2 has, and 1 was given up.
+  // An append of records 1 and 2 times out in the network. The writer drops
+  // record 1, which has become obsolete, and appends 2 again; then the first
+  // append arrives after all. Neither of its records may take effect: 2 has
+  // already been applied, and 1 was withdrawn.
   log_writer log;
   log.Join(kFirst, "entry-1");
   const auto id = [](std::uint64_t number) {
@@ -103,7 +105,7 @@
   CHECK(log.state.writers.at(kSecond) == writer_position{2, 2});
 }
 
-TEST_CASE("An entry that isn't the next one is refused") {
+TEST_CASE("A log entry that is not the next one is rejected") {
   log_writer log;
   log.Join(kFirst, "entry-1");
   const fleet_state before = log.state;
@@ -130,9 +132,9 @@
     CHECK(log.state.vms.at(vm).pool == pool_id("blue"));
   }
 
-  SECTION("are not moved by a planner that was frozen") {
-    // The first planner freezes with a record half sent. Its lease lapses, the
-    // second takes the next epoch, then the old record arrives.
+  SECTION("are not moved by a former planner that was frozen") {
+    // The first planner freezes while sending a record. Its lease expires, the
+    // second takes the next epoch, and then the old record arrives.
     REQUIRE(log.Write(take_planner_lease{kSecond, 1, 0}).outcome ==
             fold_outcome::kApplied);
     const fold_result late =
@@ -142,21 +144,21 @@
     CHECK(log.state.vms.at(vm).pool == pool_id("red"));
   }
 
-  SECTION("go to known pools only") {
+  SECTION("are assigned to configured pools only") {
     CHECK(
         log.Write(assign_vm{1, vm, version, pool_id("nowhere"), ""}).outcome ==
         fold_outcome::kConflict);
   }
 
-  SECTION("that come back never repeat a generation") {
-    // A VM is forgotten and listed again. A record written for its earlier life
-    // arrives after that and must not match.
+  SECTION("that are deleted and listed again never repeat a generation") {
+    // A VM is deleted and listed again. A record written for its earlier
+    // instance arrives afterwards and must not match.
     log.Write(forget_vm{1, vm, version});
     log.Write(assign_vm{1, vm, 0, pool_id("red"), ""});
     CHECK(log.state.vms.at(vm).version > version);
   }
 
-  SECTION("are visited by a wave on their return") {
+  SECTION("count as visited by a wave after they return") {
     const wave_id wave("may");
     log.Write(start_wave{wave, {pool_id("red")}, {}}, "ana");
     const auto step = [&](vm_phase phase) {
@@ -190,7 +192,7 @@
   }
 }
 
-TEST_CASE("Members come and go") {
+TEST_CASE("Members join, leave and are expelled") {
   log_writer log;
   log.Prepare();
 
@@ -223,7 +225,7 @@
     CHECK(log.state.lease.epoch == 1);
   }
 
-  SECTION("a lease that was renewed meanwhile isn't taken") {
+  SECTION("a lease that was renewed meanwhile is not taken") {
     const log_offset read = log.state.lease.renewed_at;
     log.Write(renew_planner_lease{kFirst, 1});
     CHECK(log.Write(take_planner_lease{kSecond, 1, read}).outcome ==
@@ -253,12 +255,12 @@
   CHECK(log.state.jobs.at(spec.name).failures == 1);
   CHECK(set(1, job_status::kParked) == fold_outcome::kApplied);
 
-  SECTION("and an operator frees it") {
+  SECTION("and an operator resumes it") {
     CHECK(set(0, job_status::kWaiting) == fold_outcome::kApplied);
     CHECK(log.state.jobs.at(spec.name).failures == 0);
   }
 
-  SECTION("and its worker is quarantined, which refuses new jobs") {
+  SECTION("and its worker is quarantined, which rejects new jobs") {
     log.Write(set_quarantine{0, vm, log.state.vms.at(vm).version, true, ""},
               "ana");
     set(0, job_status::kWaiting);
@@ -266,7 +268,7 @@
   }
 }
 
-TEST_CASE("Ended jobs are forgotten, the oldest first") {
+TEST_CASE("Ended jobs are evicted, the oldest first") {
   log_writer log;
   log.Prepare();
   for (std::size_t i = 0; i <= kRetainedEndedJobs; ++i) {
@@ -282,8 +284,8 @@
   CHECK_FALSE(log.state.jobs.contains(job_id("job-0")));
 }
 
-TEST_CASE("A script submits jobs without end") {
-  // Every entry holds every job, so all would run out of memory together.
+TEST_CASE("A script submits an unlimited number of jobs") {
+  // Every entry stores every job, so all would run out of memory together.
   log_writer log;
   log.Prepare();
   fold_result last;
@@ -297,7 +299,7 @@
   CHECK(log.state.jobs.size() == kMaxJobs);
 }
 
-TEST_CASE("Records that don't belong are skipped") {
+TEST_CASE("Records that do not belong on the control stream are ignored") {
   log_writer log;
   CHECK(log.Write(unknown_record{"from-next-year"}).outcome ==
         fold_outcome::kIgnored);
@@ -307,7 +309,7 @@
   CHECK(log.state.offset == 4);
 }
 
-TEST_CASE("The digest tells states apart") {
+TEST_CASE("Different states have different digests") {
   log_writer log;
   log.Prepare();
   fleet_state other = log.state;
--- a/tests/core/log/lease_test.cc
+++ b/tests/core/log/lease_test.cc
@@ -15,7 +15,8 @@
 
 using namespace std::chrono_literals;
 
-// One entry with its own copy of the fold, which lags behind the shared log.
+// One entry with its own copy of the fleet state, which lags behind the shared
+// log.
 struct entry {
   entry(std::uint64_t number,
         planner_lease_settings settings,
@@ -30,10 +31,10 @@
   fleet_state state;
   bool frozen = false;
   bool readable = true;
-  // The log takes or gives nothing, and doesn't say so.
+  // Appends or reads are delayed without an error being reported.
   bool sends_late = false;
   bool reads_late = false;
-  // Records that are on their way to the log.
+  // Records that have been sent but not yet written to the log.
   std::deque<record_body> sent;
 };
 
@@ -84,7 +85,7 @@
       item.sent.push_back(std::move(body));
     }
   }
-  // All that live act, write and read without delay.
+  // Advances time while all running entries act, write and read without delay.
   void Pass(duration time) {
     constexpr duration kStep = 100ms;
     for (duration passed{}; passed < time; passed += kStep) {
@@ -135,9 +136,9 @@
     CHECK(planner.holder->epoch() == 1);
   }
 
-  SECTION("which freezes, is replaced, and wakes up") {
-    // It still believes in its epoch when it wakes, before it has read anything
-    // of the log. The time alone must tell it that it may not act.
+  SECTION("which freezes, is replaced, and resumes") {
+    // When it resumes, it still considers its epoch current, since it has not
+    // read the log. The clock alone must show that it may not act.
     planner.frozen = true;
     nine.Pass(12s);
     CHECK_FALSE(planner.holder->Holds(nine.now));
@@ -151,8 +152,9 @@
   }
 
   SECTION("which stays the planner after an outage of the log") {
-    // Nobody reads renewals while the log is out. When it is back all see an
-    // old one first; nobody may take that for the death of the planner.
+    // No entry reads renewals while the log is unavailable. Afterwards all
+    // entries first see an old renewal; none may conclude that the planner has
+    // died.
     for (entry& item : nine.entries) {
       item.readable = false;
     }
@@ -176,7 +178,7 @@
     CHECK(nine.Holders().front()->holder->epoch() == 2);
   }
 
-  SECTION("which loses a renewal for good and takes the lease anew") {
+  SECTION("which permanently loses a renewal and takes the lease again") {
     for (entry& item : nine.entries) {
       item.frozen = &item != &planner;
     }
@@ -192,8 +194,9 @@
 }
 
 TEST_CASE("A renewal is read back late") {
-  // The log takes a renewal but the holder reads it after seconds. Others may
-  // have read it at once, so the holder's time counts from the sending.
+  // The log writes a renewal, but the holder reads it back seconds later.
+  // Others may have read it at once, so the holder must measure the lease from
+  // the time it sent the renewal.
   fleet two(2);
   two.Pass(2s);
   REQUIRE(two.Holders().size() == 1);
@@ -210,7 +213,7 @@
   CHECK_FALSE(planner.holder->Holds(sent + 7100ms));
 }
 
-// Gives an entry another kind of fault, or none.
+// Gives an entry a random kind of fault, or none.
 void ChangeFault(entry& item, random_source& random) {
   constexpr int kKinds = 8;
   const auto kind = random() % kKinds;
@@ -220,10 +223,10 @@
   item.reads_late = kind == 3 || kind == 4;
 }
 
-TEST_CASE("Two planners never act at one moment") {
-  // Entries freeze, appends and reads are late by any time and in any order
-  // between entries. At each step at most one entry may act. The clocks are
-  // equal here, so no margin is needed.
+TEST_CASE("Two planners never act at the same time") {
+  // Entries freeze, and appends and reads are delayed by random times and in
+  // random order between entries. At each step at most one entry may act. All
+  // clocks are equal here, so no margin is needed.
   const bool holds = rc::check([](std::uint64_t seed) {
     planner_lease_settings settings;
     settings.margin = 0s;
--- a/tests/core/log/memory_log.h
+++ b/tests/core/log/memory_log.h
@@ -12,10 +12,10 @@
 
 namespace plantainhead::core {
 
-// The platform's log as the tests steer it.
+// In-memory log with behavior that tests control.
 class memory_log {
  public:
-  // Type of a record that no append gets in.
+  // Type of a record that the log always rejects.
   static constexpr char kTooLarge[] = "too-large";
 
   static bool Takes(const std::vector<record>& records) {
@@ -59,7 +59,7 @@
   std::map<stream_name, stream> streams;
 };
 
-// An entry's control_log with an adapter that carries its actions out at once.
+// An entry's control_log with an adapter that executes its actions immediately.
 class control_log_harness {
  public:
   control_log_harness(memory_log* log,
@@ -108,7 +108,7 @@
     const log_unavailable event{kControlStream, "timeout"};
     Do([&](effects& out) { core->OnLogUnavailable(now, event, out); });
   }
-  // Reads on until nothing new comes.
+  // Reads the followed streams repeatedly until no new records arrive.
   void Settle() {
     constexpr int kRounds = 20;
     for (int round = 0; round < kRounds && !is_down; ++round) {
@@ -145,7 +145,7 @@
   std::optional<control_log> core;
   time_point now{};
   bool is_down = false;
-  // How the next append ends and whether its records are written.
+  // Result of the next appends, and whether their records are written.
   append_result next_result = append_result::kAppended;
   bool next_is_written = true;
   std::vector<answer_operator> answers;
--- a/tests/core/log/model_log.h
+++ b/tests/core/log/model_log.h
@@ -11,8 +11,8 @@
 
 namespace plantainhead::core {
 
-/// The platform's log as tests need it: streams of records with offsets from 1,
-/// and a cut by retention.
+/// In-memory log for tests: streams of records with offsets starting at 1, and
+/// deletion by retention.
 class model_log {
  public:
   /// Returns the offset of the first record.
@@ -24,7 +24,7 @@
     return first;
   }
 
-  /// Drops the records before `begin`.
+  /// Deletes the records before `begin`, as retention does.
   void Cut(const stream_name& stream, log_offset begin) {
     log_offset& kept = begins_.try_emplace(stream, 1).first->second;
     kept = std::max(kept, begin);
@@ -35,7 +35,7 @@
     return place == streams_.end() ? 0 : place->second.size();
   }
 
-  /// Reads at most `most` records after `after`.
+  /// Reads at most `most` records after offset `after`.
   log_read Read(const stream_name& stream,
                 log_offset after,
                 std::size_t most = 1000) const {
--- a/tests/core/log/record_number_test.cc
+++ b/tests/core/log/record_number_test.cc
@@ -5,12 +5,12 @@
 namespace plantainhead::core {
 namespace {
 
-TEST_CASE("A record's id names its writer and number") {
+TEST_CASE("A record id encodes its writer and number") {
   const record_number number{incarnation{0xfedcba9876543210}, 42};
   CHECK(MakeRecordId(number) == record_id("fedcba9876543210-42"));
   CHECK(ParseRecordId(MakeRecordId(number)) == number);
 
-  SECTION("and ids of other forms name none") {
+  SECTION("and ids of other formats are not parsed") {
     const char* text = GENERATE("", "42", "fedcba9876543210",
                                 "fedcba9876543210-", "fedcba9876543210-042",
                                 "fedcba9876543210-+2", "FEDCBA9876543210-42",
