--- a/include/plantainhead/core/entry/actions.h
+++ b/include/plantainhead/core/entry/actions.h
@@ -15,17 +15,17 @@
 #include "plantainhead/core/platform_types.h"
 #include "plantainhead/core/requests/request.h"
 
-/// All that an entry can do. An adapter carries these out in their order.
+/// Actions of an entry. An adapter executes them in order.
 namespace plantainhead::core {
 
-/// Ends a caller's request. Sent exactly once for each `request_arrived`.
+/// Answers a caller's request. Sent exactly once for each `request_arrived`.
 struct answer_caller {
   std::uint64_t sequence = 0;
   response answer;
 };
 
-/// Sends a message to another entry; dropped when there is no connection, in
-/// which case `peer_disconnected` tells so.
+/// Sends a message to another entry. If there is no connection the message is
+/// dropped and `peer_disconnected` reports it.
 struct send_frame {
   incarnation to = incarnation::kNone;
   std::string host;
@@ -33,8 +33,8 @@
   peer_frame frame;
 };
 
-/// Sends a request to an endpoint; ends in `endpoint_replied` or
-/// `endpoint_failed`, exactly once.
+/// Sends a request to an endpoint. Results in exactly one `endpoint_replied` or
+/// `endpoint_failed` event.
 struct call_endpoint {
   call_id call = call_id::kNone;
   vm_id vm;
@@ -44,36 +44,40 @@
   request_envelope envelope;
 };
 
-/// Appends records to a stream as one append; ends in `append_finished`.
+/// Appends records to a stream as one append. Results in an `append_finished`
+/// event.
 struct append_records {
   append_id append = append_id::kNone;
   stream_name stream;
   std::vector<record> records;
 };
 
-/// Starts to read a stream after `after`; following it again starts anew there.
+/// Starts reading a stream after offset `after`. If the stream is already
+/// followed, reading restarts there.
 struct follow_stream {
   stream_name stream;
   log_offset after = 0;
 };
 
+/// Stops reading a stream.
 struct unfollow_stream {
   stream_name stream;
 };
 
-/// Carries out an operation at the platform; ends in `operation_finished`.
+/// Executes a platform operation. Results in an `operation_finished` event.
 struct run_operation {
   operation_id operation;
   platform_operation what;
 };
 
-/// How an operator's command ended.
+/// Result of an operator's command.
 enum class command_result {
   kAccepted,
-  /// The object has another generation; `detail` shows what is in force.
+  /// The object has a different generation; `detail` describes the value in
+  /// force.
   kConflict,
   kInvalid,
-  /// The log can't be reached; whether the record will appear isn't known.
+  /// The log cannot be reached; it is unknown whether the record will appear.
   kUnknown,
 };
 
@@ -87,6 +91,7 @@
   return kCommandResultNames;
 }
 
+/// Answers an operator's command.
 struct answer_operator {
   std::uint64_t sequence = 0;
   command_result result = command_result::kUnknown;
@@ -94,12 +99,13 @@
   std::string detail;
 };
 
-/// Tells the balancer whether this entry takes requests.
+/// Informs the load balancer whether this entry accepts requests.
 struct set_ready {
   bool ready = false;
   std::string reason;
 };
 
+/// Severity of a message in the process log.
 enum class log_severity { kDebug, kInfo, kWarning, kError };
 
 inline constexpr name_table<log_severity, 4> kLogSeverityNames = {{
@@ -112,17 +118,17 @@
   return kLogSeverityNames;
 }
 
-/// A line for the log.
+/// Writes a message to the process log.
 struct write_log_message {
   log_severity level = log_severity::kInfo;
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/// The entry has ended all it had to do.
+/// Ends the process; the entry has completed all its work.
 struct exit_process {
-  /// True when the fold dropped this entry while it lived: the process is to
-  /// start anew under another incarnation.
+  /// True if this entry was removed from the view while it was running: the
+  /// process must restart under a new incarnation.
   bool restart = false;
 };
 
--- a/include/plantainhead/core/entry/effects.h
+++ b/include/plantainhead/core/entry/effects.h
@@ -10,14 +10,14 @@
 
 namespace plantainhead::core {
 
-/// What a module of the decisions wants done. Modules append to it, in order.
-/// Thread safety: none.
+/// Output of a decision module: actions and records, which modules append in
+/// order. Thread safety: none.
 struct effects {
-  /// Carried out by the adapter.
+  /// Actions for the adapter to execute.
   action_list actions;
-  /// Records for the control stream. `control_log` gives them ids, batches
-  /// them, appends again those whose answer was lost and drops what has become
-  /// void.
+  /// Records for the control stream. `control_log` assigns ids, batches the
+  /// records, retries those whose append result is unknown and drops those that
+  /// have become obsolete.
   std::vector<record_body> records;
 
   void Do(action item) { actions.push_back(std::move(item)); }
--- a/include/plantainhead/core/entry/entry_core.h
+++ b/include/plantainhead/core/entry/entry_core.h
@@ -27,52 +27,55 @@
 
 namespace plantainhead::core {
 
+/// Options of an entry_core.
 struct entry_core_options {
   /// This process; `who` must not be `kNone`.
   entry_member self;
   membership_options membership;
   claim_options claims;
   planner_options planner;
-  /// `queue.self` and `name` are taken from `self`.
+  /// `queue.self` and `name` are overwritten with values from `self`.
   control_log_settings control;
-  /// `self` is taken from above.
+  /// `lease.self` is overwritten with `self.who`.
   planner_lease_settings lease;
-  /// How long requests are still taken after a stop was asked for, so that the
-  /// balancer has seen that the entry isn't ready.
+  /// How long requests are still accepted after a stop was requested, so that
+  /// the load balancer can detect that the entry is not ready.
   duration stop_notice = std::chrono::seconds(1);
-  /// How long an entry that has ended its work waits for its leave record.
+  /// How long an entry that has completed its work waits for its leave record
+  /// to be read back.
   duration leave_timeout = std::chrono::seconds(2);
-  /// How often this entry's counts of requests are recorded.
+  /// Interval at which this entry's request counts are recorded.
   duration count_interval = std::chrono::minutes(5);
-  /// Starts the random choices.
+  /// Seed of the random number generator.
   std::uint64_t seed = 1;
 };
 
-/// All decisions of one entry: events in, actions out.
+/// Decision logic of one entry: consumes events and produces actions.
 ///
 ///     entry_core core(options);
 ///     action_list actions = core.Start(now);
 ///     // for each event, from one thread:
 ///     actions = core.Handle(event, now);
 ///
-/// The modules decide; this class hands events to them and moves what one says
-/// to the others. It reads no clock and does no input or output, so a recorded
-/// sequence of events and times always gives the same actions.
+/// The modules make the decisions; this class dispatches events to them and
+/// passes the output of one module to the others. It reads no clock and
+/// performs no I/O, so a recorded sequence of events and times always produces
+/// the same actions.
 ///
-/// Thread safety: none. Precondition of all calls: `now` never goes back.
+/// Thread safety: none. Precondition of all calls: `now` never decreases.
 class entry_core {
  public:
   explicit entry_core(entry_core_options options);
   entry_core(const entry_core&) = delete;
   entry_core& operator=(const entry_core&) = delete;
 
-  /// Returns the first actions. Precondition: called once, before `Handle`.
+  /// Returns the initial actions. Precondition: called once, before `Handle`.
   action_list Start(time_point now);
 
-  /// Takes in one event and returns what is to be done, in order.
+  /// Handles one event and returns the resulting actions in order.
   action_list Handle(const event& item, time_point now);
 
-  /// Returns the fold of the control stream as far as it was read.
+  /// Returns the fleet state as of the last control record read.
   const fleet_state& fleet() const { return control_.state(); }
   const entry_member& self() const { return options_.self; }
   const endpoint_table& endpoints() const { return endpoints_; }
@@ -82,19 +85,18 @@
   const membership& members() const { return membership_; }
   const request_meter& meter() const { return meter_; }
 
-  /// Returns how full this entry's own endpoints are.
+  /// Returns the load of this entry's own endpoints.
   std::vector<service_load> Load(time_point now) const;
 
-  /// Returns true while maintenance keeps a VM of the service's pools from
-  /// work.
+  /// Returns true while any VM in the service's pools is in maintenance.
   bool IsInMaintenance(const service_name& service) const;
 
-  /// Returns the class that a request names, or its service's only class when
-  /// it names none; null when there is no such class.
+  /// Returns the class that the request names, or its service's only class if
+  /// the request names none. Returns null if there is no such class.
   const work_class* ClassOf(const request_envelope& request) const;
 
   bool ready() const { return ready_; }
-  /// Returns why the entry isn't ready; empty when it is.
+  /// Returns the reason why the entry is not ready; empty if it is ready.
   const std::string& not_ready_reason() const { return not_ready_reason_; }
   bool stopping() const { return stop_requested_at_.has_value(); }
 
@@ -122,7 +124,7 @@
   heartbeat_contents HeartbeatContents(time_point now);
   planner_inputs PlannerInputs(time_point now) const;
 
-  /// Moves what changed in one module to those that depend on it.
+  /// Propagates changes in one module to the modules that depend on it.
   void PropagateChanges(time_point now, effects& out);
   void UpdateFromFleetState(time_point now, effects& out);
   void UpdateMembers(time_point now, effects& out);
@@ -159,7 +161,8 @@
   bool list_changed_ = false;
 
   std::set<incarnation> suspects_;
-  /// Members whose connection broke and of whom nothing was heard since.
+  /// Members whose connection was lost and from which nothing has been received
+  /// since.
   std::set<incarnation> disconnected_members_;
   std::set<incarnation> stopping_members_;
   std::set<incarnation> known_members_;
@@ -167,13 +170,15 @@
   std::vector<claim_decision> decisions_;
 
   time_point handled_at_;
-  /// When the process went on after it stood still, until the log was read
-  /// anew.
+  /// Time at which the process resumed after a pause; reset once the log has
+  /// been read again.
   std::optional<time_point> resumed_at_;
-  /// Since when others have applied records that this entry has not read.
+  /// Time since which other entries have applied records that this entry has
+  /// not read.
   std::optional<time_point> behind_since_;
   bool lag_exceeded_ = true;
-  /// Others have shown that they follow the same log.
+  /// True once more than half of the other members have been heard, which
+  /// shows that they follow the same log.
   bool heard_by_quorum_ = false;
   bool ready_ = false;
   bool serving_ = false;
--- a/include/plantainhead/core/entry/events.h
+++ b/include/plantainhead/core/entry/events.h
@@ -14,36 +14,39 @@
 #include "plantainhead/core/platform_types.h"
 #include "plantainhead/core/requests/request.h"
 
-/// All that can happen to an entry. An adapter turns sockets, timers and files
-/// into these and hands each to `entry_core::Handle` with the time.
+/// Events that an entry handles. An adapter converts socket, timer and file
+/// activity into events and passes each to `entry_core::Handle` with the
+/// current time.
 namespace plantainhead::core {
 
-/// Time has passed; sent at a fixed interval (`kTickInterval`).
+/// Timer event, sent at a fixed interval (`kTickInterval`).
 struct tick {};
 
 inline constexpr duration kTickInterval = std::chrono::milliseconds(20);
 
-/// A caller's request, already parsed. Sequence numbers come from the adapter.
+/// A parsed request of a caller. The adapter assigns sequence numbers.
 struct request_arrived {
   std::uint64_t sequence = 0;
   request_envelope request;
 };
 
-/// The caller of this entry's own request hung up.
+/// The caller of a request that arrived at this entry has disconnected.
 struct caller_disconnected {
   std::uint64_t sequence = 0;
 };
 
+/// A frame was received from another entry.
 struct frame_received {
   peer_frame frame;
 };
 
-/// A connection to another entry was lost; frames sent on it may not arrive.
+/// The connection to another entry was lost; frames sent on it may not have
+/// arrived.
 struct peer_disconnected {
   incarnation peer = incarnation::kNone;
 };
 
-/// An endpoint's whole answer.
+/// A complete response of an endpoint.
 struct endpoint_replied {
   call_id call = call_id::kNone;
   int status = 0;
@@ -51,14 +54,14 @@
   shared_body body;
 };
 
-/// How sure it is that an endpoint has not started on a request.
+/// Whether an endpoint may have started to process a failed request.
 enum class endpoint_failure {
-  /// No byte left this entry.
+  /// No byte was sent.
   kNotSent,
-  /// The endpoint said that it didn't run it (503 with `Plantain-Not-Run:
-  /// true`).
+  /// The endpoint reported that it did not run the request (503 with
+  /// `Plantain-Not-Run: true`).
   kRefused,
-  /// Bytes left, no whole answer came.
+  /// Bytes were sent, but no complete response was received.
   kMaybeSent,
 };
 
@@ -71,23 +74,24 @@
   return kEndpointFailureNames;
 }
 
+/// A call to an endpoint failed.
 struct endpoint_failed {
   call_id call = call_id::kNone;
   endpoint_failure failure = endpoint_failure::kMaybeSent;
-  /// True when the endpoint said that it is leaving.
+  /// True if the endpoint reported that it is shutting down.
   bool leaving = false;
   std::string detail;
 };
 
-/// Records read from a followed stream, in order without gaps, or the news that
-/// it has none beyond `end`. `entries` starts at the first offset after those
-/// handed over before.
+/// Records read from a followed stream, in order without gaps; empty if there
+/// are none beyond `end`. `entries` starts at the first offset after those
+/// delivered before.
 struct log_read {
   stream_name stream;
   std::vector<log_entry> entries;
-  /// The greatest offset that the stream had when it was read.
+  /// Greatest offset of the stream at the time of the read.
   log_offset end = 0;
-  /// The smallest offset that it still keeps.
+  /// Smallest offset that the stream still retains.
   log_offset begin = 0;
 };
 
@@ -97,16 +101,18 @@
   std::string detail;
 };
 
-/// How an append ended.
+/// Result of an append.
 enum class append_result {
   /// The records are in the stream.
   kAppended,
-  /// They are not and will not be.
+  /// The records are not in the stream and will not be.
   kRejected,
-  /// Nobody knows; the same records can be appended again.
+  /// It is unknown whether the records are in the stream; the same records can
+  /// be appended again.
   kUnknown,
 };
 
+/// An append has ended.
 struct append_finished {
   append_id append = append_id::kNone;
   append_result result = append_result::kUnknown;
@@ -114,20 +120,23 @@
   log_offset first = 0;
 };
 
+/// The platform's VM and task lists were read.
 struct vm_list_read {
   std::vector<vm_listing> vms;
   std::vector<task_listing> tasks;
 };
 
+/// The platform's VM list could not be read.
 struct vm_list_unavailable {};
 
+/// A platform operation has ended.
 struct operation_finished {
   operation_id operation;
   operation_result result = operation_result::kUnknown;
   std::string detail;
 };
 
-/// An operator's command that needs a record. The answer is the action
+/// An operator's command that requires a record. It is answered by the action
 /// `answer_operator` with the same sequence.
 struct operator_command {
   std::uint64_t sequence = 0;
@@ -135,7 +144,7 @@
   record_body body;
 };
 
-/// The process was asked to end in good order.
+/// The process was asked to shut down gracefully.
 struct stop_requested {};
 
 using event = std::variant<tick,
--- a/include/plantainhead/core/entry/messages.h
+++ b/include/plantainhead/core/entry/messages.h
@@ -10,11 +10,11 @@
 #include "plantainhead/core/requests/request_counts.h"
 #include "plantainhead/core/time.h"
 
-/// Messages between entries. Each travels in a frame with the sender's
-/// incarnation and the number of the view that the sender acts under.
+/// Messages between entries. Each is sent in a frame with the sender's
+/// incarnation and the view number that the sender acts under.
 namespace plantainhead::core {
 
-/// How full a sender's share of one service is; rides on heartbeats and
+/// Load of the sender's endpoints of one service; included in heartbeats and
 /// replies.
 struct service_load {
   service_name service;
@@ -25,36 +25,38 @@
   friend bool operator==(const service_load&, const service_load&) = default;
 };
 
-/// What a forwarded request still needs.
+/// Next processing step of a forwarded request.
 enum class forward_stage : std::uint8_t {
-  /// The receiver holds the key's partition and is to claim it, then route it.
+  /// The receiver owns the key's partition: it must claim the key, then route
+  /// the request.
   kClaim,
-  /// Any claim is made; the receiver owns endpoints and is to dispatch it.
+  /// Any required claim is made; the receiver owns endpoints and must dispatch
+  /// the request.
   kDispatch,
 };
 
-/// Hands a request to another entry. `request.deadline` travels as the time
-/// that is left, since two VMs' clocks differ.
+/// Forwards a request to another entry. `request.deadline` is sent as the
+/// remaining time, since the clocks of two VMs differ.
 struct forward_request {
   request_id id;
   forward_stage stage = forward_stage::kDispatch;
   request_envelope request;
 };
 
-/// The whole answer to a forwarded request.
+/// Complete response to a forwarded request.
 struct forward_reply {
   request_id id;
   response answer;
   std::vector<service_load> load;
 };
 
-/// The sender no longer waits for a forwarded request. If it has not been
-/// dispatched it is dropped.
+/// Cancels a forwarded request whose sender no longer waits for it. The
+/// receiver drops it if it has not been dispatched.
 struct cancel_forward {
   request_id id;
 };
 
-/// Requests that the sender has in flight at one VM.
+/// Number of requests that the sender has in flight at one VM.
 struct vm_in_flight {
   vm_id vm;
   std::uint32_t requests = 0;
@@ -62,7 +64,8 @@
   friend bool operator==(const vm_in_flight&, const vm_in_flight&) = default;
 };
 
-/// Requests of one class that a sender has answered since its start.
+/// Counts of requests of one class that the sender has answered since it
+/// started.
 struct class_counts {
   class_name work;
   request_counts counts;
@@ -70,7 +73,8 @@
   friend bool operator==(const class_counts&, const class_counts&) = default;
 };
 
-/// Time for which a sender's endpoints held slots since its start.
+/// Slot usage of the sender's endpoints of one service since it started:
+/// finished requests and total time that slots were held.
 struct service_times {
   service_name service;
   std::uint64_t finished = 0;
@@ -79,26 +83,28 @@
   friend bool operator==(const service_times&, const service_times&) = default;
 };
 
-/// Tells another entry how the sender is. Most carry no load, see `complete`.
+/// Periodic status report to another entry. Most heartbeats omit the load, see
+/// `complete`.
 struct heartbeat {
   std::uint64_t sequence = 0;
-  /// Offset of the control stream that the sender has applied.
+  /// Offset of the control stream up to which the sender has applied records.
   log_offset offset = 0;
-  /// Digest of the sender's fold at `offset`.
+  /// Digest of the sender's fleet state at `offset`.
   std::uint64_t digest = 0;
   bool ready = false;
   bool stopping = false;
   std::vector<service_load> load;
-  /// For VMs that are not serving; a VM that is missing has none in flight.
+  /// Requests in flight at VMs that are not serving; a VM that is not listed
+  /// has none.
   std::vector<vm_in_flight> in_flight;
-  /// False when `load` and `in_flight` were left out to save bytes; what was
-  /// told before then still holds for the offset that it was told with.
+  /// False if `load` and `in_flight` were omitted to save bandwidth. The values
+  /// sent before then still apply as of the offset they were sent with.
   bool complete = true;
-  /// Members that the sender watched and has missed, not those that it knows of
-  /// by others.
+  /// Members that the sender monitors itself and suspects, not those whose
+  /// suspicion was reported by others.
   std::vector<incarnation> suspected;
-  /// Classes and services of which the sender has seen requests; empty when
-  /// left out.
+  /// Counters of the classes and services for which the sender has received
+  /// requests; empty if omitted.
   std::vector<class_counts> classes = {};
   std::vector<service_times> times = {};
 };
@@ -106,7 +112,7 @@
 using peer_message =
     std::variant<forward_request, forward_reply, cancel_forward, heartbeat>;
 
-/// A message with the sender that it came from.
+/// A message with its sender and the sender's view number.
 struct peer_frame {
   incarnation from = incarnation::kNone;
   log_offset view = 0;
--- a/src/core/entry/entry_core.cc
+++ b/src/core/entry/entry_core.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// A read of the log that arrives sooner than this after the process stood
-/// still may have been made before.
+/// A log read that arrives within this time after the process resumed may have
+/// been performed before the pause.
 constexpr duration kMinReadDelayAfterPause = std::chrono::milliseconds(200);
-/// Ticks come every `kTickInterval`; without an event for this long the process
-/// stood still.
+/// Ticks arrive every `kTickInterval`; a gap between events longer than this
+/// means that the process was paused.
 constexpr duration kPauseThreshold = std::chrono::milliseconds(500);
 
 control_log_settings ControlSettings(const entry_core_options& options) {
@@ -69,12 +69,12 @@
   return requests_.Load(Context(), now);
 }
 
-// --- events
+// --- Event handlers
 
 void entry_core::On(const tick&, time_point now, effects& out) {
   control_.OnTick(now, out);
   membership_.OnTick(fleet(), HeartbeatContents(now), now, out);
-  // An entry that is to end plans nothing; its leave record frees the lease.
+  // A stopping entry does not plan; its leave record releases the lease.
   if (!stopping()) {
     lease_.OnTick(now, fleet(), control_.log_readable(), out);
   }
@@ -85,8 +85,7 @@
   }
   if (!stopping() && now - planned_at_ >= options_.planner.plan_interval) {
     planned_at_ = now;
-    // Only the planner reads it, so an entry's own counts needn't be copied at
-    // each tick.
+    // Only the planner reads these counts, so they are not copied at each tick.
     fleet_meter_.Observe(options_.self.who, meter_.Classes(), meter_.Times(),
                          now);
     planner_.OnTick(PlannerInputs(now), now, out);
@@ -101,9 +100,10 @@
     requests_.OnArrival(item, Context(), now, out);
     return;
   }
-  // A claim bars its key for the claim window. A request that could still be
-  // dispatched when a retry of its key is no longer barred would run twice;
-  // with at most half of the window to its deadline it has ended by then.
+  // A claim blocks its key for the claim window. If the request could still be
+  // dispatched after the window, when a retry with the same key is allowed
+  // again, it would run twice. Limiting its deadline to at most half of the
+  // window guarantees that it has ended by then.
   request_arrived bounded = item;
   bounded.request.deadline =
       std::min(item.request.deadline, now + claims_.LongestPatience());
@@ -117,8 +117,9 @@
 }
 
 void entry_core::On(const frame_received& item, time_point now, effects& out) {
-  // A frame of an incarnation that the fold has dropped may be a request that
-  // its caller was already told about: it must start nothing here.
+  // A frame of an incarnation that was removed from the view may carry a
+  // request whose caller has already been answered, so it must not start any
+  // work here.
   const bool is_member = fleet().members.contains(item.frame.from);
   membership_.OnFrame(item.frame, now);
   if (is_member || std::holds_alternative<heartbeat>(item.frame.message)) {
@@ -211,8 +212,8 @@
   listed_at_ = now;
 }
 
-// The last list stays in use: an endpoint that has gone is found out by its
-// calls, and one that has come can wait.
+// The last list stays in use: calls detect an endpoint that is gone, and a new
+// endpoint is not urgent.
 void entry_core::On(const vm_list_unavailable&, time_point, effects&) {}
 
 void entry_core::On(const operation_finished& item,
@@ -235,7 +236,7 @@
   out.Log(log_severity::kInfo, "stopping");
 }
 
-// --- what the modules are shown
+// --- Inputs of the modules
 
 routing_context entry_core::Context() const {
   return {fleet(), endpoints_, suspects_, options_.self.who, serving_};
@@ -247,8 +248,9 @@
   contents.digest = control_.digest();
   contents.ready = ready_;
   contents.stopping = stopping();
-  // A member is home of keys and owner of endpoints at once. Without the VM
-  // list it would answer that there is no endpoint, so it joins after it.
+  // A member is responsible for keys and owns endpoints from the moment it
+  // joins. Without the VM list it would answer that there is no endpoint, so it
+  // joins only after reading the list.
   contents.caught_up =
       control_.caught_up() && listed_at_ != time_point() && !stopping();
   contents.log_out = !control_.log_readable();
@@ -280,7 +282,8 @@
       continue;
     }
     const peer_status* status = membership_.StatusOf(who);
-    // A member that was never heard may have anything in flight.
+    // A member from which nothing was received may have any number of requests
+    // in flight.
     const log_offset offset = status == nullptr ? 0 : status->last.offset;
     inputs.reported_offset = std::min(inputs.reported_offset, offset);
     if (status == nullptr) {
--- a/src/core/entry/entry_core_follow.cc
+++ b/src/core/entry/entry_core_follow.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-// What a change in one module means for the others.
+// Propagation of changes between the modules of an entry.
 namespace plantainhead::core {
 
 void entry_core::PropagateChanges(time_point now, effects& out) {
@@ -12,7 +12,8 @@
   UpdateSuspects(now, out);
   ProcessClaims(now, out);
   UpdateReadiness(now, out);
-  // Before the stop, whose last count must hold the answers of this event.
+  // Must precede the shutdown step, whose final counts include the answers to
+  // this event.
   RecordMetrics(out.actions, now);
   UpdateShutdown(now, out);
   control_.Submit(now, std::exchange(out.records, {}), out);
@@ -49,16 +50,16 @@
   UpdateClaimsView(now, out);
 }
 
-// A home that isn't heard, or whose connection broke, is passed over like one
-// that is stopping: its keys would be refused until the fleet has expelled it.
-// Should it live, both write claims, and the log's order decides.
+// A key's home entry that is suspected or disconnected is skipped like one that
+// is stopping; otherwise its keys would be rejected until it is expelled. If it
+// is still alive, both entries write claims, and the order of the log decides.
 void entry_core::UpdateClaimsView(time_point now, effects& out) {
   std::set<incarnation> excluded = stopping_members_;
   excluded.insert(suspects_.begin(), suspects_.end());
   excluded.insert(disconnected_members_.begin(), disconnected_members_.end());
-  // A stopping entry goes on as home until its notice is over: the others need
-  // some heartbeats to hear of it, and their callers would be refused
-  // meanwhile.
+  // A stopping entry remains home of its keys until its stop notice has
+  // elapsed: the others need several heartbeats to learn of the stop, and their
+  // callers would be rejected meanwhile.
   if (!rejecting_requests_) {
     excluded.erase(options_.self.who);
   }
@@ -113,7 +114,8 @@
     if (const auto* answer = std::get_if<answer_caller>(&item)) {
       const bool is_done = answer->answer.result == outcome::kDone;
       const service_name* service = meter_.ServiceOf(answer->sequence);
-      // Only looked up for the few that may have missed their target.
+      // Looked up only for requests that were not completed, because only they
+      // can miss their target.
       const bool in_maintenance =
           service != nullptr && !is_done && IsInMaintenance(*service);
       meter_.OnAnswer(*answer, in_maintenance, now);
@@ -130,8 +132,9 @@
 }
 
 void entry_core::ProcessClaims(time_point now, effects& out) {
-  // A decision may make the requests ask again (another key, a release), so
-  // this goes on until both are silent.
+  // A decision may make the request module submit further claim requests (for
+  // another key, or a release), so this repeats until neither module has
+  // output.
   while (true) {
     for (const claim_question& question : requests_.TakeClaimQuestions()) {
       switch (question.need) {
--- a/src/core/entry/entry_core_readiness.cc
+++ b/src/core/entry/entry_core_readiness.cc
@@ -2,26 +2,28 @@
 
 #include <utility>
 
-// When an entry takes requests, and how it stops.
+// Readiness and shutdown of an entry.
 namespace plantainhead::core {
 namespace {
 
-/// How long an entry that serves may lack records that others have applied.
+/// How long a serving entry may lack records that other entries have applied.
 constexpr duration kMaxLag = std::chrono::seconds(1);
-/// Time in which all have had a heartbeat that says that this entry stops.
+/// Time in which all entries have received a heartbeat that announces the stop
+/// of this entry.
 constexpr duration kHandoverDelay = std::chrono::milliseconds(500);
 
 }  // namespace
 
-// Peers often tell of a record some milliseconds before it is read here; to
-// refuse requests then would cost callers something at each record. The drain
-// of a VM waits for each member's own word, so what is missing here meanwhile
-// harms nobody. An entry that has just started or stood still may lack much,
-// also its own expulsion, and has no such time.
+// Heartbeats of peers often announce a record some milliseconds before it is
+// read here. Rejecting requests during that time would cost callers some
+// requests for each record. It is also unnecessary, because the drain of a VM
+// waits for each member's own report. An entry that has just started or resumed
+// gets no such grace period: it may lack many records, including its own
+// expulsion.
 void entry_core::UpdateLag(time_point now) {
-  // What an entry knew before it stood still says nothing of what it lacks: a
-  // VM may drain, or reboot, since. Until it has read the log anew it would
-  // send requests there.
+  // After a pause, previous knowledge does not show which records are missing:
+  // a VM may have started to drain or reboot. Until the log has been read
+  // again, the entry could send requests to that VM.
   if (resumed_at_) {
     return;
   }
@@ -36,10 +38,11 @@
   lag_exceeded_ = lag_exceeded_ || now - *behind_since_ >= kMaxLag;
 }
 
-// A log that lost its end looks whole to an entry that starts on it. Members
-// that know more don't read its join there, so it hears none of them; an entry
-// that has heard more than half of the others since its start shares their log.
-// Members that are dead don't hold it up for long: the others expel them.
+// A truncated log looks complete to an entry that starts on it. Members that
+// have applied more records do not read its join record there, so they send it
+// nothing. An entry that has heard from more than half of the other members
+// since its start therefore shares their log. Dead members do not delay this
+// for long, because the others expel them.
 void entry_core::UpdatePeerQuorum() {
   if (heard_by_quorum_) {
     return;
@@ -80,8 +83,8 @@
   UpdateLag(now);
   UpdatePeerQuorum();
   std::string reason = NotServingReason();
-  // The balancer takes some time to see that this entry is to end; what it
-  // sends until then is served.
+  // The load balancer takes some time to detect that this entry is stopping;
+  // requests that arrive until then are served.
   serving_ = reason.empty();
   if (stopping()) {
     reason = "stopping";
@@ -95,8 +98,9 @@
   out.Do(set_ready{ready_, not_ready_reason_});
 }
 
-// The others must hear that this entry stops before it sends them what was its
-// own: a key's next home refuses the key until it takes itself for the home.
+// The other entries must learn that this entry is stopping before it forwards
+// its keys to them: a key's next home rejects the key until it considers itself
+// the home.
 void entry_core::StartHandover(time_point now) {
   const bool is_due = stopping() && now >= *stop_requested_at_ + kHandoverDelay;
   if (is_due && stopping_members_.insert(options_.self.who).second) {
@@ -109,8 +113,9 @@
     return;
   }
   StartHandover(now);
-  // An entry that the others expelled while it was frozen owns nothing any
-  // more; it ends what it has and starts anew, since its incarnation is void.
+  // An entry that was expelled while frozen no longer owns anything. It
+  // completes its running work and restarts, since its incarnation is no longer
+  // valid.
   const bool expelled = membership_.expelled();
   const bool notice_over =
       stopping() && now >= *stop_requested_at_ + options_.stop_notice;
--- a/tests/core/entry/entry_core_test.cc
+++ b/tests/core/entry/entry_core_test.cc
@@ -22,7 +22,7 @@
     Begin();
   }
 
-  // Asks at each live entry at every step, for some time.
+  // Sends a request to each running entry at every step for the given time.
   void SendRequestsFor(duration time, const std::string& prefix) {
     for (const time_point end = now + time; now < end;) {
       for (auto& [who, item] : entries) {
@@ -50,7 +50,7 @@
     return count;
   }
 
-  // What must hold of all that was asked at entries that live.
+  // Checks the guarantees for all requests sent to running entries.
   void CheckAll() {
     CHECK(duplicate_answers == 0);
     CHECK(calls_interrupted_by_reboot == 0);
@@ -85,10 +85,11 @@
     CHECK(fleet.Count(outcome::kDone) == static_cast<int>(fleet.asked_.size()));
   }
 
-  // The caller hears nothing from one entry and asks another with the same key
-  // while the first still runs it. Both go to the key's home, which says that
-  // it is in progress: the endpoint runs it once.
-  SECTION("and one that comes again through another entry runs once") {
+  // A caller gets no answer from one entry and sends the same key to another
+  // while the first still runs the request. Both entries ask the key's home,
+  // which reports that the request is in progress, so the endpoint runs it
+  // once.
+  SECTION("and a retry through another entry runs once") {
     const std::uint64_t first = fleet.SendRequest(kFirst, "k");
     fleet.StepFor(std::chrono::milliseconds(60));
     const std::uint64_t again = fleet.SendRequest(kSecond, "k");
@@ -99,11 +100,11 @@
   }
 }
 
-// A caller waits for an hour and asks again with its key at the end. Its claim
-// stands for ten minutes only, so if the first request could still be
-// dispatched then, the key would run twice. Its deadline is cut to half of that
-// time.
-TEST_CASE("A caller with a key is very patient") {
+// A caller waits for an hour and retries with the same key at the end. Its
+// claim is valid for ten minutes only, so if the first request could still be
+// dispatched then, the key would run twice. The deadline of the request must be
+// limited to half of the claim window.
+TEST_CASE("A caller with a key waits for an hour") {
   entry_core_fixture fleet;
   fleet.SendRequest(kFirst, "k", std::chrono::hours(1));
   fleet.StepUntil([&] { return !fleet.calls.empty(); });
@@ -114,10 +115,10 @@
   CHECK(left <= claim_options().window / 2);
 }
 
-// Callers of the other entries see an answer for each of their requests. What
-// was at the killed entry, as the home of a key or as an owner, ends as unknown
-// unless it surely was not sent. The fold then expels it and its endpoints and
-// keys go to the others.
+// Callers of the other entries get an answer to each of their requests.
+// Requests at the killed entry, as the home of a key or as an owner of
+// endpoints, end as unknown unless they were certainly not sent. The killed
+// entry is then expelled, and its endpoints and keys move to the others.
 TEST_CASE("An entry is killed under load") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(1), "a");
@@ -131,11 +132,11 @@
   CHECK(fleet.Count(outcome::kDone) > asked * 8 / 10);
 }
 
-// Callers with keys go on asking right after the home of their keys was killed.
-// Their entry finds its connection lost and asks the next home. The killed one
-// is a member until the others have expelled it, so the next home must take
-// over by itself: else it refuses these keys for the seconds until then.
-TEST_CASE("The next home takes over as soon as the connection is lost") {
+// Callers keep sending keys right after the home of their keys was killed.
+// Their entry detects the lost connection and asks the next home. The killed
+// entry remains a member until it is expelled, so the next home must take over
+// on its own; otherwise it would reject these keys for several seconds.
+TEST_CASE("A key's next home takes over as soon as the connection is lost") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(1), "a");
   fleet.StepFor(seconds(2));
@@ -149,11 +150,11 @@
   CHECK(fleet.Count(outcome::kDone) == static_cast<int>(fleet.asked_.size()));
 }
 
-// Two of three zones are gone at once. What is left is no majority and can't
-// expel the dead, so they stay members, and for some keys all the homes that an
-// entry keeps at hand are among them. Callers of the living are served all the
-// same: the next home is whoever of the living comes first.
-TEST_CASE("Three entries of nine are left") {
+// Two of three zones fail at once. The remaining entries are no majority and
+// cannot expel the dead ones, which therefore remain members; for some keys,
+// all homes that an entry stores are dead. Callers of the remaining entries
+// must be served all the same: the next home is the first live entry.
+TEST_CASE("Three of nine entries remain") {
   entry_core_fixture fleet(9);
   for (std::uint64_t dead = 4; dead <= 9; ++dead) {
     fleet.Kill(incarnation{dead});
@@ -167,11 +168,11 @@
   CHECK(fleet.Count(outcome::kDone) == static_cast<int>(fleet.asked_.size()));
 }
 
-// An entry starts while the platform's VM list is slow. As a member it would be
-// home of keys and owner of endpoints without knowing one of them: its callers
-// with keys would hear that there is no endpoint. So it joins only after it has
-// read the list.
-TEST_CASE("An entry joins that has not read the VM list") {
+// An entry starts while the platform's VM list is slow. If it became a member,
+// it would be home of keys and owner of endpoints without knowing any endpoint,
+// and its callers with keys would be told that there is no endpoint. It must
+// join only after it has read the list.
+TEST_CASE("An entry that has not read the VM list does not join") {
   entry_core_fixture fleet;
   fleet.Add(4).list_is_down = true;
   fleet.SendRequestsFor(seconds(3), "a");
@@ -187,10 +188,10 @@
   }
 }
 
-// An operator publishes. The others read the record and say so in their
-// heartbeats some milliseconds before this entry has read it, too. Its callers
-// must not notice: each record would cost some of them a refusal.
-TEST_CASE("An entry hears of a record a little before it reads it") {
+// An operator publishes. The other entries read the record and announce it in
+// their heartbeats some milliseconds before this entry reads it. Its callers
+// must not notice, or each record would cost some of them a rejection.
+TEST_CASE("An entry learns of a record shortly before it reads it") {
   entry_core_fixture fleet;
   fleet.entries[kThird].log_is_slow = true;
   configuration targets = fleet.entries[kFirst].core->fleet().targets;
@@ -201,7 +202,7 @@
     fleet.Step();
   }
 
-  SECTION("and serves meanwhile") {
+  SECTION("and keeps serving meanwhile") {
     fleet.entries[kThird].log_is_slow = false;
     fleet.StepFor(seconds(5));
     for (const std::uint64_t sequence : asked) {
@@ -210,7 +211,7 @@
     }
   }
 
-  SECTION("but takes no more requests once it stays behind") {
+  SECTION("but rejects requests when it remains behind") {
     fleet.StepFor(seconds(3));
     const std::uint64_t late = fleet.SendRequest(kThird);
     REQUIRE(fleet.AnswerOf(kThird, late) != nullptr);
@@ -218,7 +219,7 @@
     CHECK_FALSE(fleet.entries[kThird].ready);
   }
 
-  SECTION("but takes none after it stood still, until it has read on") {
+  SECTION("but rejects requests after a pause until it has read the log") {
     fleet.entries[kThird].frozen = true;
     fleet.StepFor(std::chrono::milliseconds(700));
     fleet.entries[kThird].frozen = false;
@@ -229,11 +230,10 @@
   }
 }
 
-// An entry stops for longer than it takes to be expelled (a paused VM) and goes
-// on as if nothing had happened. Its claims, calls and lease belong to a life
-// that the others have ended. It must not dispatch what it held, and it starts
-// anew.
-TEST_CASE("An entry is frozen past its expulsion and wakes up") {
+// An entry is frozen (a paused VM) until after it was expelled and then
+// resumes. Its claims, calls and lease belong to an incarnation that the others
+// have ended. It must not dispatch the requests it held, and it must restart.
+TEST_CASE("An entry is frozen until after its expulsion and resumes") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(1), "a");
   fleet.entries[kThird].frozen = true;
@@ -247,10 +247,10 @@
   CHECK(fleet.entries[kThird].restart);
 }
 
-// Callers with keys are told not-run at once while the log can't be reached;
-// callers without are served all the same. When the log is back, keys are
-// served again, also those that were refused.
-TEST_CASE("The log is out for a while") {
+// Callers with keys are answered not-run at once while the log is unavailable;
+// callers without keys are served as usual. When the log is available again,
+// keys are served again, including those rejected before.
+TEST_CASE("The log is temporarily unavailable") {
   entry_core_fixture fleet;
   fleet.log_is_down = true;
   fleet.StepFor(seconds(3));
@@ -270,10 +270,10 @@
   CHECK(fleet.runs_of_key["surgery/k"] == 1);
 }
 
-// A wave reboots every VM while requests come in. Each is drained first: owners
-// stop sending, what runs ends, and only then comes the reboot, so no request
-// is cut and callers notice nothing.
-TEST_CASE("A wave passes under load") {
+// A wave reboots every VM under load. Each VM is drained first: owners stop
+// sending, running requests complete, and only then the VM is rebooted, so no
+// request is interrupted and callers notice nothing.
+TEST_CASE("A wave completes under load") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(2), "a");
   fleet.Command(kFirst,
@@ -297,8 +297,9 @@
   CHECK(fleet.Count(outcome::kDone) == static_cast<int>(fleet.asked_.size()));
 }
 
-// An entry is asked to stop under load. It serves on until the balancer has
-// seen that it isn't ready, ends what it runs, leaves the view and exits.
+// An entry is asked to stop under load. It must serve until the load balancer
+// has detected that it is not ready, complete its running requests, leave the
+// view and exit.
 TEST_CASE("An entry is stopped under load") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(1), "a");
--- a/tests/core/entry/entry_drain_test.cc
+++ b/tests/core/entry/entry_drain_test.cc
@@ -13,8 +13,8 @@
 constexpr incarnation kThird{3};
 constexpr int kAtOnce = 60;
 
-/// Counts calls that start at a VM later than `kBound` after the record of its
-/// drain was in the log.
+/// Counts calls to a VM that start more than `kBound` after its drain record
+/// was written to the log.
 struct drain_fixture : entry_fleet {
   static constexpr duration kBound = seconds(2);
 
@@ -79,12 +79,12 @@
   std::size_t read_ = 0;
 };
 
-// A wave drains VMs under load. Owners stop sending to one as soon as they have
-// read its record, also one that reads late.
+// A wave drains VMs under load. Owners must stop sending to a VM as soon as
+// they have read its drain record, even if they read it late.
 TEST_CASE("A draining endpoint gets no new work after two seconds") {
   drain_fixture fleet;
 
-  SECTION("while all is well") {
+  SECTION("without faults") {
     REQUIRE(fleet.StartsWave());
     REQUIRE(fleet.WaveEnds());
     CHECK(fleet.drains == 6);
@@ -102,10 +102,10 @@
   CHECK(fleet.calls_interrupted_by_reboot == 0);
 }
 
-// An entry stands still while a VM starts to drain, and callers have written to
-// it when it wakes. It has not read the log yet and sends their requests to
-// that VM, seconds after all others stopped.
-TEST_CASE("An entry wakes up after a VM began to drain") {
+// An entry is frozen while a VM starts to drain, and requests are waiting for
+// it when it resumes. It has not read the log yet and must not send these
+// requests to that VM, seconds after all others stopped.
+TEST_CASE("An entry resumes after a VM began to drain") {
   drain_fixture fleet;
   const incarnation frozen = GENERATE(kFirst, kSecond, kThird);
   fleet.StepFor(seconds(1));
--- a/tests/core/entry/entry_fleet.h
+++ b/tests/core/entry/entry_fleet.h
@@ -18,13 +18,13 @@
 
 namespace plantainhead::core {
 
-// A few whole entries, the platform and endpoints in virtual time. Messages
-// take one step; a call takes `service_time`; the log is read at each step, or
-// slowly, see `log_delay`.
+// Simulation of several complete entries, the platform and the endpoints in
+// virtual time. Messages take one step, a call takes `service_time`, and the
+// log is read at each step unless `read_interval` or `log_delay` slows it down.
 class entry_fleet {
  public:
   static constexpr duration kStep = kTickInterval;
-  // Header that tells the requests apart.
+  // Header that identifies the request.
   static constexpr char kMark[] = "Test-Mark";
 
   struct entry {
@@ -75,7 +75,8 @@
     }
   }
 
-  // A process that starts in the place of another has that one's name.
+  // Starts an entry. A process that replaces another gets the name of the
+  // process numbered `place`.
   entry& Add(std::uint64_t number, std::uint64_t place = 0) {
     entry_core_options options;
     options.self.who = incarnation{number};
@@ -103,7 +104,7 @@
     vms.push_back(vm);
   }
 
-  // One service with a class and a pool.
+  // Returns targets with one service, one class and one pool.
   static configuration Targets() {
     configuration targets;
     targets.pools = {{pool_id("casework"), team_id(), 0}};
@@ -116,7 +117,7 @@
     return targets;
   }
 
-  // Publishes targets, and steps until all entries are ready.
+  // Publishes targets and steps until all entries are ready.
   void Begin(const configuration& targets = Targets()) {
     Command(incarnation{1}, publish_configuration{targets, 0});
     StepUntil([&] {
@@ -127,7 +128,7 @@
     });
   }
 
-  // Returns the sequence by which the answer is found.
+  // Sends a request to an entry. Returns the sequence number for `AnswerOf`.
   std::uint64_t SendRequest(incarnation at,
                             std::optional<std::string> key = std::nullopt,
                             duration timeout = std::chrono::seconds(4)) {
@@ -147,14 +148,15 @@
     return event.sequence;
   }
 
-  // Tells the runs of one request from those of another with the same key.
+  // Returns the header value that distinguishes the runs of this request from
+  // those of another with the same key.
   static std::string MarkOf(incarnation at, std::uint64_t sequence) {
     return std::to_string(static_cast<std::uint64_t>(at)) + "-" +
            std::to_string(sequence);
   }
 
-  // Both lose what is on its way from the other; the connection is made anew by
-  // the next frame.
+  // Breaks a connection: each side loses the frames in flight from the other.
+  // The next frame reconnects them.
   void Disconnect(incarnation left, incarnation right) {
     for (const auto& [at, peer] : {std::pair(left, right), {right, left}}) {
       std::erase_if(entries[at].inbox, [&](const event& item) {
@@ -165,7 +167,8 @@
     }
   }
 
-  // Returns the sequence by which the answer is found.
+  // Sends an operator's command to an entry. Returns the sequence number of its
+  // answer in `command_answers`.
   std::uint64_t Command(incarnation at,
                         record_body body,
                         const std::string& author = "ann") {
@@ -233,8 +236,8 @@
   memory_log log;
   bool log_is_down = false;
   bool list_is_down = false;
-  // How long an append takes, how often each entry reads, and how many records
-  // one read brings; 0 for all.
+  // Duration of an append, interval between reads of each entry, and maximum
+  // number of records per read (0 for no limit).
   duration log_delay{};
   duration read_interval{};
   std::size_t read_limit = 0;
@@ -242,14 +245,16 @@
   std::map<std::uint64_t, command_answer> command_answers;
   std::vector<vm_listing> vms;
   std::vector<endpoint_call> calls;
-  // Started runs by key, and requests that a reboot cut.
+  // Number of started runs by key and by mark, and of calls that a reboot
+  // interrupted.
   std::map<std::string, int> runs_of_key;
   std::map<std::string, int> runs_of_mark;
   int calls_interrupted_by_reboot = 0;
   int runs_after_drain = 0;
   std::map<vm_id, int> reboots;
   std::function<void()> each_step;
-  // Sees each event of any entry, null for its start, with what it does.
+  // Called with each event of any entry (null for its start) and the resulting
+  // actions.
   std::function<void(const event*, const action_list&)> trace;
 
  private:
--- a/tests/core/entry/entry_fleet_property_test.cc
+++ b/tests/core/entry/entry_fleet_property_test.cc
@@ -16,8 +16,8 @@
 constexpr std::size_t kEntries = 5;
 constexpr int kRounds = 250;
 
-// A fleet in which anything may happen at any time. Callers ask at any live
-// entry, with keys that come again elsewhere while the first still runs.
+// A fleet with random faults. Callers send requests to any running entry, and
+// retry keys at other entries while the first request is still running.
 struct faulty_fleet : entry_fleet {
   explicit faulty_fleet(std::uint64_t seed)
       : entry_fleet(kEntries), random(seed) {
@@ -43,7 +43,7 @@
       if (!item.alive || item.exited || item.frozen) {
         continue;
       }
-      // Two of three keys are new; the others are one of the last few.
+      // Two thirds of the keys are new; the others are one of the last few.
       keys_ += random() % 3 == 0 ? 0 : 1;
       const std::string key = std::to_string(keys_ - random() % 2);
       const duration timeout = milliseconds(100 + random() % 4000);
@@ -91,7 +91,7 @@
     }
   }
 
-  // Whoever has gone is replaced.
+  // Ends all faults and replaces entries that were killed or have exited.
   void Heal() {
     log_is_down = false;
     const auto gone =
@@ -115,11 +115,12 @@
   std::uint64_t started_ = kEntries;
 };
 
-// Entries are frozen, killed and stopped, connections break, the log is out or
-// late, and callers ask again elsewhere meanwhile. Whatever they are told is
-// true: no key runs twice, not-run means that it was not run, done that it was,
-// and each gets one answer unless its entry died.
-TEST_CASE("Callers are told the truth whatever fails") {
+// Entries are frozen, killed and stopped, connections break, the log is
+// unavailable or late, and callers retry at other entries. Every answer must be
+// correct: no key runs twice, not-run means that the request was not run, done
+// means that it was, and each request gets exactly one answer unless its entry
+// was killed.
+TEST_CASE("Answers to callers are correct under random faults") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     faulty_fleet fleet(seed);
     for (int round = 0; round < kRounds; ++round) {
--- a/tests/core/entry/entry_planner_test.cc
+++ b/tests/core/entry/entry_planner_test.cc
@@ -23,7 +23,7 @@
   return options;
 }
 
-/// Three entries and a planner, of which the tests take one away.
+/// Three entries, one of which is the planner; the tests freeze or kill it.
 struct planner_fixture : entry_fleet {
   planner_fixture(int in_goyang, int in_others) : entry_fleet(3, MovesSoon()) {
     for (const std::string zone : {"goyang", "seongnam", "suwon"}) {
@@ -41,14 +41,14 @@
     const entry& item = entries[who];
     return item.alive && !item.frozen && !item.exited;
   }
-  /// The fold of an entry that lives.
+  /// Returns the fleet state of a running entry.
   const fleet_state& LiveState() {
     for (const auto& [who, item] : entries) {
       if (IsLive(who)) {
         return Fleet(who);
       }
     }
-    throw std::logic_error("no entry lives");
+    throw std::logic_error("no entry is running");
   }
   incarnation Planner() { return LiveState().lease.holder; }
   incarnation NonPlanner() {
@@ -81,7 +81,7 @@
   }
 };
 
-/// Notes in which pool each entry has each VM at each offset.
+/// Checks that all entries have each VM in the same pool at the same offset.
 struct pool_move_fixture : planner_fixture {
   pool_move_fixture() : planner_fixture(2, 2) {
     Begin(Needing(4, 2));
@@ -118,9 +118,9 @@
         });
   }
 
-  /// Folds the log from its begin and checks each change of a pool against the
-  /// epoch that was in force then. Returns how many moves were refused because
-  /// their writer was the planner no longer.
+  /// Applies the whole log and checks each change of a pool against the epoch
+  /// in force at that point. Returns the number of moves that were rejected
+  /// because their writer was no longer the planner.
   int CountStaleMoves() {
     int stale = 0;
     int moved_by_stale = 0;
@@ -159,11 +159,11 @@
   std::map<log_offset, std::map<vm_id, pool_id>> pools_at_;
 };
 
-// The planner's entry moves a VM and stands still while the log holds back its
-// append. Another entry takes the lease, and plans with other targets. Then the
-// old planner's move reaches the log, and its entry wakes up and goes on. Its
-// epoch is over, so the move changes nothing, at no entry.
-TEST_CASE("A planner is frozen past its lease in the middle of a move") {
+// The planner's entry writes a move of a VM and freezes while the append is
+// delayed. Another entry takes the lease and plans with other targets. Then the
+// old planner's move reaches the log, and its entry resumes. Its epoch is over,
+// so the move must have no effect at any entry.
+TEST_CASE("A planner is frozen beyond its lease during a move") {
   pool_move_fixture fleet;
   REQUIRE(fleet.StepUntil([&] { return fleet.HasPools(4, 2); }));
   const incarnation old_planner = fleet.Planner();
@@ -189,11 +189,12 @@
   CHECK(fleet.entries[old_planner].exited);
 }
 
-// The entry that plans a wave dies while it takes a VM through its phases. What
-// it had asked of the platform may have been done, and nobody heard the answer.
-// The next planner goes on from the records and asks under the same name, so
-// that no VM is rebooted twice and none is forgotten.
-TEST_CASE("The planner's entry is killed in the middle of a wave") {
+// The entry that plans a wave is killed while it takes a VM through its phases.
+// Operations that it requested from the platform may have been executed without
+// anyone receiving the result. The next planner continues from the records and
+// uses the same operation ids, so that no VM is rebooted twice and none is
+// skipped.
+TEST_CASE("The planner's entry is killed during a wave") {
   planner_fixture fleet(2, 2);
   fleet.Begin();
   REQUIRE(fleet.StepUntil([&] { return fleet.LiveState().vms.size() == 6; }));
@@ -206,7 +207,7 @@
   SECTION("when a VM has drained") {
     phase = vm_phase::kDrained;
   }
-  SECTION("before it asks for a reboot that it has recorded") {
+  SECTION("before it requests a reboot that it has recorded") {
     phase = vm_phase::kRebooting;
   }
   SECTION("while a VM reboots") {
@@ -227,8 +228,8 @@
   fleet.CheckEachRebootedOnce();
 }
 
-/// Eight VMs in a zone, more than the pool can give up, and two in each of the
-/// others, under load, with one zone to lose.
+/// Eight VMs in one zone, more than the pool can spare, and two in each other
+/// zone, under load. One zone can be lost.
 struct zone_loss_fixture : planner_fixture {
   zone_loss_fixture() : planner_fixture(8, 2) {
     Begin();
@@ -238,8 +239,8 @@
     least = 12;
   }
 
-  /// Half of the pool, which is what an idle pool keeps at work; one VM would
-  /// carry the load.
+  /// Half of the pool, which is the minimum that an idle pool keeps available,
+  /// although one VM could carry the load.
   std::size_t Floor() { return (LiveState().vms.size() + 1) / 2; }
 
   std::size_t Available() {
@@ -269,7 +270,8 @@
   std::optional<time_point> lost_at;
 
  private:
-  /// A record that was on its way when the zone was lost comes within a second.
+  /// Returns true once the loss must be known: a record that was in flight when
+  /// the zone was lost is written within one second.
   bool IsLossKnown() const { return !lost_at || now - *lost_at >= seconds(1); }
 
   void Watch() {
@@ -297,10 +299,10 @@
   std::set<vm_id> draining_;
 };
 
-// A wave has one zone's VMs in maintenance when another zone goes, with the
-// planner's entry. What is left may be below the pool's floor for a while, by
-// the loss alone: the wave takes no further VM until the floor is met again,
-// and goes on.
+// A wave has VMs of one zone in maintenance when another zone is lost together
+// with the planner's entry. The loss alone may leave the pool below its floor
+// for a while: the wave must not drain another VM until the floor is met again,
+// and must then continue.
 TEST_CASE("A zone is lost during a wave") {
   zone_loss_fixture fleet;
   fleet.StartWave();
@@ -319,12 +321,13 @@
     fleet.vms.insert(fleet.vms.end(), fleet.lost.begin(), fleet.lost.end());
   };
 
-  SECTION("and comes back: the wave ends with all its VMs") {
+  SECTION("and returns: the wave ends with all its VMs") {
     return_zone();
     REQUIRE(fleet.WaveEnds());
     fleet.CheckEachRebootedOnce();
   }
-  SECTION("for so long that its VMs are forgotten: the wave ends without") {
+  SECTION(
+      "and returns after its VMs were deleted: the wave ends without them") {
     REQUIRE(fleet.WaveEnds());
     return_zone();
     fleet.StepFor(seconds(60));
--- a/tests/core/entry/entry_state_test.cc
+++ b/tests/core/entry/entry_state_test.cc
@@ -14,7 +14,7 @@
 constexpr incarnation kThird{3};
 constexpr incarnation kReplacement{4};
 
-/// Three entries and three VMs whose operators change the targets.
+/// Three entries and three VMs; operators change the targets.
 struct state_fixture : entry_fleet {
   state_fixture() : entry_fleet(3) {
     for (const std::string zone : {"suwon", "goyang", "seongnam"}) {
@@ -31,7 +31,7 @@
     return item.alive && !item.frozen && !item.exited;
   }
 
-  /// Targets that differ from all others by `within`.
+  /// Returns targets that are identified by their value of `within`.
   static configuration Within(duration within) {
     configuration targets = Targets();
     targets.classes.front().within = within;
@@ -45,7 +45,8 @@
     return Command(at, publish_configuration{Within(within), expected}, author);
   }
 
-  /// Publishes and waits until the entry that was asked has answered.
+  /// Publishes targets and waits until the entry that received the command has
+  /// answered.
   void PublishNext(incarnation at, duration within) {
     const std::uint64_t sequence =
         Publish(at, within, Fleet(at).targets_version);
@@ -54,7 +55,8 @@
             command_result::kAccepted);
   }
 
-  /// Steps until all live entries are at the end of the log, and compares.
+  /// Steps until all running entries are at the end of the log, then compares
+  /// their states.
   void CheckAllEqual() {
     const auto at_end = [&](const auto& item) {
       return !IsLive(item.second) ||
@@ -82,10 +84,10 @@
 };
 
 // Ann and Ben publish from the same generation at two entries. Both records may
-// reach the log; its order decides. One of them is told that it is accepted,
-// the other gets a conflict with the winner's name and can look before trying
-// again. No entry ever holds the loser's targets.
-TEST_CASE("Two operators publish at once at two whole entries") {
+// reach the log, whose order decides. One operator must be answered accepted;
+// the other must get a conflict that names the winner. No entry may ever hold
+// the loser's targets.
+TEST_CASE("Two operators publish at the same time at two complete entries") {
   state_fixture fleet;
   constexpr int kRounds = 20;
   int won_by_ann = 0;
@@ -126,8 +128,9 @@
   CHECK(won_by_ann < kRounds);
 }
 
-/// Publishes changes in turn and notes the longest time from an answer
-/// "accepted" until each live entry had that change, and any step back.
+/// Publishes a series of changes and records the longest time from an answer
+/// "accepted" until each running entry had the change, and any reversion to
+/// older targets.
 struct rollout_fixture : state_fixture {
   rollout_fixture() {
     each_step = [this] { Watch(); };
@@ -168,15 +171,16 @@
   std::map<incarnation, generation> seen_;
 };
 
-// An operator changes targets while one entry stands still and, or, the log
-// takes seconds for each append and read. "Accepted" comes when the asked entry
-// has read the record back; nobody waits for the entry that isn't heard, and
-// the others have the change as soon as they read. No entry ever goes back.
+// An operator changes targets while one entry is frozen, or the log takes
+// seconds for each append and read, or both. The command is accepted when its
+// entry has read the record back. It must not wait for the frozen entry, the
+// others must have the change as soon as they read it, and no entry may revert
+// to older targets.
 TEST_CASE("A change is in force within seconds of being accepted") {
   rollout_fixture fleet;
   constexpr int kChanges = 12;
 
-  SECTION("while all is well") {
+  SECTION("without faults") {
     fleet.PublishOften(kChanges);
   }
   SECTION("while one entry is frozen") {
@@ -205,11 +209,11 @@
   fleet.CheckAllEqual();
 }
 
-// An entry's VM is replaced after the log has dropped the records that made the
-// state. The new process starts from a snapshot and reads the rest one record
-// at a time. Were it ready before the end, its callers would be served by
-// targets that were replaced long ago.
-TEST_CASE("An entry starts anew after records have aged out") {
+// An entry's VM is replaced after retention has deleted the records that
+// produced the state. The new process starts from a snapshot and reads the
+// remaining records one at a time. If it became ready before the end, its
+// callers would be served with outdated targets.
+TEST_CASE("An entry is replaced after retention has deleted records") {
   state_fixture fleet;
   fleet.Kill(kThird);
   fleet.PublishNext(kFirst, milliseconds(1500));
@@ -247,11 +251,12 @@
   fleet.CheckAllEqual();
 }
 
-// The platform restores its log from an older copy, which lacks the newest
-// targets. Entries would fall back to older targets if they followed it, and
-// what is written to it next takes offsets that they have applied. They show
-// the fault, write nothing, keep their targets and go on serving callers.
-TEST_CASE("The log comes back shorter under a fleet") {
+// The platform restores its log from an older backup, which lacks the newest
+// targets. If entries followed it, they would revert to older targets, and new
+// records in it take offsets that they have already applied. Entries must
+// report the fault, write nothing, keep their targets and continue to serve
+// callers.
+TEST_CASE("The log returns truncated while a fleet is running") {
   state_fixture fleet;
   fleet.PublishNext(kFirst, milliseconds(1500));
   auto& control = fleet.log.streams[kControlStream];
@@ -275,7 +280,7 @@
     CHECK(fleet.AnswerOf(kFirst, asked)->result == outcome::kDone);
   };
 
-  SECTION("and stays so") {
+  SECTION("and remains truncated") {
     check_kept(log_fault::kTruncated);
     CHECK(control.records.size() == before);
   }
@@ -294,9 +299,9 @@
   }
 }
 
-// An entry's VM is replaced while the platform's log is an older copy. The new
-// process can read only that copy, which has no sign of what was lost. Were it
-// ready, its callers would be served by targets that were replaced.
+// An entry's VM is replaced while the platform's log is an older backup. The
+// new process can read only that copy, which does not show what was lost. If it
+// became ready, its callers would be served with outdated targets.
 TEST_CASE("An entry starts while the log is shorter than the fleet's state") {
   state_fixture fleet;
   fleet.PublishNext(kFirst, milliseconds(1500));
--- a/tests/core/entry/golden_entry_test.cc
+++ b/tests/core/entry/golden_entry_test.cc
@@ -11,8 +11,8 @@
 
 constexpr incarnation kOnly{1};
 
-/// One whole entry with all that goes in and out written down, but for ticks,
-/// reads and lists that bring nothing new and lead to nothing.
+/// One complete entry whose events and actions are written as text, except
+/// ticks, reads and lists that contain nothing new and cause no action.
 struct entry_session : entry_fleet {
   entry_session() : entry_fleet(0) {
     trace = [this](const event* cause, const action_list& actions) {
@@ -60,7 +60,7 @@
   std::optional<std::vector<vm_listing>> listed_;
 };
 
-TEST_CASE("A session of one whole entry is as it was agreed") {
+TEST_CASE("A session of one complete entry matches the golden file") {
   entry_session session;
   session.text.Title("An entry starts, joins and is published targets");
   session.AddVm("near", "suwon");
