--- a/include/plantainhead/core/entry/entry_core.h
+++ b/include/plantainhead/core/entry/entry_core.h
@@ -179,7 +179,7 @@
   bool lag_exceeded_ = true;
   /// True once more than half of the other members have been heard, which
   /// shows that they follow the same log.
-  bool heard_by_quorum_ = false;
+  bool has_heard_quorum_ = false;
   bool ready_ = false;
   bool serving_ = false;
   std::string not_ready_reason_;
--- a/src/core/entry/entry_core_readiness.cc
+++ b/src/core/entry/entry_core_readiness.cc
@@ -44,7 +44,7 @@
 // since its start therefore shares their log. Dead members do not delay this
 // for long, because the others expel them.
 void entry_core::UpdatePeerQuorum() {
-  if (heard_by_quorum_) {
+  if (has_heard_quorum_) {
     return;
   }
   std::size_t others = 0;
@@ -57,7 +57,7 @@
     heard += membership_.StatusOf(who) != nullptr ? 1 : 0;
   }
   const bool is_member = fleet().members.contains(options_.self.who);
-  heard_by_quorum_ = is_member && (2 * heard > others || others == 0);
+  has_heard_quorum_ = is_member && (2 * heard > others || others == 0);
 }
 
 std::string entry_core::NotServingReason() const {
@@ -70,7 +70,7 @@
   if (!fleet().members.contains(options_.self.who)) {
     return "not yet a member of the view";
   }
-  if (!heard_by_quorum_) {
+  if (!has_heard_quorum_) {
     return "too few other members have been heard";
   }
   if (listed_at_ == time_point()) {
