--- a/bench/planner_bench.cc
+++ b/bench/planner_bench.cc
@@ -118,7 +118,7 @@
   void WithTruth(duration at, Use use) {
     Ask(at, false);
     const planner_inputs inputs = Inputs();
-    const phase_watch watch;
+    const phase_tracker watch;
     const record_gate gate{kMinute};
     const fleet_view view(inputs, watch, gate, now);
     demand_estimator estimator(kMinute, kMinute);
@@ -245,7 +245,7 @@
   double static_split = 0;
   /// VMs that a static split takes in all.
   std::uint32_t static_vms = 0;
-  double lack = 0;
+  double shortage = 0;
   double base_lack = 0;
   std::uint64_t moves = 0;
   std::uint32_t moves_bound = 0;
@@ -270,7 +270,7 @@
     double need = 0;
     double base_lack = 0;
     for (const auto& [name, item] : plan) {
-      targets.push_back(LeastSpread(item.need, item.survivors, zones));
+      targets.push_back(MinEvenSpread(item.need, item.min_after_loss, zones));
       need += item.need;
       const auto size =
           static_cast<std::uint32_t>(view.FindPool(name)->vms.size());
@@ -279,7 +279,7 @@
     samples.needs.push_back(need);
     samples.buffers.push_back(figures.need + figures.buffer - need);
     samples.bounds.push_back(Sum(targets) - need);
-    samples.lacks.push_back(figures.lack);
+    samples.lacks.push_back(figures.shortage);
     samples.base_lacks.push_back(base_lack);
     samples.targets.push_back(std::move(targets));
   });
@@ -312,7 +312,7 @@
   result.bound = Mean(samples.bounds);
   result.static_vms = Sum(greatest);
   result.static_split = Sum(greatest) - Mean(samples.needs);
-  result.lack = Mean(samples.lacks);
+  result.shortage = Mean(samples.lacks);
   result.base_lack = Mean(samples.base_lacks);
   result.moves = world.Planner().figures().moves - moves;
   result.moves_bound = FewestMoves(
@@ -436,7 +436,7 @@
       pools.static_split / bound);
   std::printf(
       "    lacking on average: %.2f VMs, of these for the demand %.2f\n",
-      pools.lack, pools.base_lack);
+      pools.shortage, pools.base_lack);
   std::printf(
       "    moves: %llu, bound %u, greedy %u; a static split takes %u "
       "VMs\n",
--- a/bench/pool_bench.cc
+++ b/bench/pool_bench.cc
@@ -46,8 +46,8 @@
   return spec;
 }
 
-jobs::vm_listing MakeListing(simulated_vm* vm, int round, time_point now) {
-  jobs::vm_listing listing;
+jobs::run_listing MakeListing(simulated_vm* vm, int round, time_point now) {
+  jobs::run_listing listing;
   listing.vm_clock = now.time_since_epoch();
   std::erase_if(vm->running, [&](const auto& entry) {
     if (entry.first > round) {
--- a/include/plantainhead/core/fleet/capacity.h
+++ b/include/plantainhead/core/fleet/capacity.h
@@ -17,12 +17,12 @@
   /// Fewest that serve the demand within the targets of its classes.
   std::uint32_t need = 0;
   /// Fewest that must be left after the loss of any one rack or zone.
-  std::uint32_t survivors = 0;
+  std::uint32_t min_after_loss = 0;
   /// Fewest that must take work while others are in maintenance.
   std::uint32_t floor = 0;
   /// How long a whole outage of the pool could last without spending more than
   /// a set share of any class's budget.
-  duration dip_allowance{};
+  duration outage_allowance{};
   /// The least unavailability that its classes tolerate.
   double tolerance = 1.0;
 };
@@ -37,12 +37,12 @@
                            const planner_options& options);
 
 /// Returns the fewest VMs that, spread evenly over `domains` failure domains,
-/// are at least `need` and leave `survivors` when one domain is lost. With one
-/// domain nothing can survive its loss, and `need` is returned.
-/// Thread safety: safe from any thread.
-std::uint32_t LeastSpread(std::uint32_t need,
-                          std::uint32_t survivors,
-                          std::uint32_t domains);
+/// are at least `need` and leave `min_after_loss` when one domain is lost. With
+/// one domain nothing can survive its loss, and `need` is returned. Thread
+/// safety: safe from any thread.
+std::uint32_t MinEvenSpread(std::uint32_t need,
+                            std::uint32_t min_after_loss,
+                            std::uint32_t domains);
 
 }  // namespace plantainhead::core
 
--- a/include/plantainhead/core/fleet/error_budget.h
+++ b/include/plantainhead/core/fleet/error_budget.h
@@ -16,7 +16,7 @@
 /// How fine a part of a ledger counts, and for how long.
 struct ledger_resolution {
   duration width;
-  std::size_t kept;
+  std::size_t max_periods;
 };
 
 /// Five minutes for two hours, hours for two days, days for 35 days: 107
@@ -41,7 +41,7 @@
 
   /// Returns the requests of the last `window` before `now`, to the width of
   /// the periods that reach so far.
-  request_counts Over(duration window, time_point now) const;
+  request_counts SumOver(duration window, time_point now) const;
 
   friend bool operator==(const class_ledger&, const class_ledger&) = default;
 };
@@ -56,9 +56,9 @@
 
 /// Returns how much of its budget a class has spent in its window.
 /// Thread safety: safe from any thread while nobody writes.
-budget_status StatusOf(const work_class& work,
-                       const class_ledger& ledger,
-                       time_point now);
+budget_status BudgetStatusOf(const work_class& work,
+                             const class_ledger& ledger,
+                             time_point now);
 
 /// Returns how many times faster than a class's target allows its requests went
 /// unserved; 0 when there were none. A class that tolerates nothing burns at
--- a/include/plantainhead/core/fleet/fleet_meter.h
+++ b/include/plantainhead/core/fleet/fleet_meter.h
@@ -20,7 +20,7 @@
  public:
   /// Over how long demand and burn are measured.
   static constexpr duration kWindow = std::chrono::seconds(60);
-  static constexpr duration kSlot = std::chrono::seconds(5);
+  static constexpr duration kBucketWidth = std::chrono::seconds(5);
 
   /// Takes in an entry's counts since its start. The first report of an entry
   /// is only the base of what follows: its counts may be hours old. Empty lists
@@ -43,16 +43,16 @@
     std::map<class_name, request_counts> classes;
     std::map<service_name, service_times> times;
   };
-  struct slot {
+  struct bucket {
     time_point start;
     totals sum;
   };
 
-  totals& SlotAt(time_point now);
+  totals& BucketAt(time_point now);
   totals Sum(time_point now) const;
 
-  std::map<incarnation, totals> newest_;
-  std::deque<slot> slots_;
+  std::map<incarnation, totals> latest_totals_;
+  std::deque<bucket> buckets_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/fleet/job_placement.h
+++ b/include/plantainhead/core/fleet/job_placement.h
@@ -22,7 +22,7 @@
   struct choice {
     const vm_view* vm = nullptr;
     /// Jobs that must be checkpointed to make room; empty when there is room.
-    std::vector<job_id> displaced;
+    std::vector<job_id> preempted;
     /// True when the job can start before they have gone: only processors are
     /// short, and those can be shared for a while.
     bool can_start_now = true;
@@ -40,17 +40,17 @@
 
   /// Returns a worker where an urgent job gets room at the expense of jobs that
   /// can wait, or nothing.
-  std::optional<choice> FindByDisplacing(const job_requirements& spec) const;
+  std::optional<choice> FindByPreemption(const job_requirements& spec) const;
 
   /// Takes the room for a job on a worker.
   void Place(const job_requirements& spec, const vm_id& vm);
 
   /// Returns why no worker of its pool could hold the job even if it were idle,
   /// or nothing.
-  std::string WhyNever(const job_requirements& spec) const;
+  std::string UnplaceableReason(const job_requirements& spec) const;
 
   /// Returns why the quota of the job's team doesn't let it start, or nothing.
-  std::string WhyOverQuota(const job_requirements& spec) const;
+  std::string QuotaExceededReason(const job_requirements& spec) const;
 
  private:
   struct worker {
@@ -78,8 +78,7 @@
   bool TeamMayUse(const team_id& team, const vm_id& vm) const;
   static bool Fits(const worker& item, const job_size& size);
   static bool FitsButProcessors(const worker& item, const job_size& size);
-  std::optional<choice> Displace(const worker& item,
-                                 const job_size& size) const;
+  std::optional<choice> Preempt(const worker& item, const job_size& size) const;
 
   const planner_context& context_;
   const task_history& history_;
--- a/include/plantainhead/core/fleet/job_planner.h
+++ b/include/plantainhead/core/fleet/job_planner.h
@@ -29,7 +29,7 @@
 
  private:
   /// What this entry knows of the present state of one job.
-  struct job_sight {
+  struct job_observation {
     generation version = 0;
     time_point since;
     /// The latest moment at which its task's lease may still run.
@@ -37,50 +37,51 @@
   };
 
   void IndexTasks(const planner_inputs& inputs);
-  void DriveJobs(const planner_context& context);
-  void DrivePlaced(const planner_context& context,
-                   const job_id& id,
-                   const fleet_job& job);
-  void DriveCheckpointing(const planner_context& context,
-                          const job_id& id,
-                          const fleet_job& job);
+  void AdvanceJobs(const planner_context& context);
+  void AdvancePlaced(const planner_context& context,
+                     const job_id& id,
+                     const fleet_job& job);
+  void AdvanceCheckpointing(const planner_context& context,
+                            const job_id& id,
+                            const fleet_job& job);
   /// Records the end of a task if the list shows one. Returns whether it did.
-  bool RecordEnd(const planner_context& context,
-                 const job_id& id,
-                 const fleet_job& job);
+  bool RecordTaskEnd(const planner_context& context,
+                     const job_id& id,
+                     const fleet_job& job);
   /// Sends the start until it has a sure end. Returns whether it was done.
-  bool DriveStart(const planner_context& context,
-                  const job_id& id,
-                  const fleet_job& job);
+  bool AdvanceStart(const planner_context& context,
+                    const job_id& id,
+                    const fleet_job& job);
   /// Gives a task up once its lease surely ended. Returns whether its worker or
   /// task is gone from the list.
-  bool GiveUpLost(const planner_context& context,
-                  const job_id& id,
-                  const fleet_job& job);
+  bool ReleaseLostTask(const planner_context& context,
+                       const job_id& id,
+                       const fleet_job& job);
   static bool IsWorkerGone(const planner_context& context,
                            const fleet_job& job);
   void Renew(const planner_context& context,
              const job_id& id,
              const fleet_job& job);
-  void StopStrays(const planner_context& context);
+  void StopOrphanedTasks(const planner_context& context);
   void Quarantine(const planner_context& context);
   void PlaceWaiting(const planner_context& context);
   /// Places one job or leaves the reason why not. Returns true if a record was
   /// written.
-  bool PlaceOne(const planner_context& context,
-                job_placement& room,
-                const job_id& id,
-                const fleet_job& job);
+  bool PlaceWaitingJob(const planner_context& context,
+                       job_placement& placement,
+                       const job_id& id,
+                       const fleet_job& job);
   bool PlaceUrgent(const planner_context& context,
-                   job_placement& room,
+                   job_placement& placement,
                    const job_id& id,
                    const fleet_job& job);
-  std::string WhyPark(const planner_context& context,
-                      const job_placement& room,
-                      const job_id& id,
-                      const fleet_job& job);
+  std::string ParkReason(const planner_context& context,
+                         const job_placement& placement,
+                         const job_id& id,
+                         const fleet_job& job);
   const task_listing* FindTask(const job_id& id, const fleet_job& job) const;
-  static bool MustLeave(const planner_context& context, const fleet_job& job);
+  static bool MustVacateWorker(const planner_context& context,
+                               const fleet_job& job);
   void SetState(const planner_context& context,
                 const job_id& id,
                 const fleet_job& job,
@@ -90,11 +91,11 @@
                 const std::string& reason) const;
 
   task_history history_;
-  std::map<job_id, job_sight> sights_;
+  std::map<job_id, job_observation> observations_;
   std::map<job_id, const task_listing*> tasks_;
   time_point observed_list_;
   /// Since when no worker seems able to hold a job.
-  std::map<job_id, time_point> never_since_;
+  std::map<job_id, time_point> unplaceable_since_;
   /// Version and list of the newest pass over the waiting jobs.
   generation placed_version_ = 0;
   time_point placed_list_;
--- a/include/plantainhead/core/fleet/operation_tracker.h
+++ b/include/plantainhead/core/fleet/operation_tracker.h
@@ -17,16 +17,16 @@
 /// same id, and the platform acts once. Thread safety: none.
 class operation_tracker {
  public:
-  /// `patience` is the time without an answer and `retry` the wait after an
-  /// answer of unknown effect, after which an operation is sent again.
-  operation_tracker(duration patience, duration retry);
+  /// `resend_after` is the time without an answer and `retry_delay` the wait
+  /// after an answer of unknown effect, after which an operation is sent again.
+  operation_tracker(duration resend_after, duration retry_delay);
 
   /// Sends `what` under `id` unless it is under way or has ended. Returns its
   /// sure end, or nothing while there is none.
-  std::optional<operation_result> Drive(const operation_id& id,
-                                        const platform_operation& what,
-                                        time_point now,
-                                        effects& out);
+  std::optional<operation_result> EnsureSent(const operation_id& id,
+                                             const platform_operation& what,
+                                             time_point now,
+                                             effects& out);
 
   /// Takes in the end of an operation; one that was never driven is ignored.
   void Finish(const operation_finished& event, time_point now);
@@ -47,16 +47,16 @@
 
  private:
   struct entry {
-    time_point sent;
-    time_point driven;
+    time_point sent_at;
+    time_point requested_at;
     std::optional<time_point> retry_at;
-    std::optional<operation_result> end;
-    time_point ended;
+    std::optional<operation_result> result;
+    time_point ended_at;
     std::string detail;
   };
 
-  duration patience_;
-  duration retry_;
+  duration resend_after_;
+  duration retry_delay_;
   std::map<operation_id, entry> entries_;
 };
 
--- a/include/plantainhead/core/fleet/phase_watch.h
+++ b/include/plantainhead/core/fleet/phase_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_FLEET_PHASE_WATCH_H_
-#define PLANTAINHEAD_CORE_FLEET_PHASE_WATCH_H_
+#ifndef PLANTAINHEAD_CORE_FLEET_PHASE_TRACKER_H_
+#define PLANTAINHEAD_CORE_FLEET_PHASE_TRACKER_H_
 
 #include <map>
 #include <set>
@@ -11,9 +11,9 @@
 /// Remembers since when this entry has seen each VM in its phase and when a
 /// member was last lost. It watches on every entry, so that one that takes the
 /// lease over need not start all waits again. Thread safety: none.
-class phase_watch {
+class phase_tracker {
  public:
-  struct sight {
+  struct observation {
     vm_phase phase = vm_phase::kServing;
     operation_id operation;
     /// First sight of the phase, which is never before the record was written.
@@ -39,18 +39,18 @@
   void Observe(const planner_inputs& inputs, time_point now);
 
   /// Returns what is known of a VM of the fold that was observed, or null.
-  const sight* Find(const vm_id& vm) const;
+  const observation* Find(const vm_id& vm) const;
 
   /// Returns true once requests that a lost member may have left in flight at a
   /// VM, draining since `since`, are past every deadline.
-  bool LostMembersAreOver(time_point now, duration greatest_deadline) const;
+  bool LostMemberRequestsExpired(time_point now, duration max_deadline) const;
 
  private:
   void ObserveVms(const planner_inputs& inputs, time_point now);
   void ObserveMembers(const planner_inputs& inputs, time_point now);
   void ObserveList(const planner_inputs& inputs, time_point now);
 
-  std::map<vm_id, sight> sights_;
+  std::map<vm_id, observation> observations_;
   std::set<incarnation> members_;
   bool has_started_ = false;
   time_point member_lost_at_;
@@ -60,4 +60,4 @@
 
 }  // namespace plantainhead::core
 
-#endif  // PLANTAINHEAD_CORE_FLEET_PHASE_WATCH_H_
+#endif  // PLANTAINHEAD_CORE_FLEET_PHASE_TRACKER_H_
--- a/include/plantainhead/core/fleet/planner.h
+++ b/include/plantainhead/core/fleet/planner.h
@@ -6,7 +6,7 @@
 #include "plantainhead/core/fleet/demand_estimator.h"
 #include "plantainhead/core/fleet/job_planner.h"
 #include "plantainhead/core/fleet/operation_tracker.h"
-#include "plantainhead/core/fleet/phase_watch.h"
+#include "plantainhead/core/fleet/phase_tracker.h"
 #include "plantainhead/core/fleet/planner_context.h"
 #include "plantainhead/core/fleet/planner_types.h"
 #include "plantainhead/core/fleet/pool_planner.h"
@@ -38,7 +38,7 @@
   /// Returns why things stand as they do, by object ("vm:a", "wave:w",
   /// "job:j"). It is what this entry's planner decided while it held the lease;
   /// the records of the fold carry their own reasons.
-  const reason_book& reasons() const { return reasons_; }
+  const reason_map& reasons() const { return reasons_; }
 
   /// Returns what the pools cost as of the newest plan.
   const pool_figures& figures() const { return pools_.figures(); }
@@ -50,10 +50,10 @@
   planner_options options_;
   operation_tracker operations_;
   record_gate gate_;
-  phase_watch watch_;
+  phase_tracker phase_tracker_;
   demand_estimator demand_;
   std::map<vm_id, time_point> deferred_;
-  reason_book reasons_;
+  reason_map reasons_;
   pool_planner pools_;
   wave_planner waves_;
   job_planner jobs_;
--- a/include/plantainhead/core/fleet/planner_context.h
+++ b/include/plantainhead/core/fleet/planner_context.h
@@ -14,7 +14,7 @@
 namespace plantainhead::core {
 
 /// Why things stand as they do, by the name of the object ("vm:suwon-3").
-using reason_book = std::map<std::string, std::string>;
+using reason_map = std::map<std::string, std::string>;
 
 /// What the parts of the planner share during one plan.
 struct planner_context {
@@ -24,16 +24,16 @@
   time_point now;
   record_gate& gate;
   operation_tracker& operations;
-  reason_book& reasons;
+  reason_map& reasons;
   effects& out;
   /// When each VM that didn't drain in time was given up; tried again last.
   std::map<vm_id, time_point>& deferred;
   /// Pools in which a failure took the slack, so that no VM may leave.
-  const std::set<pool_id>& held_pools;
+  const std::set<pool_id>& blocked_pools;
 
   /// Returns true while the platform's list is new enough to act upon.
   bool list_is_fresh() const {
-    return now - inputs.listed_at <= options.list_patience;
+    return now - inputs.listed_at <= options.max_list_age;
   }
 
   /// The failure domain of a VM: its zone, or its rack.
--- a/include/plantainhead/core/fleet/planner_types.h
+++ b/include/plantainhead/core/fleet/planner_types.h
@@ -68,13 +68,13 @@
   /// Time between two plans of the pools, which change more slowly.
   duration pool_interval = std::chrono::seconds(1);
   /// A record that has not been read back after this is appended again.
-  duration record_patience = std::chrono::seconds(5);
+  duration record_timeout = std::chrono::seconds(5);
   /// An operation that has not ended after this is sent again under its id.
-  duration operation_patience = std::chrono::seconds(30);
+  duration operation_resend_after = std::chrono::seconds(30);
   /// Wait before an operation whose end is unknown is sent again.
-  duration operation_retry = std::chrono::seconds(1);
+  duration operation_retry_delay = std::chrono::seconds(1);
   /// A list older than this is not acted upon.
-  duration list_patience = std::chrono::seconds(15);
+  duration max_list_age = std::chrono::seconds(15);
   /// How far the list may lag behind what happens.
   duration list_lag = std::chrono::seconds(5);
   /// A VM that has been off the list for this long is forgotten.
@@ -85,29 +85,29 @@
   duration demand_fall = std::chrono::minutes(2);
   /// How long a pool must lack VMs for its demand, or for its spare, and how
   /// long another must have too many, before one is moved.
-  duration base_lack_patience = std::chrono::seconds(5);
-  duration spare_lack_patience = std::chrono::minutes(1);
-  duration surplus_patience = std::chrono::minutes(5);
+  duration demand_shortage_delay = std::chrono::seconds(5);
+  duration spare_shortage_delay = std::chrono::minutes(1);
+  duration surplus_delay = std::chrono::minutes(5);
   /// Time that a VM stays in a pool before it moves again, unless the demand of
   /// another pool can't be served without it.
-  duration least_dwell = std::chrono::minutes(10);
+  duration min_dwell_time = std::chrono::minutes(10);
   /// Time in which the remembered peak of a pool loses half. Pools at or below
   /// their peak give VMs away last: they will want them back.
   duration peak_half_life = std::chrono::hours(48);
   /// How long a zone that lost all its VMs counts as out and not as gone.
-  duration outage_memory = std::chrono::hours(6);
+  duration outage_retention = std::chrono::hours(6);
 
   /// Time that owners are given to stop sending to a draining VM.
   duration drain_notice = std::chrono::seconds(2);
   /// The greatest patience that a caller may ask for; requests of an entry that
   /// has gone have ended after it.
-  duration greatest_deadline = std::chrono::seconds(60);
+  duration max_deadline = std::chrono::seconds(60);
   /// A VM that has not drained after this goes back to serving and is reported.
-  duration drain_bound = std::chrono::minutes(15);
+  duration drain_timeout = std::chrono::minutes(15);
   /// A VM that has not come back after this is reported as lost.
-  duration return_bound = std::chrono::minutes(15);
+  duration return_timeout = std::chrono::minutes(15);
   /// Wait before a VM that didn't drain is tried again.
-  duration defer_time = std::chrono::minutes(30);
+  duration drain_retry_delay = std::chrono::minutes(30);
   /// A budget that burns this many times too fast pauses waves; at or below the
   /// second rate, kept for `resume_after`, they resume.
   double pause_burn_rate = 2.0;
@@ -120,21 +120,21 @@
   /// be on its way, and clocks differ.
   duration lease_margin = std::chrono::seconds(15);
   /// A job isn't offered again for this long to a worker that refused it.
-  duration refusal_time = std::chrono::minutes(1);
+  duration refusal_backoff = std::chrono::minutes(1);
   /// A worker is quarantined once its last tasks, of this many different jobs,
   /// have all failed; never more than this share of all VMs at once.
   std::size_t quarantine_failures = 3;
-  double quarantine_share = 0.1;
-  duration quarantine_time = std::chrono::hours(1);
+  double max_quarantine_share = 0.1;
+  duration quarantine_duration = std::chrono::hours(1);
   /// A job is parked once it failed on this many different workers, or was
   /// started this often without an end, or no worker could hold it for this
   /// long.
   std::size_t park_failures = 3;
   std::uint32_t park_starts = 10;
-  duration park_patience = std::chrono::seconds(30);
+  duration unplaceable_delay = std::chrono::seconds(30);
 
   /// What one reboot is taken to last, for what it costs of a budget.
-  duration reboot_estimate = std::chrono::minutes(5);
+  duration expected_reboot_time = std::chrono::minutes(5);
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/fleet/pool_balance.h
+++ b/include/plantainhead/core/fleet/pool_balance.h
@@ -27,20 +27,20 @@
   std::uint32_t size() const { return size_; }
   std::uint32_t need() const { return capacity_.need; }
   /// True when callers, not only jobs, lack what it lacks.
-  bool is_for_callers() const { return capacity_.is_known; }
+  bool affects_callers() const { return capacity_.is_known; }
   double tolerance() const { return capacity_.tolerance; }
   std::uint32_t CountIn(const zone_id& domain) const;
 
   /// VMs that are missing to serve the demand.
-  std::uint32_t BaseLack() const;
+  std::uint32_t DemandShortage() const;
   /// VMs that are missing to serve the demand and survive a loss, if they are
   /// added where they help most.
-  std::uint32_t Lack() const;
+  std::uint32_t Shortage() const;
   /// VMs that can go from anywhere they are too many without a lack.
   std::uint32_t Surplus() const;
-  /// Returns true if one VM of `domain` can go. With `base_only` the spare may
-  /// be used up.
-  bool CanSpare(const zone_id& domain, bool base_only) const;
+  /// Returns true if one VM of `domain` can go. With `ignore_spare` the spare
+  /// may be used up.
+  bool CanRelease(const zone_id& domain, bool ignore_spare) const;
 
  private:
   using spread = std::map<zone_id, std::uint32_t>;
--- a/include/plantainhead/core/fleet/queueing.h
+++ b/include/plantainhead/core/fleet/queueing.h
@@ -15,7 +15,7 @@
 /// Returns the fewest slots with which at most `late` (a share in (0, 1]) of
 /// the requests wait longer than `patience` mean service times. Returns 0 for
 /// no load. Thread safety: safe from any thread.
-std::uint32_t SlotsFor(double load, double late, double patience);
+std::uint32_t RequiredSlots(double load, double late, double patience);
 
 }  // namespace plantainhead::core
 
--- a/include/plantainhead/core/fleet/task_history.h
+++ b/include/plantainhead/core/fleet/task_history.h
@@ -33,7 +33,7 @@
 
 /// Returns the size that `WithSize` put into an id, or nothing.
 /// Thread safety: safe from any thread.
-std::optional<job_size> SizeIn(const operation_id& start);
+std::optional<job_size> ParseSize(const operation_id& start);
 
 /// Learns from the platform's list of tasks: which workers fail every task,
 /// which jobs fail everywhere, and how much jobs use beside what they declare.
@@ -45,9 +45,9 @@
   void Observe(const std::vector<task_listing>& tasks,
                const fleet_state& state);
 
-  /// Returns true if the last tasks of the worker, of `in_a_row` different
+  /// Returns true if the last tasks of the worker, of `consecutive` different
   /// jobs, have all failed.
-  bool FailsEverything(const vm_id& vm, std::size_t in_a_row) const;
+  bool FailsAllTasks(const vm_id& vm, std::size_t consecutive) const;
 
   /// Returns the workers on which the job failed.
   const std::set<vm_id>& FailedOn(const job_id& job) const;
@@ -59,12 +59,12 @@
   bool WasRefused(const job_id& job, const vm_id& vm, time_point since) const;
 
   /// Returns how often workers refused the job.
-  std::uint32_t Refusals(const job_id& job) const;
+  std::uint32_t RefusalCount(const job_id& job) const;
 
   /// Forgets what was held against a worker, as when it is used again.
-  void Pardon(const vm_id& vm);
+  void ClearFailures(const vm_id& vm);
   /// Forgets what was held against a job, as when an operator frees it.
-  void Pardon(const job_id& job);
+  void ClearFailures(const job_id& job);
 
   /// Returns what the job is expected to take: what it was seen to use, else
   /// what it declares, corrected by how far off its team's jobs declare.
@@ -81,8 +81,8 @@
     std::map<vm_id, time_point> last;
   };
 
-  void CountEnd(const task_listing& task);
-  void Learn(const task_listing& task, const job_requirements& spec);
+  void CountTaskEnd(const task_listing& task);
+  void LearnUsage(const task_listing& task, const job_requirements& spec);
 
   std::map<vm_id, std::deque<job_id>> failures_;
   std::map<job_id, std::set<vm_id>> failed_on_;
--- a/include/plantainhead/core/fleet/vm_lifecycle.h
+++ b/include/plantainhead/core/fleet/vm_lifecycle.h
@@ -3,25 +3,25 @@
 
 #include <string>
 
-#include "plantainhead/core/fleet/phase_watch.h"
+#include "plantainhead/core/fleet/phase_tracker.h"
 #include "plantainhead/core/fleet/planner_context.h"
 
 namespace plantainhead::core {
 
 /// Start of the reason of a wave that the planner paused by itself; a wave that
 /// an operator paused waits for an operator.
-inline constexpr const char* kOwnPause = "auto: ";
+inline constexpr const char* kAutoPausePrefix = "auto: ";
 
 /// Returns true when the planner, not an operator, paused the wave.
 /// Thread safety: safe from any thread while nobody writes the wave.
-bool IsOwnPause(const fleet_wave& wave);
+bool IsAutoPause(const fleet_wave& wave);
 
 /// Returns the id of the operation of one kind ("reboot") that a record with
 /// this expected generation allows. Two planners build the same id.
 /// Thread safety: safe from any thread.
-operation_id OperationFor(const std::string& kind,
-                          const std::string& object,
-                          generation expected);
+operation_id MakeOperationId(const std::string& kind,
+                             const std::string& object,
+                             generation expected);
 
 /// Leads VMs from serving through drain and reboot, or through drain and a
 /// change of pool, back to serving. Each step is a record; an operation goes
@@ -29,7 +29,7 @@
 class vm_lifecycle {
  public:
   /// The arguments must outlive this object.
-  vm_lifecycle(const planner_context& context, const phase_watch& watch);
+  vm_lifecycle(const planner_context& context, const phase_tracker& tracker);
 
   /// Returns true when a drain of the VM may start: it serves, is listed as
   /// live, and no earlier operation on it is under way.
@@ -60,13 +60,13 @@
   void AdvanceDrained(const vm_view& vm) const;
   void AdvanceRebooting(const vm_view& vm) const;
   void AdvanceReturning(const vm_view& vm) const;
-  void GiveUpDraining(const vm_view& vm, const std::string& reason) const;
+  void AbortDrain(const vm_view& vm, const std::string& reason) const;
   /// Returns why a drain for a wave must not go on, or nothing.
-  std::string WhyAborted(const vm_view& vm) const;
+  std::string AbortReason(const vm_view& vm) const;
   /// True when the VM's wave was cancelled, has finished or is forgotten.
   bool IsWaveOver(const vm_view& vm) const;
   bool IsDrained(const vm_view& vm) const;
-  bool HasWaited(const vm_view& vm, duration bound) const;
+  bool HasBeenInPhaseFor(const vm_view& vm, duration bound) const;
   void SetPhase(const vm_view& vm,
                 vm_phase phase,
                 const std::string& operation_kind,
@@ -74,7 +74,7 @@
                 const std::string& reason) const;
 
   const planner_context& context_;
-  const phase_watch& watch_;
+  const phase_tracker& phase_tracker_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/fleet/wave_planner.h
+++ b/include/plantainhead/core/fleet/wave_planner.h
@@ -21,8 +21,8 @@
  public:
   /// Returns the pools from which nothing may leave, because VMs were lost
   /// and the rest is no more than the pool needs.
-  static std::set<pool_id> HeldPools(const planner_context& context,
-                                     const capacity_plan& capacity);
+  static std::set<pool_id> BlockedPools(const planner_context& context,
+                                        const capacity_plan& capacity);
 
   /// Starts drains for all running waves, pauses, resumes and ends waves.
   void Plan(const planner_context& context,
@@ -31,12 +31,12 @@
 
  private:
   /// What a pass over a wave's pools found.
-  struct pass {
+  struct scan_result {
     std::uint32_t left = 0;
     std::uint32_t under_way = 0;
     /// Pools with VMs left, and those of them that failures hold back.
     std::uint32_t open_pools = 0;
-    std::uint32_t held_pools = 0;
+    std::uint32_t blocked_pools = 0;
     std::string obstacle;
   };
 
@@ -51,15 +51,15 @@
                 const pool_view& pool,
                 const wave_id& id,
                 const fleet_wave& wave,
-                pass& found);
+                scan_result& found);
   std::vector<const vm_view*> Candidates(const planner_context& context,
                                          const vm_lifecycle& lifecycle,
                                          const pool_view& pool,
                                          const fleet_wave& wave) const;
   /// Returns why the wave should be paused, or nothing.
-  std::string WhyPause(const planner_context& context,
-                       const fleet_wave& wave,
-                       const pass& found) const;
+  std::string PauseReason(const planner_context& context,
+                          const fleet_wave& wave,
+                          const scan_result& found) const;
   void PauseOrResume(const planner_context& context,
                      const wave_id& id,
                      const fleet_wave& wave,
@@ -71,7 +71,7 @@
                 const std::string& reason) const;
 
   /// Since when nothing speaks for the pause of a wave that paused itself.
-  std::map<wave_id, time_point> calm_since_;
+  std::map<wave_id, time_point> clear_since_;
 };
 
 }  // namespace plantainhead::core
--- a/include/plantainhead/core/jobs/arrival_meter.h
+++ b/include/plantainhead/core/jobs/arrival_rate_monitor.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
-#define PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
+#define PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
 
 #include <cstddef>
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace plantainhead::core::jobs {
 
-struct arrival_settings {
+struct arrival_rate_settings {
   /// A rise is looked for in the jobs of this time. In its turn a queue brings
   /// 9 to 36 jobs a second, so that this holds 4 to 14 of them.
   duration window = std::chrono::milliseconds(400);
@@ -17,16 +17,16 @@
   /// while a rise is steep: one that has just begun fills little of the window.
   duration short_window = std::chrono::milliseconds(100);
   /// With fewer jobs at its end no rise is steep.
-  std::size_t least_short_jobs = 12;
+  std::size_t min_short_window_jobs = 12;
   /// Jobs must come this many times as fast there as in the whole window.
-  double steepness = 2.0;
+  double steep_ratio = 2.0;
   /// The rate is compared with that of this time before the window.
-  duration past = std::chrono::milliseconds(2600);
+  duration baseline_window = std::chrono::milliseconds(2600);
   /// Fewer jobs than this in the window are no rise.
-  std::size_t least_jobs = 3;
+  std::size_t min_window_jobs = 3;
   /// Jobs must come this many times as fast as before. At a constant rate of
   /// eight in the window chance brings that in one of 200 windows.
-  double rise = 2.0;
+  double rise_ratio = 2.0;
 };
 
 /// Notices when a queue's turn begins: its jobs come many times as fast as
@@ -34,17 +34,17 @@
 /// jobs that will wait are there, and VMs come 1.5 s after they are asked for.
 /// The rate of the arrivals tells it within the first few jobs.
 /// Pure and not thread-safe.
-class arrival_meter {
+class arrival_rate_monitor {
  public:
-  explicit arrival_meter(const arrival_settings& settings)
+  explicit arrival_rate_monitor(const arrival_rate_settings& settings)
       : settings_(settings) {}
 
   /// Notes a job that has just been read and was handed in `age` before; ages
   /// may come in any order. Lasting steps count for nothing: they don't come at
   /// a rate. Precondition: times don't fall.
-  void Note(const job_spec& job,
-            time_point now,
-            duration age = duration::zero());
+  void RecordArrival(const job_spec& job,
+                     time_point now,
+                     duration age = duration::zero());
   /// Returns what the tasks will take on average if jobs go on to come as they
   /// do now; nothing while no rise is under way. By the callers' estimates, and
   /// for jobs of average size: a single large one is no rise.
@@ -64,7 +64,7 @@
     double gpus = 0;
   };
 
-  arrival_settings settings_;
+  arrival_rate_settings settings_;
   /// By their times.
   std::deque<arrival> arrivals_;
   std::size_t recent_jobs_ = 0;
@@ -72,4 +72,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_ARRIVAL_METER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_ARRIVAL_RATE_MONITOR_H_
--- a/include/plantainhead/core/jobs/fleet_balancer.h
+++ b/include/plantainhead/core/jobs/fleet_balancer.h
@@ -23,7 +23,7 @@
 };
 
 /// How far hosts are on their way to the pools that want them.
-struct balance_figures {
+struct balancer_stats {
   /// VMs that pools want, and how many of these they neither have nor get.
   std::uint32_t wanted = 0;
   std::uint32_t missing = 0;
@@ -34,7 +34,7 @@
   /// Hosts whose move was accepted or is under way.
   std::uint32_t moving = 0;
 
-  bool operator==(const balance_figures&) const = default;
+  bool operator==(const balancer_stats&) const = default;
 };
 
 struct balancer_settings {
@@ -50,7 +50,7 @@
   /// The same while a pool has fewer VMs than it wants. What it wants grows
   /// while its VMs are on their way, and a host that has gone to the spare pool
   /// by then comes by two moves.
-  duration scarce_spare_delay = std::chrono::milliseconds(2500);
+  duration shortage_spare_delay = std::chrono::milliseconds(2500);
 };
 
 /// Decides which hosts move between the pools and the spare pool: pools tell
@@ -74,14 +74,14 @@
   void NoteWanted(const pool_id& pool, std::optional<std::uint32_t> wanted);
   /// Tells whether a pool has fewer VMs than it wants, those on their way not
   /// counted.
-  void UpdateScarce(bool is_scarce) { is_scarce_ = is_scarce; }
+  void UpdateShortage(bool has_shortage) { has_shortage_ = has_shortage; }
   /// Replaces the VMs that their pools have emptied and given away.
   void UpdateOffers(const std::set<vm_id>& offers) {
     Replace(&offers_, offers);
   }
   /// The same for one VM.
   void NoteOffer(const vm_id& vm, bool is_offered) {
-    Put(&offers_, vm, is_offered);
+    SetMembership(&offers_, vm, is_offered);
   }
   /// Replaces the VMs that take no tasks for other reasons.
   void UpdateClosed(const std::set<vm_id>& closed) {
@@ -89,23 +89,23 @@
   }
   /// The same for one VM.
   void NoteClosed(const vm_id& vm, bool is_closed) {
-    Put(&closed_, vm, is_closed);
+    SetMembership(&closed_, vm, is_closed);
   }
   /// Replaces the VMs that have said that they leave.
   void UpdateLeaving(const std::set<vm_id>& leaving) {
     Replace(&leaving_, leaving);
   }
-  /// `is_settled`: the order was carried out, or surely wasn't.
+  /// `is_reconciled`: the order was carried out, or surely wasn't.
   void OnMoveAnswer(const host_id& host,
                     bool is_accepted,
-                    bool is_settled,
+                    bool is_reconciled,
                     time_point now);
 
   /// Returns when the move of the host was ordered, or ordered again; nothing
   /// when none is under way.
   std::optional<time_point> OrderedAt(const host_id& host) const;
   /// Returns how far hosts are; `busy` as for `Plan`.
-  balance_figures Figures(const std::set<host_id>& busy) const;
+  balancer_stats Stats(const std::set<host_id>& busy) const;
   /// Returns the moves to order now. `busy` are hosts that are being serviced.
   std::vector<move_host> Plan(const std::set<host_id>& busy, time_point now);
 
@@ -121,7 +121,7 @@
   };
 
   /// As what a host counts.
-  struct host_standing {
+  struct host_classification {
     /// Empty: none.
     pool_id pool;
     bool is_free = false;
@@ -134,10 +134,10 @@
   struct known_host {
     fleet_host host;
     /// In the list.
-    std::size_t place = 0;
+    std::size_t position = 0;
     /// Of the list that it was last in.
     std::uint64_t list = 0;
-    host_standing counts_as;
+    host_classification counted_as;
     /// Since when nobody has wanted it, though its pool gives it away.
     std::optional<time_point> unwanted_since;
   };
@@ -145,23 +145,23 @@
   using free_hosts = std::map<std::size_t, known_host*>;
 
   /// Counts the host as what it is by now.
-  void Reassess(known_host* known);
-  void Count(known_host* known, bool is_added);
-  void ReassessHost(const host_id& host);
-  void Put(std::set<vm_id>* vms, const vm_id& vm, bool is_in);
+  void Reclassify(known_host* known);
+  void UpdateCounts(known_host* known, bool is_added);
+  void ReclassifyHost(const host_id& host);
+  void SetMembership(std::set<vm_id>* vms, const vm_id& vm, bool is_member);
   void Replace(std::set<vm_id>* vms, const std::set<vm_id>& next);
-  bool IsFree(const fleet_host& host) const;
+  bool IsMovable(const fleet_host& host) const;
   std::uint32_t CountOf(const pool_id& pool) const;
   /// Returns the last one in the list that may go to the pool, or null.
-  known_host* FindFree(const pool_id& pool, const std::set<host_id>& busy);
-  void PutAside(const std::set<host_id>& busy,
-                const std::set<pool_id>& wanting,
-                time_point now,
-                std::vector<move_host>* moves);
-  void Order(known_host* known,
-             const pool_id& pool,
-             time_point now,
-             std::vector<move_host>* moves);
+  known_host* FindMovable(const pool_id& pool, const std::set<host_id>& busy);
+  void MoveToSparePool(const std::set<host_id>& busy,
+                       const std::set<pool_id>& wanting,
+                       time_point now,
+                       std::vector<move_host>* moves);
+  void OrderMove(known_host* known,
+                 const pool_id& pool,
+                 time_point now,
+                 std::vector<move_host>* moves);
 
   balancer_settings settings_;
   std::unordered_map<host_id, known_host> hosts_;
@@ -176,7 +176,7 @@
   std::uint32_t moving_ = 0;
   std::set<pool_id> spare_;
   std::map<pool_id, std::uint32_t> wanted_;
-  bool is_scarce_ = false;
+  bool has_shortage_ = false;
   std::set<vm_id> offers_;
   std::set<vm_id> closed_;
   std::set<vm_id> leaving_;
--- a/include/plantainhead/core/jobs/fleet_list.h
+++ b/include/plantainhead/core/jobs/fleet_list.h
@@ -11,12 +11,13 @@
 /// and neither moved nor serviced. If they were left out, they would seem to
 /// have left the fleet, and a wave that names them would count as complete.
 ///
-/// `faulty` are the names in those rows; empty where that can't be read either.
-/// Then any host of `before`, the list before this one, may be meant.
+/// `unreadable` are the names in those rows; empty where that can't be read
+/// either. Then any host of `previous`, the list before this one, may be meant.
 /// Thread safety: safe from any thread.
-std::vector<fleet_host> KeepFaultyHosts(std::vector<fleet_host> readable,
-                                        const std::vector<host_id>& faulty,
-                                        const std::vector<fleet_host>& before);
+std::vector<fleet_host> AddUnreadableHosts(
+    std::vector<fleet_host> readable,
+    const std::vector<host_id>& unreadable,
+    const std::vector<fleet_host>& previous);
 
 }  // namespace plantainhead::core::jobs
 
--- a/include/plantainhead/core/jobs/host_order_queue.h
+++ b/include/plantainhead/core/jobs/host_order_queue.h
@@ -8,7 +8,7 @@
 
 #include "plantainhead/core/jobs/fleet_balancer.h"
 #include "plantainhead/core/jobs/maintenance.h"
-#include "plantainhead/core/jobs/wave_keeper.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 
 namespace plantainhead::core::jobs {
 
@@ -22,8 +22,8 @@
 /// be sent soon after its record, so that no more are recorded than the
 /// connections to the platform carry in that time.
 struct order_queue_settings {
-  std::size_t most_moves = 64;
-  std::size_t most_services = 32;
+  std::size_t max_moves = 64;
+  std::size_t max_services = 32;
 };
 
 /// Orders for hosts that wait to be recorded and sent. A wave orders hundreds
@@ -34,17 +34,17 @@
   using host_predicate = std::function<bool(const host_id&)>;
 
   explicit host_order_queue(const order_queue_settings& settings)
-      : moves_(settings.most_moves), services_(settings.most_services) {}
+      : moves_(settings.max_moves), services_(settings.max_services) {}
 
   void Add(host_order order);
   /// Returns the orders to record and send now, of those whose hosts may be
   /// ordered. They are under way until each is over or given back.
   std::vector<host_order> Take(const host_predicate& may_order);
   /// Takes orders back that weren't sent.
-  void GiveBack(const std::vector<host_order>& orders);
+  void Requeue(const std::vector<host_order>& orders);
   /// Notes that the order was answered, or got no answer.
   /// Precondition: it is under way.
-  void NoteOver(const host_order& order) { --LaneOf(order).under_way; }
+  void NoteFinished(const host_order& order) { --LaneOf(order).in_flight; }
 
   std::size_t waiting() const {
     return moves_.waiting.size() + services_.waiting.size();
@@ -52,9 +52,9 @@
 
  private:
   struct lane {
-    explicit lane(std::size_t most_under_way) : most(most_under_way) {}
-    std::size_t most;
-    std::size_t under_way = 0;
+    explicit lane(std::size_t max_in_flight) : limit(max_in_flight) {}
+    std::size_t limit;
+    std::size_t in_flight = 0;
     std::vector<host_order> waiting;
   };
 
--- a/include/plantainhead/core/jobs/host_order_ledger.h
+++ b/include/plantainhead/core/jobs/host_order_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
-#define PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
+#define PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
 
 #include <map>
 #include <set>
@@ -18,11 +18,11 @@
   duration holder_lease = std::chrono::milliseconds(3000);
   /// A holder sends an order at most this long after it asked for the record of
   /// it, so that a new owner knows how late one may still come.
-  duration send_limit = duration::zero();
+  duration max_send_delay = duration::zero();
   /// What an order may take to arrive. A holder that was restarted waits for
   /// it, so that an order of its earlier life doesn't follow a newer one; it is
   /// added to the lease of others, as the limit of sending is.
-  duration arrival_reserve = std::chrono::milliseconds(300);
+  duration max_delivery_time = std::chrono::milliseconds(300);
 };
 
 /// Keeps two holders from ordering one host at about the same time.
@@ -37,11 +37,11 @@
 /// with a queue in its turn is most of the turn: of what callers of 49 VMs
 /// asked in days that end so, 0.873 in place of 0.861 was earned (15 plays
 /// each). Pure and not thread-safe.
-class host_order_ledger {
+class host_order_tracker {
  public:
   /// `holder` names this process towards the platform, before and after a
   /// restart.
-  host_order_ledger(const host_order_settings& settings, std::string holder)
+  host_order_tracker(const host_order_settings& settings, std::string holder)
       : settings_(settings), holder_(std::move(holder)) {}
 
   /// Takes over the recorded orders by host, with the name of each holder; it
@@ -53,15 +53,15 @@
   /// Returns whether no other order for the host can be under way.
   bool MayOrder(const host_id& host, time_point now) const;
   /// Returns the hosts that may not be ordered yet.
-  std::set<host_id> Closed(time_point now) const;
+  std::set<host_id> BlockedHosts(time_point now) const;
   /// Returns the hosts whose records a new owner needn't know of any more, each
   /// once.
-  std::vector<host_id> TakeOutdated(time_point now);
+  std::vector<host_id> TakeExpired(time_point now);
 
  private:
-  duration ClosedTime() const {
-    return settings_.holder_lease + settings_.send_limit +
-           settings_.arrival_reserve;
+  duration BlockTime() const {
+    return settings_.holder_lease + settings_.max_send_delay +
+           settings_.max_delivery_time;
   }
 
   host_order_settings settings_;
@@ -69,9 +69,9 @@
   /// Hosts with a record, and the latest moment of its order.
   std::map<host_id, time_point> recorded_;
   /// Hosts for which an earlier owner may have given an order.
-  std::map<host_id, time_point> closed_until_;
+  std::map<host_id, time_point> blocked_until_;
 };
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_HOST_ORDER_LEDGER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_HOST_ORDER_TRACKER_H_
--- a/include/plantainhead/core/jobs/job_result.h
+++ b/include/plantainhead/core/jobs/job_result.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "plantainhead/core/jobs/job_types.h"
-#include "plantainhead/core/jobs/wait_clock.h"
+#include "plantainhead/core/jobs/wait_time_tracker.h"
 #include "plantainhead/core/names.h"
 #include "plantainhead/core/time.h"
 
@@ -24,9 +24,9 @@
   /// When it should have ended.
   time_point deadline;
   /// The estimate of its longest chain of work.
-  duration chain = duration::zero();
+  duration critical_path = duration::zero();
   /// What its tasks waited for.
-  wait_clock waits;
+  wait_time_tracker waits;
   /// Runs that failed, lapsed, or were stopped to run elsewhere.
   std::uint32_t repeated_runs = 0;
   /// It was accepted under an earlier owner, whose waits and repeated runs
@@ -51,7 +51,7 @@
   /// Without the waits of its tasks it would have been in time, or its first
   /// task started too late for what its caller estimated; mostly no VM had
   /// room.
-  kWaitedForRoom,
+  kWaitedForCapacity,
   /// The same, but mostly the owner of its pool started nothing.
   kWaitedForOwner,
   /// It took longer than its caller estimated, apart from what it waited.
@@ -65,7 +65,7 @@
     {job_verdict::kCancelled, "cancelled"},
     {job_verdict::kOwnerChanged, "late, owner changed"},
     {job_verdict::kRunsRepeated, "late, runs repeated"},
-    {job_verdict::kWaitedForRoom, "late, waited for room"},
+    {job_verdict::kWaitedForCapacity, "late, waited for room"},
     {job_verdict::kWaitedForOwner, "late, waited for its owner"},
     {job_verdict::kRanLong, "late, ran long"},
 }};
--- a/include/plantainhead/core/jobs/job_types.h
+++ b/include/plantainhead/core/jobs/job_types.h
@@ -66,11 +66,11 @@
   /// The rack that holds the data; elsewhere a task is slower. Empty: none.
   std::string preferred_rack;
   /// Most tasks of the step on one VM; 0: no limit.
-  std::uint32_t most_per_vm = 0;
+  std::uint32_t max_per_vm = 0;
   /// Copies of a task may run side by side.
   bool speculative = false;
   /// The tasks run until the job is cancelled.
-  bool lasting = false;
+  bool long_running = false;
   /// Tasks of the same image behave alike.
   std::string image;
   /// A task that serves users must keep its tail latency below this; zero: the
@@ -78,9 +78,9 @@
   duration latency_target = duration::zero();
   /// The tasks take processor time that others leave; only their memory and
   /// accelerators count against a VM's capacity.
-  bool fills = false;
+  bool best_effort = false;
   /// Tasks of a lasting step that may be down at once for planned reasons.
-  std::uint32_t may_miss = 0;
+  std::uint32_t max_unavailable = 0;
 };
 
 /// When the occurrences of a repeated job are due.
@@ -102,7 +102,7 @@
   std::optional<job_schedule> schedule;
   /// Wall time, to the millisecond, at which a process took the job in; nothing
   /// where its record doesn't tell.
-  std::optional<time_point> handed_in_at = std::nullopt;
+  std::optional<time_point> submitted_at = std::nullopt;
 };
 
 /// What operators ask of a queue.
@@ -184,7 +184,7 @@
   std::vector<task_record> tasks;
   /// Runs up to this number may have been given by an earlier owner, on a VM
   /// that never told of them.
-  std::uint32_t untold_runs = 0;
+  std::uint32_t unreported_runs = 0;
 
   bool operator==(const job_progress&) const = default;
 };
--- a/include/plantainhead/core/jobs/maintenance.h
+++ b/include/plantainhead/core/jobs/maintenance.h
@@ -24,7 +24,7 @@
   /// None: at some time before this process began to read waves.
   std::optional<time_point> published_at;
   /// Hosts that may be down for it at once.
-  std::uint32_t most_at_once = 1;
+  std::uint32_t max_concurrent = 1;
 };
 
 enum class host_state { kUp, kMoving, kInService, kDown };
--- a/include/plantainhead/core/jobs/wave_keeper.h
+++ b/include/plantainhead/core/jobs/maintenance_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
-#define PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
+#define PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
 
 #include <cstdint>
 #include <map>
@@ -45,22 +45,22 @@
   /// Begun, or done before.
   kAccepted,
   /// Surely not begun; try again later.
-  kNotNow,
+  kTemporaryFailure,
   /// It can't be serviced in this wave.
-  kNever,
+  kPermanentFailure,
   /// May have begun, or may begin yet.
   kUnknown,
 };
 
-struct wave_settings {
+struct maintenance_settings {
   /// Hosts that are emptied ahead of their turn, so that one is ready when
   /// another returns. Each costs its pool a VM meanwhile.
-  std::uint32_t emptied_ahead = 1;
+  std::uint32_t drained_ahead = 1;
   /// What a host takes from being closed to being back: up to 2 s until it is
   /// empty, 2 s of service, and a list every 0.6 s to see it by.
   duration cycle = std::chrono::milliseconds(5000);
   /// Share of a wave's time by which it is to be done.
-  double pace_share = 0.8;
+  double deadline_share = 0.8;
   /// An order that may not have arrived is sent again after this time; it has
   /// no effect if it did.
   duration order_retry = std::chrono::seconds(1);
@@ -71,9 +71,10 @@
 
 /// Decides which hosts are emptied and serviced when, for all waves.
 /// Pure and not thread-safe.
-class wave_keeper {
+class maintenance_scheduler {
  public:
-  explicit wave_keeper(const wave_settings& settings) : settings_(settings) {}
+  explicit maintenance_scheduler(const maintenance_settings& settings)
+      : settings_(settings) {}
 
   /// Adds a wave; one that is known stays as it is. Returns whether it is new:
   /// what was noted of it before that isn't kept.
@@ -88,7 +89,9 @@
                    const std::set<pool_id>& spare,
                    time_point requested_at);
   /// Replaces the pools that have fewer VMs than they want.
-  void UpdateShort(std::set<pool_id> pools) { short_ = std::move(pools); }
+  void UpdateUndersized(std::set<pool_id> pools) {
+    undersized_ = std::move(pools);
+  }
   /// Replaces the VMs that are closed for service, as recorded.
   void UpdateClosed(const std::set<vm_id>& vms);
   /// The same for one VM.
@@ -133,7 +136,7 @@
     fleet_host host;
     time_point last_listed;
     /// The first list since then, which left it out.
-    std::optional<time_point> left_out_since;
+    std::optional<time_point> unlisted_since;
   };
   /// A host that is up and whose turn may come.
   struct due_host {
@@ -155,28 +158,29 @@
   void CloseNext(fleet_wave* wave,
                  time_point now,
                  std::vector<wave_action>* actions);
-  std::uint32_t NeededAtOnce(const fleet_wave& wave, time_point now) const;
+  std::uint32_t RequiredConcurrency(const fleet_wave& wave,
+                                    time_point now) const;
   bool RunsTasks(const fleet_host& host) const;
   std::vector<due_host> DueHosts(fleet_wave* wave,
                                  std::map<pool_id, std::uint32_t>* busy);
   due_iterator FindNext(std::vector<due_host>* due,
                         bool only_spare,
-                        bool spares_short) const;
+                        bool protect_undersized) const;
   due_iterator FindClosed(std::vector<due_host>* due) const;
   bool IsReady(const host_progress& progress, const fleet_host& host) const;
   std::set<vm_id> NeededVms() const;
   /// Returns whether the present list tells that the VM is needed.
-  bool IsSurelyNeeded(const vm_id& vm) const;
+  bool IsConfirmedNeeded(const vm_id& vm) const;
   void ReleaseUnneeded(std::vector<wave_action>* actions);
   void Release(const vm_id& vm, std::vector<wave_action>* actions);
 
-  wave_settings settings_;
+  maintenance_settings settings_;
   std::map<std::uint64_t, fleet_wave> waves_;
   /// Its elements are pointed to, and stay.
   std::map<host_id, listed_host> hosts_;
   std::unordered_map<vm_id, host_id> host_of_vm_;
   std::set<pool_id> spare_;
-  std::set<pool_id> short_;
+  std::set<pool_id> undersized_;
   std::set<vm_id> closed_;
   /// VMs that were released, and are still recorded as closed.
   std::set<vm_id> released_;
@@ -188,4 +192,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_WAVE_KEEPER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_MAINTENANCE_SCHEDULER_H_
--- a/include/plantainhead/core/jobs/owner_book.h
+++ b/include/plantainhead/core/jobs/owner_directory.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
-#define PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
+#define PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -20,10 +20,10 @@
   friend bool operator==(const owner_address&, const owner_address&) = default;
 };
 
-struct owner_book_settings {
+struct owner_directory_settings {
   /// An owner that left a request without an answer gets no other for this
   /// time, and then one at a time until it answers.
-  duration rest = std::chrono::seconds(1);
+  duration retry_interval = std::chrono::seconds(1);
 };
 
 /// Whom to ask about the pools of a partition: a circuit breaker for each
@@ -31,19 +31,19 @@
 ///
 /// An owner that was frozen or cut off answers nothing, and each request that
 /// is passed on to it costs its caller a timeout. With the breaker one caller
-/// in each `rest` pays that, and all others go to the store at once.
+/// in each `retry_interval` pays that, and all others go to the store at once.
 ///
 /// Pure: it neither calls nor looks at a clock. Not thread-safe.
-class owner_book {
+class owner_directory {
  public:
-  explicit owner_book(const owner_book_settings& settings)
+  explicit owner_directory(const owner_directory_settings& settings)
       : settings_(settings) {}
 
   /// Notes what an owner has announced. Returns true when it is newer than what
   /// was known; announcements may be read in any order.
-  bool Note(std::uint32_t partition, owner_address owner);
+  bool NoteAnnouncement(std::uint32_t partition, owner_address owner);
   /// Returns the newest announcement of the partition; epoch 0: there is none.
-  owner_address Newest(std::uint32_t partition) const;
+  owner_address Latest(std::uint32_t partition) const;
 
   /// Returns the owner that a request may be sent to now, if there is one.
   std::optional<owner_address> Choose(std::uint32_t partition, time_point now);
@@ -59,10 +59,10 @@
     std::optional<time_point> resume_at;
   };
 
-  owner_book_settings settings_;
+  owner_directory_settings settings_;
   std::map<std::uint32_t, entry> entries_;
 };
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_OWNER_BOOK_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_OWNER_DIRECTORY_H_
--- a/include/plantainhead/core/jobs/pool_scheduler.h
+++ b/include/plantainhead/core/jobs/pool_scheduler.h
@@ -35,7 +35,7 @@
   /// nothing else starts there until then.
   duration suspect_wait = std::chrono::milliseconds(200);
   /// A run that a VM lists this long after it began isn't what crashes the VM.
-  duration fresh_time = std::chrono::milliseconds(100);
+  duration crash_window = std::chrono::milliseconds(100);
   /// A stop without an answer is sent again after this time.
   duration stop_retry = std::chrono::milliseconds(400);
   /// A task whose percentage stands still this long, over at least two
@@ -48,7 +48,7 @@
   /// A task that failed waits this long for another VM. Then its own may take
   /// it again: where each VM holds at most one task of the step there may be no
   /// other, and one that fails all is set aside by then.
-  duration elsewhere = std::chrono::milliseconds(1000);
+  duration failed_vm_avoidance = std::chrono::milliseconds(1000);
   /// A VM that refused an order for a passing reason gets none for this time.
   duration refusal_pause = std::chrono::milliseconds(300);
   /// Nothing starts while cancellations are known only up to a moment that is
@@ -56,7 +56,7 @@
   /// later than 3 s after its cancellation was stored. What is known of an idle
   /// partition is up to 1 s old, 2 s when a reading hangs, and two answers of
   /// the store more (0.8 s when it is very slow).
-  duration oldest_cancellations = std::chrono::milliseconds(2600);
+  duration max_cancellation_age = std::chrono::milliseconds(2600);
   /// A VM that is to be emptied lets its tasks end for this time, so that most
   /// of them, which take a second or less, lose no work; then it stops them.
   duration empty_limit = std::chrono::milliseconds(2000);
@@ -66,12 +66,12 @@
 struct takeover_bounds {
   /// From now on nobody else gives orders: jobs that are first read later can't
   /// have been started by an earlier owner.
-  time_point fresh_from;
+  time_point exclusive_from;
   /// By now every lease that an earlier owner granted is over, on VMs for which
   /// nothing else is known.
-  time_point others_lapsed_at;
+  time_point default_lease_end;
   /// By now the leases of these are over.
-  std::map<vm_id, time_point> lapsed_at;
+  std::map<vm_id, time_point> lease_ends;
 };
 
 /// The VMs for which a new owner waits before it starts what an earlier owner
@@ -79,9 +79,9 @@
 struct takeover_wait {
   bool is_over = false;
   /// VMs that the registry lists.
-  std::uint32_t listed = 0;
+  std::uint32_t registered = 0;
   /// VMs that are only known from the records of an earlier owner.
-  std::uint32_t unlisted = 0;
+  std::uint32_t unregistered = 0;
   /// One of them.
   vm_id vm;
 };
@@ -89,7 +89,7 @@
 /// A VM that runs a task, or has ended one, of a job that isn't known.
 struct unknown_job_vm {
   vm_id vm;
-  bool is_listed = false;
+  bool is_registered = false;
   /// Its last hold had an answer.
   bool is_reachable = false;
 };
@@ -100,7 +100,7 @@
   std::size_t waiting_tasks = 0;
   std::size_t placed_tasks = 0;
   std::uint64_t starts = 0;
-  std::uint64_t lapsed_runs = 0;
+  std::uint64_t lease_expired_runs = 0;
   /// Runs that were on a VM when it was lost, the lapsed ones among them.
   std::uint64_t lost_runs = 0;
   std::uint64_t failed_runs = 0;
@@ -114,7 +114,7 @@
 struct lost_run {
   run_ref run;
   loss_kind kind = loss_kind::kCrashAtStart;
-  life_mark born = std::nullopt;
+  vm_incarnation incarnation = std::nullopt;
 
   bool operator==(const lost_run&) const = default;
 };
@@ -158,7 +158,7 @@
   /// Until it is first called there is no bound on their age. Without it an
   /// owner whose renewals are answered while its readings hang starts tasks of
   /// jobs that were cancelled long before. See
-  /// `scheduler_settings::oldest_cancellations`.
+  /// `scheduler_settings::max_cancellation_age`.
   void NoteCancellationsRead(time_point through);
   /// Returns whether cancellations are known well enough to start tasks.
   bool MayStart(time_point now) const;
@@ -194,9 +194,9 @@
   /// Precondition: `UpdateVms` was called.
   void UpdateVm(const vm_description& vm, time_point now);
   /// Takes one VM out of the list; see `UpdateVms`.
-  void UnlistVm(const vm_id& vm);
+  void UnregisterVm(const vm_id& vm);
   /// Takes in until when the VM's report of its capacity is trusted; see
-  /// `report_ages`. After that nothing starts there.
+  /// `report_validity`. After that nothing starts there.
   void NoteReport(const vm_id& vm, time_point trusted_until);
   /// The same for several VMs.
   void NoteReports(const std::map<vm_id, time_point>& trusted_until);
@@ -239,7 +239,7 @@
   /// Precondition: `sent_at` is when the hold was sent.
   void OnListing(const vm_id& vm,
                  time_point sent_at,
-                 const vm_listing& listing,
+                 const run_listing& listing,
                  time_point now);
   void OnHoldUnanswered(const vm_id& vm);
   /// Another life of the VM answered: all that ran on this one is over.
@@ -252,7 +252,7 @@
   duration AnswerDelay() const;
   /// Returns whether the last plan ordered as many starts as may be under way,
   /// so that an answer lets more begin.
-  bool HoldsStartsBack() const;
+  bool IsStartWindowFull() const;
   /// Returns how to send the next hold, and grants the lease in it.
   hold_parameters NextHold(const vm_id& vm, time_point now);
   /// Returns the orders to send now. `wall_now` is only used for due times.
--- a/include/plantainhead/core/jobs/record_faults.h
+++ b/include/plantainhead/core/jobs/record_faults.h
@@ -95,13 +95,13 @@
 enum class fault_effect {
   /// What was read under the key before stays as it is; without that there is
   /// nothing.
-  kEarlierHolds,
+  kKeepPrevious,
   /// The VM gets no new task, and isn't gone.
-  kNoNewWork,
+  kNoNewTasks,
   /// Somebody unknown may have claimed the partition and may give orders.
   kClaimUnknown,
   /// It counts as told that the VM or host is in use.
-  kCountsAsUsed,
+  kAssumeInUse,
 };
 
 /// Returns the effect that does the least harm, whoever wrote the record.
@@ -110,7 +110,7 @@
 
 /// Counts faults, and says which of them are worth a line in the log.
 /// Thread safety: one thread at a time.
-class fault_ledger {
+class record_fault_counter {
  public:
   using counts_by_fault =
       std::map<std::pair<std::string, fault_kind>, std::uint64_t>;
@@ -122,7 +122,7 @@
             const std::string& key,
             const record_fault& fault);
   /// Notes that the key holds a sound record, so that its next fault is news.
-  void NoteSound(const std::string& topic, const std::string& key);
+  void NoteValid(const std::string& topic, const std::string& key);
 
   /// Returns how many records were read with each fault, by topic.
   const counts_by_fault& counts() const { return counts_; }
@@ -136,11 +136,11 @@
 
 /// Returns whether the text can serve as the name of a VM, host, pool or job:
 /// names become parts of keys, headers and log lines.
-bool IsSoundName(const std::string& text);
+bool IsValidName(const std::string& text);
 
 /// Bytes of the longest name. The store's keys have 255 at most, and the
 /// longest of the prefixes before a name has 30.
-inline constexpr std::size_t kMostNameBytes = 200;
+inline constexpr std::size_t kMaxNameBytes = 200;
 
 }  // namespace plantainhead::core::jobs
 
--- a/include/plantainhead/core/jobs/report_ages.h
+++ b/include/plantainhead/core/jobs/report_validity.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
-#define PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
+#define PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
 
 #include <map>
 #include <optional>
@@ -12,7 +12,7 @@
 /// Tells until when what VMs report of themselves may be gone by. VMs report at
 /// regular times, all as often; when two reports of one in a row are missing,
 /// its capacity may have shrunk since. Not thread-safe.
-class report_ages {
+class report_validity {
  public:
   /// Notes a report that was made at `at` at the earliest.
   void Note(const vm_id& vm, time_point at);
@@ -29,14 +29,14 @@
   }
 
  private:
-  void NoteGap(duration gap);
+  void NoteInterval(duration interval);
 
   std::map<vm_id, time_point> last_at_;
   std::map<vm_id, time_point> trusted_until_;
   /// Between two reports of a VM, smoothed over all; zero before the first.
-  duration usual_gap_ = duration::zero();
+  duration mean_interval_ = duration::zero();
 };
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_REPORT_AGES_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_REPORT_VALIDITY_H_
--- a/include/plantainhead/core/jobs/routing.h
+++ b/include/plantainhead/core/jobs/routing.h
@@ -43,7 +43,7 @@
 struct route_match {
   const queue_route* route = nullptr;
   /// What follows the prefix.
-  std::string_view rest;
+  std::string_view path_suffix;
 };
 
 /// Finds routes by host and longest prefix. Not thread-safe.
--- a/include/plantainhead/core/jobs/run_loss.h
+++ b/include/plantainhead/core/jobs/run_loss.h
@@ -44,7 +44,7 @@
   /// The VM that lost it, or may have. If that life of it is heard again, the
   /// run wasn't lost.
   vm_id vm;
-  life_mark born = std::nullopt;
+  vm_incarnation incarnation = std::nullopt;
 
   bool operator==(const run_loss&) const = default;
 };
--- a/include/plantainhead/core/jobs/vacancy_checker.h
+++ b/include/plantainhead/core/jobs/vacancy_checker.h
@@ -21,7 +21,7 @@
   /// Its host is to be serviced.
   kForService,
 };
-inline constexpr std::size_t kVacancyReasons = 2;
+inline constexpr std::size_t kVacancyReasonCount = 2;
 
 /// An owner of a pool tells that it has emptied a VM and uses it no more.
 struct vacancy_hint {
@@ -73,12 +73,12 @@
   void DropHint(const vm_id& vm, vacancy_reason reason);
   /// Returns the partitions that must be read, and takes their readings for
   /// begun.
-  std::set<std::uint32_t> TakeReadings();
+  std::set<std::uint32_t> TakePartitionsToRead();
   /// A reading has ended. `vacant` are the VMs whose records it has shown; it
   /// is unused when the reading failed.
-  void EndReading(std::uint32_t partition,
-                  bool is_read,
-                  const std::set<vm_id>& vacant);
+  void OnPartitionRead(std::uint32_t partition,
+                       bool is_read,
+                       const std::set<vm_id>& vacant);
   /// Tells what the copy of the partition shows by now; it is at least as new
   /// as the last reading that ended. It ends hints whose records are gone, and
   /// has those read again whose records are back.
@@ -95,25 +95,25 @@
   /// hints can be taken back. `present` are those that the list of the fleet or
   /// the registry shows. A life that has just begun may be in neither yet: its
   /// pool has given it away, and nobody would ever move it if its hint went.
-  std::vector<vm_id> TakeGoneOffers(const std::set<vm_id>& present,
-                                    time_point now);
+  std::vector<vm_id> TakeStaleOffers(const std::set<vm_id>& present,
+                                     time_point now);
 
  private:
   enum class state { kUnread, kReading, kConfirmed, kRefuted };
-  struct noted_hint {
+  struct tracked_hint {
     vacancy_hint hint;
     state phase = state::kUnread;
     std::optional<time_point> missing_since;
-    bool is_taken_as_gone = false;
+    bool is_reported_gone = false;
   };
 
   using hint_key = std::pair<vm_id, vacancy_reason>;
 
-  void SetPhase(const hint_key& key, noted_hint* noted, state phase);
-  void NoteVacant(const hint_key& key, noted_hint* noted, bool is_vacant);
+  void SetPhase(const hint_key& key, tracked_hint* tracked, state phase);
+  void NoteVacant(const hint_key& key, tracked_hint* tracked, bool is_vacant);
 
   vacancy_settings settings_;
-  std::map<hint_key, noted_hint> hints_;
+  std::map<hint_key, tracked_hint> hints_;
   std::map<std::uint32_t, std::set<hint_key>> by_partition_;
   std::map<std::uint32_t, std::set<hint_key>> unread_;
   std::map<std::uint32_t, std::set<hint_key>> reading_;
--- a/include/plantainhead/core/jobs/vacancy_keeper.h
+++ b/include/plantainhead/core/jobs/vacancy_manager.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
-#define PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
+#define PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
 
 #include <array>
 #include <cstdint>
@@ -18,10 +18,10 @@
 
 namespace plantainhead::core::jobs {
 
-struct vacancy_keeper_settings {
+struct vacancy_manager_settings {
   /// How long after a vacant VM's end its record is kept. The registry misses
   /// VMs for some seconds after the store was away.
-  duration memory = std::chrono::seconds(20);
+  duration record_retention = std::chrono::seconds(20);
   /// When a VM that was told of is told of again, if that isn't to be read. An
   /// append takes 25 ms and its reading as long, 0.5 s while the store is slow.
   duration hint_retry = std::chrono::seconds(2);
@@ -63,12 +63,12 @@
 ///
 /// It is told what has changed, and looks only at the VMs that this concerns.
 /// Pure and not thread-safe.
-class vacancy_keeper {
+class vacancy_manager {
  public:
   /// Returns the least used VMs of a pool that take tasks, at most `count`.
   using vm_chooser = std::function<std::vector<vm_id>(std::uint32_t count)>;
 
-  explicit vacancy_keeper(const vacancy_keeper_settings& settings)
+  explicit vacancy_manager(const vacancy_manager_settings& settings)
       : settings_(settings) {}
 
   /// Takes over what an earlier owner has recorded. Call it before all else.
@@ -117,11 +117,11 @@
  private:
   /// How far a closed VM is: being emptied, found empty, its record asked for,
   /// recorded as vacant.
-  enum class stage { kClosing, kFound, kRecording, kVacant };
+  enum class stage { kClosing, kEmpty, kRecording, kVacant };
 
   /// What the owner of the fleet was told of a VM, for one reason.
   struct hint_state {
-    std::optional<time_point> told_at;
+    std::optional<time_point> sent_at;
     bool is_shown = false;
   };
 
@@ -132,7 +132,7 @@
     stage at = stage::kClosing;
     vm_presence presence;
     std::optional<time_point> gone_since;
-    std::array<hint_state, kVacancyReasons> hints;
+    std::array<hint_state, kVacancyReasonCount> hints;
     /// Its place among the hints that are due.
     std::optional<time_point> hint_due;
   };
@@ -144,24 +144,24 @@
   };
 
   bool Release(const pool_id& pool, const std::vector<vm_id>& vms);
-  bool TakeBack(const pool_id& pool, std::uint32_t count);
+  bool Reclaim(const pool_id& pool, std::uint32_t count);
   closed_vm* Find(const vm_id& vm);
   /// Returns the entry of the VM, which is closed from now on.
   closed_vm* Close(const vm_id& vm);
   /// Opens the VM when nothing keeps it closed.
-  void OpenIfFree(const vm_id& vm);
+  void ReopenIfUnused(const vm_id& vm);
   void DropRelease(closed_vm* entry);
-  void PlanHint(const vm_id& vm, closed_vm* entry);
+  void ScheduleHint(const vm_id& vm, closed_vm* entry);
   static vacancy_reason ReasonOf(const closed_vm& entry);
   static hint_state* HintOf(closed_vm* entry);
 
-  vacancy_keeper_settings settings_;
+  vacancy_manager_settings settings_;
   std::unordered_map<vm_id, closed_vm> entries_;
   std::set<vm_id> for_service_;
   /// Those whose records weren't asked for; the last one last.
   std::map<std::uint64_t, released_vm> released_;
   std::uint64_t next_release_ = 0;
-  std::set<vm_id> found_;
+  std::set<vm_id> empty_;
   std::vector<vm_id> recording_;
   std::set<std::pair<time_point, vm_id>> gone_;
   std::set<std::pair<time_point, vm_id>> hints_due_;
@@ -171,4 +171,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_VACANCY_KEEPER_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_VACANCY_MANAGER_H_
--- a/include/plantainhead/core/jobs/vm_life.h
+++ b/include/plantainhead/core/jobs/vm_life.h
@@ -7,15 +7,16 @@
 
 namespace plantainhead::core::jobs {
 
-/// A VM. One that begins anew has another id, or another `life_mark`.
+/// A VM. One that begins anew has another id, or another `vm_incarnation`.
 using vm_id = std::string;
 /// Tells one life of a VM from others under the same id: when it began, in
 /// milliseconds since 1970 by its own clock. Nothing: it isn't told.
-using life_mark = std::optional<std::int64_t>;
+using vm_incarnation = std::optional<std::int64_t>;
 
 /// Returns whether the marks are surely of two lives. Thread safety: safe from
 /// any thread.
-inline bool AreOtherLives(const life_mark& one, const life_mark& other) {
+inline bool AreDifferentIncarnations(const vm_incarnation& one,
+                                     const vm_incarnation& other) {
   return one && other && *one != *other;
 }
 
--- a/include/plantainhead/core/jobs/vm_registry.h
+++ b/include/plantainhead/core/jobs/vm_registry.h
@@ -41,12 +41,12 @@
   std::set<vm_id> Listed() const;
   /// Returns the VMs that drain. Whether one whose record can't be read does
   /// isn't known; it takes no new task anyway.
-  const std::set<vm_id>& Leaving() const { return leaving_; }
+  const std::set<vm_id>& Draining() const { return draining_; }
 
  private:
   std::map<vm_id, vm_description> readable_;
   std::set<vm_id> unreadable_;
-  std::set<vm_id> leaving_;
+  std::set<vm_id> draining_;
 };
 
 }  // namespace plantainhead::core::jobs
--- a/include/plantainhead/core/jobs/vm_reports.h
+++ b/include/plantainhead/core/jobs/vm_reports.h
@@ -15,7 +15,7 @@
 /// A VM as the platform's registry lists it.
 struct vm_description {
   vm_id id;
-  life_mark born;
+  vm_incarnation incarnation;
   pool_id pool;
   std::string address;
   std::string availability_zone;
@@ -34,20 +34,20 @@
   kFailed,
   kStopped,
   /// The VM's lease ran out.
-  kLapsed,
+  kLeaseExpired,
   /// Another member of the gang ended.
-  kBroken,
+  kGangBroken,
   /// The other members of the gang did not come.
-  kAlone,
+  kGangIncomplete,
 };
 
 inline constexpr name_table<end_kind, 6> kEndKindNames = {{
     {end_kind::kDone, "done"},
     {end_kind::kFailed, "failed"},
     {end_kind::kStopped, "stopped"},
-    {end_kind::kLapsed, "lapsed"},
-    {end_kind::kBroken, "broken"},
-    {end_kind::kAlone, "alone"},
+    {end_kind::kLeaseExpired, "lapsed"},
+    {end_kind::kGangBroken, "broken"},
+    {end_kind::kGangIncomplete, "alone"},
 }};
 inline constexpr const auto& NamesOf(end_kind) {
   return kEndKindNames;
@@ -74,8 +74,8 @@
 };
 
 /// A VM's answer to a hold.
-struct vm_listing {
-  life_mark born;
+struct run_listing {
+  vm_incarnation incarnation;
   /// The VM's own clock when it answered.
   duration vm_clock = duration::zero();
   std::vector<running_task> running;
@@ -92,13 +92,13 @@
   /// The VM did nothing: another owner holds it.
   kFenced,
   /// The VM did nothing: it knows this run or a later one as stopped or ended.
-  kOldRun,
+  kStaleRun,
   /// The VM did nothing: the lease in the order was over.
-  kLate,
+  kOrderExpired,
   /// The VM did nothing: it has no room.
-  kNoRoom,
+  kNoCapacity,
   /// The VM did nothing: it is unwell.
-  kUnwell,
+  kUnhealthy,
   /// The VM did nothing: it can't use the order.
   kInvalid,
   /// No connection could be made, so the order was not sent.
@@ -112,10 +112,10 @@
 inline constexpr name_table<start_result, 10> kStartResultNames = {{
     {start_result::kStarted, "started"},
     {start_result::kFenced, "fenced"},
-    {start_result::kOldRun, "old run"},
-    {start_result::kLate, "late"},
-    {start_result::kNoRoom, "no room"},
-    {start_result::kUnwell, "unwell"},
+    {start_result::kStaleRun, "old run"},
+    {start_result::kOrderExpired, "late"},
+    {start_result::kNoCapacity, "no room"},
+    {start_result::kUnhealthy, "unwell"},
     {start_result::kInvalid, "invalid"},
     {start_result::kNotSent, "not sent"},
     {start_result::kUnknown, "unknown"},
--- a/include/plantainhead/core/jobs/wait_clock.h
+++ b/include/plantainhead/core/jobs/wait_time_tracker.h
@@ -1,5 +1,5 @@
-#ifndef PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
-#define PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
+#ifndef PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
+#define PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
 
 #include <array>
 #include <cstddef>
@@ -13,7 +13,7 @@
 /// What keeps tasks from starting whose step is open.
 enum class wait_cause {
   /// No VM of the pool has room for them.
-  kRoom,
+  kCapacity,
   /// What earlier runs of them did isn't known, or isn't stored, yet.
   kRecovery,
   /// The job wasn't known to its owner, or isn't known not to be cancelled.
@@ -23,7 +23,7 @@
 };
 
 inline constexpr name_table<wait_cause, 4> kWaitCauseNames = {{
-    {wait_cause::kRoom, "room"},
+    {wait_cause::kCapacity, "room"},
     {wait_cause::kRecovery, "recovery"},
     {wait_cause::kReading, "reading"},
     {wait_cause::kAnswers, "answers"},
@@ -34,17 +34,17 @@
 
 /// How long tasks of a job have waited, by cause. The time in which several of
 /// them wait counts once. Pure and not thread-safe.
-class wait_clock {
+class wait_time_tracker {
  public:
   /// Notes what tasks wait for from now on; nothing: none waits.
   /// Precondition: times don't fall.
-  void Note(std::optional<wait_cause> cause, time_point now);
+  void SetCause(std::optional<wait_cause> cause, time_point now);
   duration waited(wait_cause cause) const {
     return waited_.at(static_cast<std::size_t>(cause));
   }
   duration total() const;
   /// Returns the cause of most of the time; room when nothing has waited.
-  wait_cause Main() const;
+  wait_cause MainCause() const;
 
  private:
   std::array<duration, kWaitCauseNames.size()> waited_{};
@@ -55,4 +55,4 @@
 
 }  // namespace plantainhead::core::jobs
 
-#endif  // PLANTAINHEAD_CORE_JOBS_WAIT_CLOCK_H_
+#endif  // PLANTAINHEAD_CORE_JOBS_WAIT_TIME_TRACKER_H_
--- a/include/plantainhead/core/log/fleet_view.h
+++ b/include/plantainhead/core/log/fleet_view.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <vector>
 
-#include "plantainhead/core/fleet/phase_watch.h"
+#include "plantainhead/core/fleet/phase_tracker.h"
 #include "plantainhead/core/fleet/planner_types.h"
 #include "plantainhead/core/log/record_gate.h"
 
@@ -26,7 +26,7 @@
   /// Null if the platform does not list the VM.
   const vm_listing* listing = nullptr;
   /// Observations of the VM by this entry; null if there are none yet.
-  const phase_watch::sight* seen = nullptr;
+  const phase_tracker::observation* seen = nullptr;
   /// Current location, or the location when the VM was last listed.
   zone_id zone;
   rack_id rack;
@@ -74,7 +74,7 @@
 class fleet_view {
  public:
   fleet_view(const planner_inputs& inputs,
-             const phase_watch& watch,
+             const phase_tracker& watch,
              const record_gate& gate,
              time_point now);
 
@@ -99,7 +99,7 @@
  private:
   void JoinVms(const planner_inputs& inputs);
   void JoinReports(const planner_inputs& inputs);
-  void JoinObservations(const phase_watch& watch,
+  void JoinObservations(const phase_tracker& watch,
                         const record_gate& gate,
                         time_point now);
   void FillPools(const planner_inputs& inputs);
--- a/include/plantainhead/core/membership/membership.h
+++ b/include/plantainhead/core/membership/membership.h
@@ -24,9 +24,9 @@
   duration suspicion_timeout = std::chrono::seconds(1);
   /// An accused member must not be suspected for this long before the
   /// accusation is withdrawn; doubled each time when it is accused again.
-  duration trust_after = std::chrono::seconds(1);
+  duration withdraw_after = std::chrono::seconds(1);
   /// Pause before a record that hasn't come back is asked for again.
-  duration record_pause = std::chrono::seconds(5);
+  duration record_retry_interval = std::chrono::seconds(5);
   /// Members that watch each one; with as many as there are others, all watch
   /// all.
   std::size_t watchers = 3;
@@ -46,7 +46,7 @@
   /// The fold has caught up with the greatest offset that it can learn of.
   bool caught_up = false;
   /// The log can't be reached: nothing new is asked of it.
-  bool log_out = false;
+  bool log_unreachable = false;
   std::vector<service_load> load;
   std::vector<vm_in_flight> in_flight;
   std::vector<class_counts> classes = {};
@@ -62,27 +62,27 @@
   /// The view that the peer acted under.
   log_offset view = 0;
   /// When anything was last heard.
-  time_point heard_at;
+  time_point last_heard_at;
   /// Number of the newest heartbeat.
   std::uint64_t sequence = 0;
 };
 
 /// How a frame's sender and view compare with the fold.
-enum class frame_standing { kCurrent, kOlderView, kNewerView, kNotMember };
+enum class frame_status { kCurrent, kOlderView, kNewerView, kNotMember };
 
-inline constexpr name_table<frame_standing, 4> kFrameStandingNames = {{
-    {frame_standing::kCurrent, "current"},
-    {frame_standing::kOlderView, "older-view"},
-    {frame_standing::kNewerView, "newer-view"},
-    {frame_standing::kNotMember, "not-member"},
+inline constexpr name_table<frame_status, 4> kFrameStatusNames = {{
+    {frame_status::kCurrent, "current"},
+    {frame_status::kOlderView, "older-view"},
+    {frame_status::kNewerView, "newer-view"},
+    {frame_status::kNotMember, "not-member"},
 }};
-inline constexpr const auto& NamesOf(frame_standing) {
-  return kFrameStandingNames;
+inline constexpr const auto& NamesOf(frame_status) {
+  return kFrameStatusNames;
 }
 
 /// Returns how `frame` compares with the members and the view of `fleet`.
 /// Thread safety: safe from any thread while nobody writes.
-frame_standing StandingOf(const fleet_state& fleet, const peer_frame& frame);
+frame_status FrameStatusOf(const fleet_state& fleet, const peer_frame& frame);
 
 /// One entry's part in the fleet's membership: it joins, leaves, tells the
 /// others how it is, suspects those that it doesn't hear, and accuses them by
@@ -127,7 +127,7 @@
 
  private:
   struct known_member {
-    time_point heard_at;
+    time_point last_heard_at;
     std::optional<peer_status> status;
     bool watched = false;
     time_point watched_since;
@@ -135,7 +135,7 @@
     time_point watched_until;
     bool suspected = false;
     /// This entry was its watcher and missed it; not by hearsay.
-    bool missed = false;
+    bool missed_directly = false;
     time_point suspected_at;
     int accusations = 0;
     time_point accuse_asked_at;
@@ -143,21 +143,21 @@
   };
   using member_entry = std::pair<const incarnation, known_member>;
 
-  void NoteOwnPause(time_point now);
-  void FollowView(const fleet_state& fleet, time_point now);
-  void Rewatch(incarnation who, time_point now);
+  void DetectLocalPause(time_point now);
+  void UpdateView(const fleet_state& fleet, time_point now);
+  void UpdateWatch(incarnation who, time_point now);
   void Join(const heartbeat_contents& contents, time_point now, effects& out);
 
   // membership_judgement.cc
-  void Judge(const fleet_state& fleet,
-             const heartbeat_contents& contents,
-             time_point now,
-             effects& out);
+  void UpdateSuspicions(const fleet_state& fleet,
+                        const heartbeat_contents& contents,
+                        time_point now,
+                        effects& out);
   bool IsSilent(const member_entry& member, time_point now) const;
   static bool IsWatched(const known_member& member, time_point now);
   void CountReports();
-  bool MostWatchersSuspect(incarnation who) const;
-  bool IsTrustedAgain(const known_member& member, time_point now) const;
+  bool MajorityOfWatchersSuspects(incarnation who) const;
+  bool HasRecovered(const known_member& member, time_point now) const;
   void Accuse(member_entry& member, time_point now, effects& out);
 
   // membership_heartbeats.cc
@@ -167,7 +167,8 @@
                       effects& out);
   heartbeat MakeHeartbeat(const heartbeat_contents& contents,
                           bool complete) const;
-  void NoteNews(const fleet_state& fleet, const heartbeat_contents& contents);
+  void DetectChanges(const fleet_state& fleet,
+                     const heartbeat_contents& contents);
   void SendSmall(const fleet_state& fleet,
                  const heartbeat& small,
                  time_point now,
@@ -187,7 +188,7 @@
   watch_ring ring_;
   std::map<incarnation, known_member> others_;
   /// Members that this entry has missed itself.
-  std::set<incarnation> unheard_;
+  std::set<incarnation> missed_members_;
   /// How many members say of one that they have missed it.
   std::map<incarnation, std::ptrdiff_t> reports_;
 
@@ -201,18 +202,18 @@
   std::uint64_t sequence_ = 0;
   std::optional<time_point> small_sent_at_;
   std::optional<time_point> complete_sent_at_;
-  std::optional<time_point> planner_told_at_;
+  std::optional<time_point> planner_notified_at_;
   /// The member that got the newest complete heartbeat in turn.
-  incarnation turn_ = incarnation::kNone;
+  incarnation last_complete_to_ = incarnation::kNone;
   /// What all members were told; a change goes to all at once.
-  heartbeat told_;
-  bool tell_all_ = false;
-  std::vector<vm_in_flight> told_in_flight_;
+  heartbeat last_broadcast_;
+  bool notify_all_ = false;
+  std::vector<vm_in_flight> reported_in_flight_;
   log_offset seen_offset_ = 0;
   generation vm_changes_ = 0;
   /// Holder of the planner lease that was told, or is about to be.
   incarnation planner_ = incarnation::kNone;
-  bool tell_planner_ = false;
+  bool notify_planner_ = false;
 };
 
 }  // namespace plantainhead::core
--- a/src/core/entry/entry_core.cc
+++ b/src/core/entry/entry_core.cc
@@ -253,7 +253,7 @@
   // joins only after reading the list.
   contents.caught_up =
       control_.caught_up() && listed_at_ != time_point() && !stopping();
-  contents.log_out = !control_.log_readable();
+  contents.log_unreachable = !control_.log_readable();
   contents.load = Load(now);
   contents.classes = meter_.Classes();
   contents.times = meter_.Times();
--- a/src/core/fleet/capacity.cc
+++ b/src/core/fleet/capacity.cc
@@ -16,19 +16,19 @@
 /// Slots of a VM of which the list says nothing.
 constexpr double kDefaultSlots = 8.0;
 /// Work that can wait is served at this share of its slots.
-constexpr double kWaitingUtilization = 0.9;
+constexpr double kDeferrableUtilization = 0.9;
 /// Share of what is left of a budget that one dip of a pool may spend.
-constexpr double kDipShare = 0.25;
+constexpr double kOutageBudgetShare = 0.25;
 
 /// The strictest of the classes of one service.
 struct service_targets {
   double late = 1.0;
-  double patience_seconds = 0;
+  double max_wait_seconds = 0;
   double tolerance = 1.0;
   /// The tolerance that is left of the budgets right now.
-  double usable_tolerance = 1.0;
-  duration dip_allowance = duration::max();
-  bool only_waiting_work = true;
+  double remaining_tolerance = 1.0;
+  duration outage_allowance = duration::max();
+  bool only_deferrable = true;
 };
 
 double SecondsOf(duration time) {
@@ -41,21 +41,21 @@
   const double left = std::max(0.0, 1.0 - burn.spent);
   const double usable = burn.rate > 1.0 ? 0.0 : work.unavailability * left;
   const double seconds =
-      left * work.unavailability * SecondsOf(work.window) * kDipShare;
-  targets.dip_allowance = std::min(targets.dip_allowance,
-                                   std::chrono::duration_cast<duration>(
-                                       std::chrono::duration<double>(seconds)));
+      left * work.unavailability * SecondsOf(work.window) * kOutageBudgetShare;
+  targets.outage_allowance = std::min(
+      targets.outage_allowance, std::chrono::duration_cast<duration>(
+                                    std::chrono::duration<double>(seconds)));
   if (work.can_wait) {
     return;
   }
   const double within = SecondsOf(work.within);
-  if (targets.only_waiting_work || within < targets.patience_seconds) {
-    targets.patience_seconds = within;
+  if (targets.only_deferrable || within < targets.max_wait_seconds) {
+    targets.max_wait_seconds = within;
   }
-  targets.only_waiting_work = false;
+  targets.only_deferrable = false;
   targets.late = std::min(targets.late, std::max(1e-6, 1.0 - work.served));
   targets.tolerance = std::min(targets.tolerance, work.unavailability);
-  targets.usable_tolerance = std::min(targets.usable_tolerance, usable);
+  targets.remaining_tolerance = std::min(targets.remaining_tolerance, usable);
 }
 
 service_targets TargetsOf(const planner_inputs& inputs,
@@ -75,12 +75,12 @@
 double SlotsForLoad(const service_targets& targets,
                     double load,
                     double service_seconds) {
-  if (targets.only_waiting_work || service_seconds <= 0) {
-    return load / kWaitingUtilization;
+  if (targets.only_deferrable || service_seconds <= 0) {
+    return load / kDeferrableUtilization;
   }
   // One mean service time of the patience goes on the service itself.
-  const double patience = targets.patience_seconds / service_seconds - 1.0;
-  return SlotsFor(load, targets.late, patience);
+  const double patience = targets.max_wait_seconds / service_seconds - 1.0;
+  return RequiredSlots(load, targets.late, patience);
 }
 
 double SlotsPerVm(const pool_view& pool) {
@@ -104,10 +104,10 @@
   bool has_service = false;
   bool is_known = false;
   double need = 0;
-  double survivors = 0;
+  double min_after_loss = 0;
   double floor = 0;
   double tolerance = 1.0;
-  duration dip_allowance = duration::max();
+  duration outage_allowance = duration::max();
 };
 
 /// Returns what share of a service's load each of its pools carries: by the
@@ -134,11 +134,11 @@
                 double service_seconds) {
   slots.is_known = true;
   slots.need += SlotsForLoad(targets, load, service_seconds);
-  slots.floor += SlotsForLoad(targets, load * (1.0 - targets.usable_tolerance),
-                              service_seconds);
-  if (!targets.only_waiting_work) {
-    slots.survivors += SlotsForLoad(targets, load * (1.0 - targets.tolerance),
-                                    service_seconds);
+  slots.floor += SlotsForLoad(
+      targets, load * (1.0 - targets.remaining_tolerance), service_seconds);
+  if (!targets.only_deferrable) {
+    slots.min_after_loss += SlotsForLoad(
+        targets, load * (1.0 - targets.tolerance), service_seconds);
   }
 }
 
@@ -154,8 +154,8 @@
       pool_slots& slots = pools[service.pools[i]];
       slots.has_service = true;
       slots.tolerance = std::min(slots.tolerance, targets.tolerance);
-      slots.dip_allowance =
-          std::min(slots.dip_allowance, targets.dip_allowance);
+      slots.outage_allowance =
+          std::min(slots.outage_allowance, targets.outage_allowance);
       if (known != demand.estimates().end()) {
         AddService(slots, targets, known->second.load * shares[i],
                    known->second.service_seconds);
@@ -171,11 +171,11 @@
   pool_capacity item;
   item.is_known = slots.is_known;
   item.tolerance = slots.tolerance;
-  item.dip_allowance = slots.dip_allowance;
+  item.outage_allowance = slots.outage_allowance;
   if (slots.is_known) {
     const double per_vm = SlotsPerVm(pool);
     item.need = std::max(least, VmsFor(slots.need, per_vm));
-    item.survivors = VmsFor(slots.survivors, per_vm);
+    item.min_after_loss = VmsFor(slots.min_after_loss, per_vm);
     // Load may come back while VMs reboot. Without this a wave would take a
     // whole pool that nobody uses at the time.
     item.floor = std::max(VmsFor(slots.floor, per_vm), (size + 1) / 2);
@@ -214,14 +214,14 @@
   return plan;
 }
 
-std::uint32_t LeastSpread(std::uint32_t need,
-                          std::uint32_t survivors,
-                          std::uint32_t domains) {
+std::uint32_t MinEvenSpread(std::uint32_t need,
+                            std::uint32_t min_after_loss,
+                            std::uint32_t domains) {
   if (domains < 2) {
     return need;
   }
-  std::uint32_t size = std::max(need, survivors);
-  while (size - (size + domains - 1) / domains < survivors) {
+  std::uint32_t size = std::max(need, min_after_loss);
+  while (size - (size + domains - 1) / domains < min_after_loss) {
     ++size;
   }
   return size;
--- a/src/core/fleet/error_budget.cc
+++ b/src/core/fleet/error_budget.cc
@@ -5,7 +5,7 @@
 namespace plantainhead::core {
 namespace {
 
-constexpr double kLeastTolerance = 1e-6;
+constexpr double kMinTolerance = 1e-6;
 
 std::uint64_t PeriodOf(time_point at, duration width) {
   return static_cast<std::uint64_t>(
@@ -25,7 +25,7 @@
   }
 }
 
-request_counts class_ledger::Over(duration window, time_point now) const {
+request_counts class_ledger::SumOver(duration window, time_point now) const {
   std::size_t chosen = 0;
   while (chosen + 1 < kLedgerResolutions.size() &&
          kLedgerResolutions[chosen].width *
@@ -50,13 +50,13 @@
   }
   const double unserved =
       static_cast<double>(counts.Unserved()) / static_cast<double>(total);
-  return unserved / std::max(work.unavailability, kLeastTolerance);
+  return unserved / std::max(work.unavailability, kMinTolerance);
 }
 
-budget_status StatusOf(const work_class& work,
-                       const class_ledger& ledger,
-                       time_point now) {
-  const request_counts counts = ledger.Over(work.window, now);
+budget_status BudgetStatusOf(const work_class& work,
+                             const class_ledger& ledger,
+                             time_point now) {
+  const request_counts counts = ledger.SumOver(work.window, now);
   return {counts, BurnRate(work, counts)};
 }
 
--- a/src/core/fleet/fleet_meter.cc
+++ b/src/core/fleet/fleet_meter.cc
@@ -23,9 +23,9 @@
   if (classes.empty() && times.empty()) {
     return;
   }
-  const auto [known, is_first] = newest_.try_emplace(who);
+  const auto [known, is_first] = latest_totals_.try_emplace(who);
   totals& newest = known->second;
-  totals& sum = SlotAt(now);
+  totals& sum = BucketAt(now);
   for (const class_counts& item : classes) {
     request_counts& before = newest.classes[item.work];
     if (!is_first) {
@@ -47,23 +47,24 @@
 }
 
 void fleet_meter::Retain(const std::map<incarnation, entry_member>& members) {
-  std::erase_if(
-      newest_, [&](const auto& item) { return !members.contains(item.first); });
+  std::erase_if(latest_totals_, [&](const auto& item) {
+    return !members.contains(item.first);
+  });
 }
 
-fleet_meter::totals& fleet_meter::SlotAt(time_point now) {
-  if (slots_.empty() || now - slots_.back().start >= kSlot) {
-    slots_.push_back({now, {}});
+fleet_meter::totals& fleet_meter::BucketAt(time_point now) {
+  if (buckets_.empty() || now - buckets_.back().start >= kBucketWidth) {
+    buckets_.push_back({now, {}});
   }
-  while (now - slots_.front().start > kWindow) {
-    slots_.pop_front();
+  while (now - buckets_.front().start > kWindow) {
+    buckets_.pop_front();
   }
-  return slots_.back().sum;
+  return buckets_.back().sum;
 }
 
 fleet_meter::totals fleet_meter::Sum(time_point now) const {
   totals all;
-  for (const slot& item : slots_) {
+  for (const bucket& item : buckets_) {
     if (now - item.start > kWindow) {
       continue;
     }
@@ -81,11 +82,11 @@
     const configuration& targets,
     time_point now) const {
   std::map<service_name, service_demand> demand;
-  if (slots_.empty()) {
+  if (buckets_.empty()) {
     return demand;
   }
   const duration covered =
-      std::clamp(duration(now - slots_.front().start), kSlot, kWindow);
+      std::clamp(duration(now - buckets_.front().start), kBucketWidth, kWindow);
   const double seconds = std::chrono::duration<double>(covered).count();
   const totals all = Sum(now);
   for (const work_class& work : targets.classes) {
@@ -113,7 +114,7 @@
     class_burn& burn = budgets[work.name];
     const auto ledger = fleet.ledgers.find(work.name);
     if (ledger != fleet.ledgers.end()) {
-      burn.spent = StatusOf(work, ledger->second, now).spent;
+      burn.spent = BudgetStatusOf(work, ledger->second, now).spent;
     }
     const auto counts = all.classes.find(work.name);
     if (counts != all.classes.end()) {
--- a/src/core/fleet/job_placement.cc
+++ b/src/core/fleet/job_placement.cc
@@ -8,7 +8,7 @@
 
 /// An urgent job may share processors up to this many times over while jobs
 /// that can wait are being checkpointed.
-constexpr std::int64_t kOvercommit = 2;
+constexpr std::int64_t kProcessorOvercommit = 2;
 
 }  // namespace
 
@@ -138,7 +138,7 @@
   return choice{best->vm, {}, true};
 }
 
-std::optional<job_placement::choice> job_placement::FindByDisplacing(
+std::optional<job_placement::choice> job_placement::FindByPreemption(
     const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
@@ -147,14 +147,14 @@
   const job_size size = history_.SizeOf(spec);
   std::optional<choice> best;
   const auto key = [](const choice& item) {
-    return std::make_tuple(!item.can_start_now, item.displaced.size());
+    return std::make_tuple(!item.can_start_now, item.preempted.size());
   };
   for (const worker* item : pool->second) {
     if (!item->vm->available() || IsAvoided(spec.name, item->vm->id) ||
         !TeamMayUse(spec.team, item->vm->id)) {
       continue;
     }
-    const std::optional<choice> found = Displace(*item, size);
+    const std::optional<choice> found = Preempt(*item, size);
     if (found && (!best || key(*found) < key(*best))) {
       best = found;
     }
@@ -162,13 +162,13 @@
   return best;
 }
 
-std::optional<job_placement::choice> job_placement::Displace(
+std::optional<job_placement::choice> job_placement::Preempt(
     const worker& item,
     const job_size& size) const {
   const std::int64_t all = item.vm->listing->processors;
   const bool can_start_now =
       FitsButProcessors(item, size) &&
-      size.processors <= item.processors + all * (kOvercommit - 1);
+      size.processors <= item.processors + all * (kProcessorOvercommit - 1);
   worker left = item;
   std::vector<std::pair<time_point, job_id>> waiting;
   for (const job_id& id : item.jobs) {
@@ -199,7 +199,7 @@
     left.processors += gone.processors;
     left.memory_mb += gone.memory_mb;
     left.accelerators += gone.accelerators;
-    found.displaced.push_back(id);
+    found.preempted.push_back(id);
   }
   if (!Fits(left, size)) {
     return std::nullopt;
@@ -207,7 +207,8 @@
   return found;
 }
 
-std::string job_placement::WhyNever(const job_requirements& spec) const {
+std::string job_placement::UnplaceableReason(
+    const job_requirements& spec) const {
   const auto pool = by_pool_.find(spec.pool);
   if (pool == by_pool_.end()) {
     return "";
@@ -234,7 +235,8 @@
          std::to_string(memory_mb) + " MB, " + std::to_string(accelerators);
 }
 
-std::string job_placement::WhyOverQuota(const job_requirements& spec) const {
+std::string job_placement::QuotaExceededReason(
+    const job_requirements& spec) const {
   const team_spec* team = FindTeam(spec.team);
   const auto use = teams_.find(spec.team);
   if (team == nullptr || use == teams_.end()) {
@@ -259,7 +261,7 @@
 bool job_placement::IsAvoided(const job_id& job, const vm_id& vm) const {
   return history_.FailedOn(job).contains(vm) ||
          history_.WasRefused(job, vm,
-                             context_.now - context_.options.refusal_time);
+                             context_.now - context_.options.refusal_backoff);
 }
 
 bool job_placement::IsKnownFull(const job_requirements& spec) const {
--- a/src/core/fleet/job_planner.cc
+++ b/src/core/fleet/job_planner.cc
@@ -13,7 +13,7 @@
 constexpr const char* kCheckpoint = "checkpoint";
 constexpr const char* kStop = "stop";
 
-constexpr const char* kNoRoom = "no worker of its pool has room";
+constexpr const char* kNoCapacity = "no worker of its pool has room";
 
 /// Records of placements written in one plan; the log takes several hundred
 /// appends a second.
@@ -24,20 +24,20 @@
 void job_planner::Observe(const planner_inputs& inputs,
                           const planner_options& options,
                           time_point now) {
-  std::erase_if(sights_, [&](const auto& item) {
+  std::erase_if(observations_, [&](const auto& item) {
     const auto job = inputs.state.jobs.find(item.first);
     return job == inputs.state.jobs.end() || !HoldsTask(job->second);
   });
   for (const auto& [id, job] : inputs.state.jobs) {
     if (job.state == job_status::kParked) {
       // An operator who frees it wants it tried anew.
-      history_.Pardon(id);
+      history_.ClearFailures(id);
     }
     if (!HoldsTask(job)) {
       continue;
     }
-    const auto [found, is_new] = sights_.try_emplace(id);
-    job_sight& seen = found->second;
+    const auto [found, is_new] = observations_.try_emplace(id);
+    job_observation& seen = found->second;
     if (is_new || seen.version != job.version) {
       // Whoever planned before may have renewed the lease until just now.
       seen.lease_end = now + options.task_lease + options.lease_margin;
@@ -63,16 +63,16 @@
 
 void job_planner::Plan(const planner_context& context) {
   IndexTasks(context.inputs);
-  DriveJobs(context);
+  AdvanceJobs(context);
   if (!context.list_is_fresh()) {
     return;
   }
-  StopStrays(context);
+  StopOrphanedTasks(context);
   Quarantine(context);
   PlaceWaiting(context);
 }
 
-void job_planner::StopStrays(const planner_context& context) {
+void job_planner::StopOrphanedTasks(const planner_context& context) {
   for (const task_listing& task : context.inputs.tasks) {
     if (task.state != task_state::kRunning) {
       continue;
@@ -92,7 +92,7 @@
                            job.state == job_status::kParked;
     const bool is_elsewhere = HoldsTask(job) && job.vm != task.vm;
     if (has_ended || is_elsewhere) {
-      context.operations.Drive(
+      context.operations.EnsureSent(
           operation_id(std::string(kStop) + ":" + task.started_by.value()),
           stop_task{task.job, task.vm}, context.now, context.out);
     }
@@ -106,7 +106,7 @@
   }
   const std::size_t most = std::max<std::size_t>(
       1,
-      static_cast<std::size_t>(context.options.quarantine_share *
+      static_cast<std::size_t>(context.options.max_quarantine_share *
                                static_cast<double>(context.view.vms().size())));
   for (const auto& [id, vm] : context.view.vms()) {
     if (vm.state == nullptr || vm.is_pending) {
@@ -115,9 +115,9 @@
     if (vm.state->quarantined) {
       const bool is_over = vm.seen != nullptr && vm.seen->quarantined &&
                            context.now - vm.seen->quarantined_since >=
-                               context.options.quarantine_time;
+                               context.options.quarantine_duration;
       if (is_over) {
-        history_.Pardon(id);
+        history_.ClearFailures(id);
         context.gate.Append(
             ObjectOf(id), vm.state->version,
             set_quarantine{context.inputs.epoch, id, vm.state->version, false,
@@ -126,7 +126,7 @@
       }
       continue;
     }
-    if (!history_.FailsEverything(id, context.options.quarantine_failures)) {
+    if (!history_.FailsAllTasks(id, context.options.quarantine_failures)) {
       continue;
     }
     if (quarantined >= most) {
@@ -172,60 +172,60 @@
     return;
   }
   std::sort(waiting.begin(), waiting.end());
-  job_placement room(context, history_);
+  job_placement placement(context, history_);
   std::size_t placed = 0;
   for (const auto& [key, job] : waiting) {
     if (placed >= kPlacementsPerPlan) {
       break;
     }
     const job_id& id = job->spec.name;
-    if (!job->spec.urgent && room.IsKnownFull(job->spec)) {
-      context.reasons.try_emplace(ObjectOf(id), kNoRoom);
+    if (!job->spec.urgent && placement.IsKnownFull(job->spec)) {
+      context.reasons.try_emplace(ObjectOf(id), kNoCapacity);
       continue;
     }
-    placed += PlaceOne(context, room, id, *job) ? 1 : 0;
+    placed += PlaceWaitingJob(context, placement, id, *job) ? 1 : 0;
   }
 }
 
-bool job_planner::PlaceOne(const planner_context& context,
-                           job_placement& room,
-                           const job_id& id,
-                           const fleet_job& job) {
-  const std::string park = WhyPark(context, room, id, job);
+bool job_planner::PlaceWaitingJob(const planner_context& context,
+                                  job_placement& placement,
+                                  const job_id& id,
+                                  const fleet_job& job) {
+  const std::string park = ParkReason(context, placement, id, job);
   if (!park.empty()) {
     context.Report(log_severity::kWarning, ObjectOf(id), park);
     SetState(context, id, job, job_status::kParked, vm_id(), "", park);
     return true;
   }
-  const std::string quota = room.WhyOverQuota(job.spec);
+  const std::string quota = placement.QuotaExceededReason(job.spec);
   if (!quota.empty()) {
     context.reasons[ObjectOf(id)] = quota;
     return false;
   }
-  const std::optional<job_placement::choice> found = room.Find(job.spec);
+  const std::optional<job_placement::choice> found = placement.Find(job.spec);
   if (found) {
-    room.Place(job.spec, found->vm->id);
+    placement.Place(job.spec, found->vm->id);
     SetState(context, id, job, job_status::kPlaced, found->vm->id, kStart,
              "worker " + found->vm->id.value() + " has room");
     return true;
   }
-  if (job.spec.urgent && PlaceUrgent(context, room, id, job)) {
+  if (job.spec.urgent && PlaceUrgent(context, placement, id, job)) {
     return true;
   }
-  context.reasons[ObjectOf(id)] = kNoRoom;
+  context.reasons[ObjectOf(id)] = kNoCapacity;
   return false;
 }
 
 bool job_planner::PlaceUrgent(const planner_context& context,
-                              job_placement& room,
+                              job_placement& placement,
                               const job_id& id,
                               const fleet_job& job) {
   const std::optional<job_placement::choice> found =
-      room.FindByDisplacing(job.spec);
+      placement.FindByPreemption(job.spec);
   if (!found) {
     return false;
   }
-  for (const job_id& other : found->displaced) {
+  for (const job_id& other : found->preempted) {
     const fleet_job& progress = context.inputs.state.jobs.at(other);
     if (context.gate.IsPending(ObjectOf(other), progress.version,
                                context.now)) {
@@ -235,7 +235,7 @@
              kCheckpoint, "it can wait and makes room for " + id.value());
   }
   // The room is kept for it in this plan, or others would take it.
-  room.Place(job.spec, found->vm->id);
+  placement.Place(job.spec, found->vm->id);
   if (!found->can_start_now) {
     context.reasons[ObjectOf(id)] =
         "room is being made on " + found->vm->id.value();
@@ -247,10 +247,10 @@
   return true;
 }
 
-std::string job_planner::WhyPark(const planner_context& context,
-                                 const job_placement& room,
-                                 const job_id& id,
-                                 const fleet_job& job) {
+std::string job_planner::ParkReason(const planner_context& context,
+                                    const job_placement& placement,
+                                    const job_id& id,
+                                    const fleet_job& job) {
   std::string workers;
   std::size_t failed = 0;
   for (const vm_id& vm : history_.FailedOn(id)) {
@@ -268,21 +268,21 @@
   }
   // The fold counts each placement that came to nothing; a refusal says nothing
   // of the job.
-  if (job.failures >= context.options.park_starts + history_.Refusals(id)) {
+  if (job.failures >= context.options.park_starts + history_.RefusalCount(id)) {
     return "it was started " + std::to_string(job.failures) +
            " times without an end; " + job.reason;
   }
-  std::string never = room.WhyNever(job.spec);
+  std::string never = placement.UnplaceableReason(job.spec);
   if (never.empty()) {
-    never_since_.erase(id);
+    unplaceable_since_.erase(id);
     return "";
   }
   const time_point since =
-      never_since_.try_emplace(id, context.now).first->second;
-  if (context.now - since < context.options.park_patience) {
+      unplaceable_since_.try_emplace(id, context.now).first->second;
+  if (context.now - since < context.options.unplaceable_delay) {
     return "";
   }
-  never_since_.erase(id);
+  unplaceable_since_.erase(id);
   return never;
 }
 
@@ -300,7 +300,7 @@
   record.state = state;
   record.vm = vm;
   if (!operation_kind.empty()) {
-    record.operation = OperationFor(operation_kind, id.value(), job.version);
+    record.operation = MakeOperationId(operation_kind, id.value(), job.version);
   }
   if (state == job_status::kPlaced) {
     record.operation = WithSize(record.operation, history_.SizeOf(job.spec));
--- a/src/core/fleet/job_planner_tasks.cc
+++ b/src/core/fleet/job_planner_tasks.cc
@@ -21,40 +21,40 @@
 
 }  // namespace
 
-void job_planner::DriveJobs(const planner_context& context) {
+void job_planner::AdvanceJobs(const planner_context& context) {
   for (const auto& [id, job] : context.inputs.state.jobs) {
     if (!HoldsTask(job) ||
         context.gate.IsPending(ObjectOf(id), job.version, context.now)) {
       continue;
     }
     if (job.state == job_status::kPlaced) {
-      DrivePlaced(context, id, job);
+      AdvancePlaced(context, id, job);
     } else {
-      DriveCheckpointing(context, id, job);
+      AdvanceCheckpointing(context, id, job);
     }
   }
 }
 
-void job_planner::DrivePlaced(const planner_context& context,
-                              const job_id& id,
-                              const fleet_job& job) {
-  if (RecordEnd(context, id, job)) {
+void job_planner::AdvancePlaced(const planner_context& context,
+                                const job_id& id,
+                                const fleet_job& job) {
+  if (RecordTaskEnd(context, id, job)) {
     return;
   }
   // A task on the list needs no start; a planner that takes over need not send
   // the starts of all jobs again.
   const bool is_running = FindTask(id, job) != nullptr;
   if (!is_running && IsWorkerGone(context, job)) {
-    GiveUpLost(context, id, job);
+    ReleaseLostTask(context, id, job);
     return;
   }
-  if (!is_running && !DriveStart(context, id, job)) {
+  if (!is_running && !AdvanceStart(context, id, job)) {
     return;
   }
-  if (GiveUpLost(context, id, job)) {
+  if (ReleaseLostTask(context, id, job)) {
     return;
   }
-  if (MustLeave(context, job)) {
+  if (MustVacateWorker(context, job)) {
     SetState(context, id, job, job_status::kCheckpointing, job.vm, kCheckpoint,
              "worker " + job.vm.value() + " is leaving or in maintenance");
     return;
@@ -62,12 +62,12 @@
   Renew(context, id, job);
 }
 
-bool job_planner::DriveStart(const planner_context& context,
-                             const job_id& id,
-                             const fleet_job& job) {
+bool job_planner::AdvanceStart(const planner_context& context,
+                               const job_id& id,
+                               const fleet_job& job) {
   const job_size size =
-      SizeIn(job.operation).value_or(history_.SizeOf(job.spec));
-  const std::optional<operation_result> end = context.operations.Drive(
+      ParseSize(job.operation).value_or(history_.SizeOf(job.spec));
+  const std::optional<operation_result> end = context.operations.EnsureSent(
       job.operation,
       start_task{id, job.vm, size.processors, size.memory_mb, size.accelerators,
                  context.options.task_lease},
@@ -83,25 +83,25 @@
     return false;
   }
   // A start that is still under way may begin a lease at any moment.
-  const auto seen = sights_.find(id);
-  if (seen != sights_.end()) {
+  const auto seen = observations_.find(id);
+  if (seen != observations_.end()) {
     seen->second.lease_end =
         context.now + context.options.task_lease + context.options.lease_margin;
   }
   return false;
 }
 
-void job_planner::DriveCheckpointing(const planner_context& context,
-                                     const job_id& id,
-                                     const fleet_job& job) {
-  const std::optional<operation_result> end = context.operations.Drive(
+void job_planner::AdvanceCheckpointing(const planner_context& context,
+                                       const job_id& id,
+                                       const fleet_job& job) {
+  const std::optional<operation_result> end = context.operations.EnsureSent(
       job.operation, checkpoint_task{id, job.vm}, context.now, context.out);
   if (end == operation_result::kDone) {
     SetState(context, id, job, job_status::kWaiting, vm_id(), "",
              "checkpointed; " + job.reason);
     return;
   }
-  if (RecordEnd(context, id, job) || GiveUpLost(context, id, job)) {
+  if (RecordTaskEnd(context, id, job) || ReleaseLostTask(context, id, job)) {
     return;
   }
   // Until it is saved, or has ended by itself, its task must not lapse.
@@ -113,9 +113,9 @@
   }
 }
 
-bool job_planner::RecordEnd(const planner_context& context,
-                            const job_id& id,
-                            const fleet_job& job) {
+bool job_planner::RecordTaskEnd(const planner_context& context,
+                                const job_id& id,
+                                const fleet_job& job) {
   const task_listing* task = FindTask(id, job);
   if (task == nullptr) {
     return false;
@@ -143,17 +143,18 @@
   return false;
 }
 
-bool job_planner::GiveUpLost(const planner_context& context,
-                             const job_id& id,
-                             const fleet_job& job) {
-  const auto seen = sights_.find(id);
-  if (!context.list_is_fresh() || seen == sights_.end()) {
+bool job_planner::ReleaseLostTask(const planner_context& context,
+                                  const job_id& id,
+                                  const fleet_job& job) {
+  const auto seen = observations_.find(id);
+  if (!context.list_is_fresh() || seen == observations_.end()) {
     return false;
   }
   const bool is_vm_gone = IsWorkerGone(context, job);
-  const duration settled = context.options.list_lag * 2;
-  const bool is_task_gone = FindTask(id, job) == nullptr &&
-                            context.now - seen->second.since >= settled;
+  const duration list_settle_time = context.options.list_lag * 2;
+  const bool is_task_gone =
+      FindTask(id, job) == nullptr &&
+      context.now - seen->second.since >= list_settle_time;
   if (!is_vm_gone && !is_task_gone) {
     return false;
   }
@@ -177,17 +178,17 @@
 void job_planner::Renew(const planner_context& context,
                         const job_id& id,
                         const fleet_job& job) {
-  const auto seen = sights_.find(id);
-  if (seen == sights_.end()) {
+  const auto seen = observations_.find(id);
+  if (seen == observations_.end()) {
     return;
   }
   const duration period = context.options.task_lease / kRenewalsPerLease;
   const duration shifted =
       context.now.time_since_epoch() + OffsetOf(id, period);
   const auto number = static_cast<generation>(shifted / period);
-  context.operations.Drive(
-      OperationFor(kRenew, id.value() + ":" + std::to_string(job.version),
-                   number),
+  context.operations.EnsureSent(
+      MakeOperationId(kRenew, id.value() + ":" + std::to_string(job.version),
+                      number),
       renew_task{id, job.vm, context.options.task_lease}, context.now,
       context.out);
   seen->second.lease_end =
@@ -207,8 +208,8 @@
   return is_this ? task : nullptr;
 }
 
-bool job_planner::MustLeave(const planner_context& context,
-                            const fleet_job& job) {
+bool job_planner::MustVacateWorker(const planner_context& context,
+                                   const fleet_job& job) {
   const vm_view* vm = context.view.FindVm(job.vm);
   if (vm == nullptr || vm->state == nullptr) {
     return false;
--- a/src/core/fleet/operation_tracker.cc
+++ b/src/core/fleet/operation_tracker.cc
@@ -2,24 +2,25 @@
 
 namespace plantainhead::core {
 
-operation_tracker::operation_tracker(duration patience, duration retry)
-    : patience_(patience), retry_(retry) {}
+operation_tracker::operation_tracker(duration resend_after,
+                                     duration retry_delay)
+    : resend_after_(resend_after), retry_delay_(retry_delay) {}
 
-std::optional<operation_result> operation_tracker::Drive(
+std::optional<operation_result> operation_tracker::EnsureSent(
     const operation_id& id,
     const platform_operation& what,
     time_point now,
     effects& out) {
   const auto [found, is_new] = entries_.try_emplace(id);
   entry& item = found->second;
-  item.driven = now;
+  item.requested_at = now;
   if (item.end) {
     return item.end;
   }
-  const bool is_due =
-      item.retry_at ? now >= *item.retry_at : now - item.sent >= patience_;
+  const bool is_due = item.retry_at ? now >= *item.retry_at
+                                    : now - item.sent_at >= resend_after_;
   if (is_new || is_due) {
-    item.sent = now;
+    item.sent_at = now;
     item.retry_at.reset();
     out.Do(run_operation{id, what});
   }
@@ -35,11 +36,11 @@
   entry& item = found->second;
   item.detail = event.detail;
   if (event.result == operation_result::kUnknown) {
-    item.retry_at = now + retry_;
+    item.retry_at = now + retry_delay_;
     return;
   }
   item.end = event.result;
-  item.ended = now;
+  item.ended_at = now;
 }
 
 bool operation_tracker::HasEnded(const operation_id& id) const {
@@ -53,7 +54,7 @@
   if (found == entries_.end() || found->second.end != operation_result::kDone) {
     return std::nullopt;
   }
-  return found->second.ended;
+  return found->second.ended_at;
 }
 
 std::string operation_tracker::DetailOf(const operation_id& id) const {
@@ -62,8 +63,9 @@
 }
 
 void operation_tracker::Forget(time_point before) {
-  std::erase_if(entries_,
-                [&](const auto& item) { return item.second.driven < before; });
+  std::erase_if(entries_, [&](const auto& item) {
+    return item.second.requested_at < before;
+  });
 }
 
 }  // namespace plantainhead::core
--- a/src/core/fleet/phase_watch.cc
+++ b/src/core/fleet/phase_tracker.cc
@@ -1,8 +1,8 @@
-#include "plantainhead/core/fleet/phase_watch.h"
+#include "plantainhead/core/fleet/phase_tracker.h"
 
 namespace plantainhead::core {
 
-void phase_watch::Observe(const planner_inputs& inputs, time_point now) {
+void phase_tracker::Observe(const planner_inputs& inputs, time_point now) {
   ObserveMembers(inputs, now);
   if (inputs.state.offset != observed_offset_ || !has_started_) {
     ObserveVms(inputs, now);
@@ -15,23 +15,23 @@
   has_started_ = true;
 }
 
-const phase_watch::sight* phase_watch::Find(const vm_id& vm) const {
-  const auto found = sights_.find(vm);
-  return found == sights_.end() ? nullptr : &found->second;
+const phase_tracker::observation* phase_tracker::Find(const vm_id& vm) const {
+  const auto found = observations_.find(vm);
+  return found == observations_.end() ? nullptr : &found->second;
 }
 
-bool phase_watch::LostMembersAreOver(time_point now,
-                                     duration greatest_deadline) const {
-  return now - member_lost_at_ >= greatest_deadline;
+bool phase_tracker::LostMemberRequestsExpired(time_point now,
+                                              duration max_deadline) const {
+  return now - member_lost_at_ >= max_deadline;
 }
 
-void phase_watch::ObserveVms(const planner_inputs& inputs, time_point now) {
-  std::erase_if(sights_, [&](const auto& item) {
+void phase_tracker::ObserveVms(const planner_inputs& inputs, time_point now) {
+  std::erase_if(observations_, [&](const auto& item) {
     return !inputs.state.vms.contains(item.first);
   });
   for (const auto& [id, vm] : inputs.state.vms) {
-    const auto [found, is_new] = sights_.try_emplace(id);
-    sight& seen = found->second;
+    const auto [found, is_new] = observations_.try_emplace(id);
+    observation& seen = found->second;
     if (vm.quarantined && !seen.quarantined) {
       seen.quarantined_since = now;
     }
@@ -51,7 +51,8 @@
   }
 }
 
-void phase_watch::ObserveMembers(const planner_inputs& inputs, time_point now) {
+void phase_tracker::ObserveMembers(const planner_inputs& inputs,
+                                   time_point now) {
   // An entry that has just started doesn't know which members were lost before
   // it; it waits as if one had been lost right now.
   bool lost = !has_started_;
@@ -69,12 +70,12 @@
   }
 }
 
-void phase_watch::ObserveList(const planner_inputs& inputs, time_point now) {
+void phase_tracker::ObserveList(const planner_inputs& inputs, time_point now) {
   std::map<vm_id, const vm_listing*> listed;
   for (const vm_listing& listing : inputs.vms) {
     listed[listing.vm] = &listing;
   }
-  for (auto& [id, seen] : sights_) {
+  for (auto& [id, seen] : observations_) {
     const auto found = listed.find(id);
     const bool missing = found == listed.end();
     if (missing && !seen.missing) {
--- a/src/core/fleet/planner.cc
+++ b/src/core/fleet/planner.cc
@@ -6,16 +6,17 @@
 namespace {
 
 /// How long the end of an operation is remembered after it was last needed.
-constexpr duration kOperationMemory = std::chrono::minutes(5);
+constexpr duration kOperationRetention = std::chrono::minutes(5);
 /// Reasons kept beyond one for each VM, before all are dropped and given anew.
-constexpr std::size_t kKeptReasons = 4096;
+constexpr std::size_t kMaxExtraReasons = 4096;
 
 }  // namespace
 
 planner::planner(planner_options options)
     : options_(options),
-      operations_(options_.operation_patience, options_.operation_retry),
-      gate_(options_.record_patience),
+      operations_(options_.operation_resend_after,
+                  options_.operation_retry_delay),
+      gate_(options_.record_timeout),
       demand_(options_.demand_rise, options_.demand_fall) {}
 
 void planner::OnTick(const planner_inputs& inputs,
@@ -25,7 +26,7 @@
     return;
   }
   planned_at_ = now;
-  watch_.Observe(inputs, now);
+  phase_tracker_.Observe(inputs, now);
   demand_.Observe(inputs.demand, now);
   jobs_.Observe(inputs, options_, now);
   if (!inputs.holds_lease) {
@@ -43,11 +44,11 @@
 
 void planner::Prune(const planner_inputs& inputs, time_point now) {
   gate_.Expire(now);
-  operations_.Forget(now - kOperationMemory);
+  operations_.Forget(now - kOperationRetention);
   std::erase_if(deferred_, [&](const auto& item) {
     return !inputs.state.vms.contains(item.first);
   });
-  if (reasons_.size() <= inputs.state.vms.size() + kKeptReasons) {
+  if (reasons_.size() <= inputs.state.vms.size() + kMaxExtraReasons) {
     return;
   }
   reasons_.clear();
@@ -60,16 +61,16 @@
 }
 
 void planner::Plan(const planner_inputs& inputs, time_point now, effects& out) {
-  const fleet_view view(inputs, watch_, gate_, now);
+  const fleet_view view(inputs, phase_tracker_, gate_, now);
   const capacity_plan capacity = PlanCapacity(inputs, view, demand_, options_);
   const std::set<pool_id> none_held;
   const planner_context unheld{inputs,    options_,    view,     now,
                                gate_,     operations_, reasons_, out,
                                deferred_, none_held};
-  const std::set<pool_id> held = wave_planner::HeldPools(unheld, capacity);
+  const std::set<pool_id> held = wave_planner::BlockedPools(unheld, capacity);
   const planner_context context{inputs,      options_, view, now,       gate_,
                                 operations_, reasons_, out,  deferred_, held};
-  const vm_lifecycle lifecycle(context, watch_);
+  const vm_lifecycle lifecycle(context, phase_tracker_);
   lifecycle.Advance();
   if (now - pools_planned_at_ >= options_.pool_interval) {
     pools_planned_at_ = now;
--- a/src/core/fleet/pool_balance.cc
+++ b/src/core/fleet/pool_balance.cc
@@ -6,7 +6,7 @@
 namespace plantainhead::core {
 namespace {
 
-std::uint32_t Greatest(const std::map<zone_id, std::uint32_t>& counts) {
+std::uint32_t MaxCount(const std::map<zone_id, std::uint32_t>& counts) {
   std::uint32_t greatest = 0;
   for (const auto& [domain, count] : counts) {
     greatest = std::max(greatest, count);
@@ -36,13 +36,13 @@
   return found == counts_.end() ? 0 : found->second;
 }
 
-std::uint32_t pool_balance::BaseLack() const {
+std::uint32_t pool_balance::DemandShortage() const {
   return size_ < capacity_.need ? capacity_.need - size_ : 0;
 }
 
-std::uint32_t pool_balance::Lack() const {
+std::uint32_t pool_balance::Shortage() const {
   if (!NeedsSpare()) {
-    return BaseLack();
+    return DemandShortage();
   }
   // Fill the emptiest domain first until nothing lacks.
   std::vector<std::uint32_t> counts;
@@ -53,7 +53,7 @@
   std::uint32_t size = size_;
   while (size < capacity_.need ||
          size - *std::max_element(counts.begin(), counts.end()) <
-             capacity_.survivors) {
+             capacity_.min_after_loss) {
     ++*std::min_element(counts.begin(), counts.end());
     ++size;
   }
@@ -80,11 +80,11 @@
   return size_ - size;
 }
 
-bool pool_balance::CanSpare(const zone_id& domain, bool base_only) const {
+bool pool_balance::CanRelease(const zone_id& domain, bool ignore_spare) const {
   if (CountIn(domain) == 0 || size_ <= capacity_.need) {
     return false;
   }
-  if (base_only) {
+  if (ignore_spare) {
     return true;
   }
   spread counts = counts_;
@@ -94,7 +94,7 @@
 
 bool pool_balance::Satisfies(const spread& counts, std::uint32_t size) const {
   return size >= capacity_.need &&
-         (!NeedsSpare() || size - Greatest(counts) >= capacity_.survivors);
+         (!NeedsSpare() || size - MaxCount(counts) >= capacity_.min_after_loss);
 }
 
 bool pool_balance::NeedsSpare() const {
--- a/src/core/fleet/pool_planner.cc
+++ b/src/core/fleet/pool_planner.cc
@@ -9,18 +9,18 @@
 namespace plantainhead::core {
 namespace {
 
-using pool_rules::IsMover;
+using pool_rules::IsMoving;
 using pool_rules::SpecOf;
 
 /// Tells if the pool can count on the VM: it works, or comes back from
 /// maintenance.
 bool IsMember(const planner_context& context, const vm_view& vm) {
-  if (vm.state == nullptr || vm.state->quarantined || IsMover(vm)) {
+  if (vm.state == nullptr || vm.state->quarantined || IsMoving(vm)) {
     return false;
   }
   if (vm.state->phase != vm_phase::kServing) {
     return vm.seen == nullptr ||
-           context.now - vm.seen->since < context.options.return_bound;
+           context.now - vm.seen->since < context.options.return_timeout;
   }
   return vm.listed_live() && vm.healthy;
 }
@@ -43,17 +43,17 @@
     return;
   }
   ObserveZones(context);
-  balances pools = Balance(context, capacity);
+  pool_balances pools = ComputeBalances(context, capacity);
   CountTeams(context);
-  std::erase_if(starting_, [&](const auto& item) {
+  std::erase_if(starting_moves_, [&](const auto& item) {
     const vm_view* vm = context.view.FindVm(item.first);
     return vm == nullptr || !IsStarting(*vm);
   });
-  ObserveStandings(context, pools);
+  UpdateTrends(context, pools);
   UpdateFigures(context, pools, capacity);
-  AssignNew(context, pools);
-  ForgetGone(context);
-  TellPlatform(context);
+  AssignNewVms(context, pools);
+  ForgetMissingVms(context);
+  SyncPlatformPools(context);
   EndMoves(context, lifecycle, pools);
   StartMoves(context, lifecycle, pools);
 }
@@ -62,28 +62,29 @@
   std::set<rack_id> racks;
   for (const vm_listing& vm : context.inputs.vms) {
     if (vm.state == vm_listing_state::kLive) {
-      zone_seen_[vm.zone] = context.now;
+      zone_last_seen_[vm.zone] = context.now;
       racks.insert(vm.rack);
     }
   }
-  std::erase_if(zone_seen_, [&](const auto& item) {
-    return context.now - item.second >= context.options.outage_memory;
+  std::erase_if(zone_last_seen_, [&](const auto& item) {
+    return context.now - item.second >= context.options.outage_retention;
   });
-  zone_is_out_ =
-      std::any_of(zone_seen_.begin(), zone_seen_.end(),
+  has_zone_outage_ =
+      std::any_of(zone_last_seen_.begin(), zone_last_seen_.end(),
                   [&](const auto& item) { return item.second != context.now; });
-  by_rack_ = zone_seen_.size() < 2;
-  domains_ =
-      static_cast<std::uint32_t>(by_rack_ ? racks.size() : zone_seen_.size());
+  by_rack_ = zone_last_seen_.size() < 2;
+  domains_ = static_cast<std::uint32_t>(by_rack_ ? racks.size()
+                                                 : zone_last_seen_.size());
 }
 
-pool_planner::balances pool_planner::Balance(
+pool_planner::pool_balances pool_planner::ComputeBalances(
     const planner_context& context,
     const capacity_plan& capacity) const {
-  balances pools;
+  pool_balances pools;
   for (const auto& [name, item] : capacity) {
     pool_balance& balance =
-        pools.try_emplace(name, item, domains_, !zone_is_out_).first->second;
+        pools.try_emplace(name, item, domains_, !has_zone_outage_)
+            .first->second;
     const pool_view* pool = context.view.FindPool(name);
     for (const vm_view* vm : pool->vms) {
       if (IsMember(context, *vm) && !IsStarting(*vm)) {
@@ -101,9 +102,9 @@
   }
 }
 
-bool pool_planner::HasRoom(const planner_context& context,
-                           const pool_id& pool,
-                           const pool_id& from) const {
+bool pool_planner::QuotaAllowsMove(const planner_context& context,
+                                   const pool_id& pool,
+                                   const pool_id& from) const {
   const pool_spec* spec = SpecOf(context, pool);
   if (spec == nullptr || spec->team.empty()) {
     return true;
@@ -117,7 +118,8 @@
   return quota == 0 || held == team_vms_.end() || held->second < quota;
 }
 
-void pool_planner::AssignNew(const planner_context& context, balances& pools) {
+void pool_planner::AssignNewVms(const planner_context& context,
+                                pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
     if (vm.state != nullptr || !vm.listed_live() ||
         context.gate.IsPending(ObjectOf(id), 0, context.now)) {
@@ -126,10 +128,10 @@
     pool_id chosen = vm.listing->pool;
     std::string reason = "the platform lists it in this pool";
     if (!pools.contains(chosen)) {
-      const std::optional<pool_id> neediest =
-          NeediestPool(context, pools, pool_id(), {});
-      chosen = neediest ? *neediest : SpareHome(pools);
-      reason = neediest ? "this pool lacks most" : "no pool lacks a VM";
+      const std::optional<pool_id> most_urgent =
+          MostUrgentPool(context, pools, pool_id(), {});
+      chosen = most_urgent ? *most_urgent : PoolForSpareVm(pools);
+      reason = most_urgent ? "this pool lacks most" : "no pool lacks a VM";
     }
     pools.at(chosen).Add(context.DomainOf(vm, by_rack_));
     context.gate.Append(ObjectOf(id), 0,
@@ -138,14 +140,14 @@
   }
 }
 
-void pool_planner::ForgetGone(const planner_context& context) {
+void pool_planner::ForgetMissingVms(const planner_context& context) {
   for (const auto& [id, vm] : context.view.vms()) {
     if (vm.state == nullptr || vm.listing != nullptr || vm.seen == nullptr ||
         !vm.seen->missing || vm.is_pending) {
       continue;
     }
     const bool may_come_back = vm.state->phase == vm_phase::kRebooting;
-    const duration bound = may_come_back ? context.options.return_bound
+    const duration bound = may_come_back ? context.options.return_timeout
                                          : context.options.forget_after;
     if (context.now - vm.seen->missing_since >= bound) {
       context.gate.Append(
@@ -156,7 +158,7 @@
   }
 }
 
-void pool_planner::TellPlatform(const planner_context& context) {
+void pool_planner::SyncPlatformPools(const planner_context& context) {
   for (const auto& [id, vm] : context.view.vms()) {
     if (!vm.serving() || vm.is_pending || !vm.listed_live() ||
         vm.listing->pool == vm.state->pool) {
@@ -170,15 +172,15 @@
         (done && context.inputs.listed_at < *done + context.options.list_lag)) {
       continue;
     }
-    context.operations.Drive(
-        OperationFor("move", id.value(), vm.state->version),
+    context.operations.EnsureSent(
+        MakeOperationId("move", id.value(), vm.state->version),
         move_vm{id, vm.state->pool}, context.now, context.out);
   }
 }
 
-void pool_planner::ObserveStandings(const planner_context& context,
-                                    const balances& pools) {
-  std::erase_if(standings_,
+void pool_planner::UpdateTrends(const planner_context& context,
+                                const pool_balances& pools) {
+  std::erase_if(trends_,
                 [&](const auto& item) { return !pools.contains(item.first); });
   const auto follow = [&](std::optional<time_point>& since, bool holds) {
     if (!holds) {
@@ -188,26 +190,26 @@
     }
   };
   for (const auto& [name, pool] : pools) {
-    standing& stand = standings_[name];
-    stand.lack = pool.Lack();
-    stand.surplus = pool.Surplus();
-    stand.wanted = pool.size() + stand.lack - stand.surplus;
-    follow(stand.lack_since, stand.lack > 0);
-    follow(stand.surplus_since, stand.surplus > 0);
-    const std::chrono::duration<double> elapsed = context.now - stand.peak_at;
+    pool_trend& trend = trends_[name];
+    trend.shortage = pool.Shortage();
+    trend.surplus = pool.Surplus();
+    trend.wanted = pool.size() + trend.shortage - trend.surplus;
+    follow(trend.shortage_since, trend.shortage > 0);
+    follow(trend.surplus_since, trend.surplus > 0);
+    const std::chrono::duration<double> elapsed = context.now - trend.peak_at;
     const std::chrono::duration<double> half = context.options.peak_half_life;
-    const double kept = stand.peak * std::exp2(-(elapsed / half));
-    if (stand.wanted >= kept) {
-      stand.peak = stand.wanted;
-      stand.peak_at = context.now;
+    const double kept = trend.peak * std::exp2(-(elapsed / half));
+    if (trend.wanted >= kept) {
+      trend.peak = trend.wanted;
+      trend.peak_at = context.now;
     }
   }
 }
 
-pool_id pool_planner::SpareHome(const balances& pools) const {
+pool_id pool_planner::PoolForSpareVm(const pool_balances& pools) const {
   const auto key = [&](const auto& item) {
     const double size = item.second.size();
-    return std::make_tuple(size - standings_.at(item.first).peak, size);
+    return std::make_tuple(size - trends_.at(item.first).peak, size);
   };
   return std::min_element(pools.begin(), pools.end(),
                           [&](const auto& left, const auto& right) {
@@ -217,22 +219,23 @@
 }
 
 void pool_planner::UpdateFigures(const planner_context& context,
-                                 const balances& pools,
+                                 const pool_balances& pools,
                                  const capacity_plan& capacity) {
   const std::uint64_t moves = figures_.moves;
   figures_ = pool_figures();
   figures_.moves = moves;
   for (const auto& [name, pool] : pools) {
     const pool_capacity& item = capacity.at(name);
-    const std::uint32_t survivors = zone_is_out_ ? 0 : item.survivors;
+    const std::uint32_t min_after_loss =
+        has_zone_outage_ ? 0 : item.min_after_loss;
     figures_.need += item.need;
-    const standing& stand = standings_.at(name);
-    figures_.buffer += stand.wanted - item.need;
-    figures_.buffer_bound +=
-        LeastSpread(item.need, survivors, domains_) - item.need;
-    figures_.surplus += stand.surplus;
-    figures_.lack += stand.lack;
-    if (stand.lack == 0) {
+    const pool_trend& trend = trends_.at(name);
+    figures_.buffer += trend.wanted - item.need;
+    figures_.min_buffer +=
+        MinEvenSpread(item.need, min_after_loss, domains_) - item.need;
+    figures_.surplus += trend.surplus;
+    figures_.shortage += trend.shortage;
+    if (trend.shortage == 0) {
       context.reasons.erase(ObjectOf(name));
     }
   }
--- a/src/core/fleet/pool_planner_moves.cc
+++ b/src/core/fleet/pool_planner_moves.cc
@@ -7,7 +7,7 @@
 namespace plantainhead::core {
 namespace {
 
-using pool_rules::IsMover;
+using pool_rules::IsMoving;
 using pool_rules::SpecOf;
 
 /// Tells if a running wave has still to visit the VM in its present pool.
@@ -26,7 +26,7 @@
 
 /// Tells if callers can't be served without more VMs.
 bool IsUrgent(const pool_balance& pool) {
-  return pool.BaseLack() > 0 && pool.is_for_callers();
+  return pool.DemandShortage() > 0 && pool.affects_callers();
 }
 
 std::string Count(std::uint32_t count) {
@@ -37,20 +37,20 @@
 
 void pool_planner::EndMoves(const planner_context& context,
                             const vm_lifecycle& lifecycle,
-                            balances& pools) {
+                            pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
-    if (!IsMover(vm) || vm.is_pending ||
+    if (!IsMoving(vm) || vm.is_pending ||
         vm.state->phase != vm_phase::kDrained) {
       continue;
     }
     const std::optional<pool_id> receiver =
-        NeediestPool(context, pools, vm.state->pool, {});
+        MostUrgentPool(context, pools, vm.state->pool, {});
     if (!receiver || *receiver == vm.state->pool) {
       lifecycle.Readmit(vm, "no other pool lacks it any more");
       continue;
     }
     pools.at(*receiver).Add(context.DomainOf(vm, by_rack_));
-    MoveInTeams(context, vm.state->pool, *receiver);
+    UpdateTeamCounts(context, vm.state->pool, *receiver);
     ++figures_.moves;
     lifecycle.ReadmitTo(vm, *receiver,
                         "pool " + receiver->value() + " lacked it more than " +
@@ -60,14 +60,14 @@
 
 void pool_planner::StartMoves(const planner_context& context,
                               const vm_lifecycle& lifecycle,
-                              balances& pools) {
-  CountMovers(context, pools);
+                              pool_balances& pools) {
+  CountPendingMoves(context, pools);
   std::set<vm_id> taken;
-  std::set<pool_id> settled = PoolsWithShortLack(context, pools);
-  SettleIfNoDonor(context, pools, settled);
+  std::set<pool_id> excluded = PoolsWithRecentShortage(context, pools);
+  ExcludeIfNoDonor(context, pools, excluded);
   while (true) {
     const std::optional<pool_id> receiver =
-        NeediestPool(context, pools, std::nullopt, settled);
+        MostUrgentPool(context, pools, std::nullopt, excluded);
     if (!receiver) {
       return;
     }
@@ -76,103 +76,104 @@
         BestDonor(context, lifecycle, pools, *receiver, taken);
     if (!best) {
       ReportNoDonor(context, *receiver, to);
-      settled.insert(*receiver);
+      excluded.insert(*receiver);
       continue;
     }
     const zone_id domain = context.DomainOf(*best->vm, by_rack_);
     lifecycle.StartDrain(*best->vm, wave_id(),
                          "move to pool " + receiver->value() +
-                             ", which lacks " + Count(to.Lack()) + "; pool " +
-                             best->from.value() + " needs " +
+                             ", which lacks " + Count(to.Shortage()) +
+                             "; pool " + best->from.value() + " needs " +
                              Count(pools.at(best->from).need()) + " of its " +
                              Count(pools.at(best->from).size()));
     taken.insert(best->vm->id);
-    starting_[best->vm->id] = best->vm->state->version;
+    starting_moves_[best->vm->id] = best->vm->state->version;
     pools.at(best->from).Remove(domain);
     to.Add(domain);
-    MoveInTeams(context, best->from, *receiver);
+    UpdateTeamCounts(context, best->from, *receiver);
   }
 }
 
 bool pool_planner::IsStarting(const vm_view& vm) const {
-  const auto found = starting_.find(vm.id);
-  return found != starting_.end() && vm.is_pending && vm.serving() &&
+  const auto found = starting_moves_.find(vm.id);
+  return found != starting_moves_.end() && vm.is_pending && vm.serving() &&
          vm.state->version == found->second;
 }
 
-void pool_planner::CountMovers(const planner_context& context,
-                               balances& pools) {
+void pool_planner::CountPendingMoves(const planner_context& context,
+                                     pool_balances& pools) {
   for (const auto& [id, vm] : context.view.vms()) {
     const bool is_leaving =
-        IsMover(vm) &&
+        IsMoving(vm) &&
         (vm.is_pending || vm.state->phase == vm_phase::kDraining);
     if (!is_leaving && !IsStarting(vm)) {
       continue;
     }
     const std::optional<pool_id> receiver =
-        NeediestPool(context, pools, vm.state->pool, {});
+        MostUrgentPool(context, pools, vm.state->pool, {});
     if (receiver) {
       pools.at(*receiver).Add(context.DomainOf(vm, by_rack_));
-      MoveInTeams(context, vm.state->pool, *receiver);
+      UpdateTeamCounts(context, vm.state->pool, *receiver);
     }
   }
 }
 
-void pool_planner::MoveInTeams(const planner_context& context,
-                               const pool_id& from,
-                               const pool_id& to) {
+void pool_planner::UpdateTeamCounts(const planner_context& context,
+                                    const pool_id& from,
+                                    const pool_id& to) {
   if (const pool_spec* spec = SpecOf(context, from)) {
     --team_vms_[spec->team];
   }
   ++team_vms_[SpecOf(context, to)->team];
 }
 
-std::set<pool_id> pool_planner::PoolsWithShortLack(
+std::set<pool_id> pool_planner::PoolsWithRecentShortage(
     const planner_context& context,
-    const balances& pools) const {
+    const pool_balances& pools) const {
   std::set<pool_id> found;
-  for (const auto& [name, stand] : standings_) {
-    const bool is_base = pools.at(name).BaseLack() > 0;
-    const duration patience = is_base ? context.options.base_lack_patience
-                                      : context.options.spare_lack_patience;
-    if (stand.lack_since && context.now - *stand.lack_since < patience) {
+  for (const auto& [name, trend] : trends_) {
+    const bool is_base = pools.at(name).DemandShortage() > 0;
+    const duration min_time = is_base ? context.options.demand_shortage_delay
+                                      : context.options.spare_shortage_delay;
+    if (trend.shortage_since &&
+        context.now - *trend.shortage_since < min_time) {
       found.insert(name);
     }
   }
   return found;
 }
 
-std::optional<pool_id> pool_planner::NeediestPool(
+std::optional<pool_id> pool_planner::MostUrgentPool(
     const planner_context& context,
-    const balances& pools,
+    const pool_balances& pools,
     const std::optional<pool_id>& from,
-    const std::set<pool_id>& settled) const {
-  std::optional<pool_id> neediest;
+    const std::set<pool_id>& excluded) const {
+  std::optional<pool_id> most_urgent;
   std::tuple<double, double, double> greatest;
   for (const auto& [name, pool] : pools) {
-    if (settled.contains(name)) {
+    if (excluded.contains(name)) {
       continue;
     }
-    const std::uint32_t lack = pool.Lack();
-    if (lack == 0 || (from && !HasRoom(context, name, *from))) {
+    const std::uint32_t shortage = pool.Shortage();
+    if (shortage == 0 || (from && !QuotaAllowsMove(context, name, *from))) {
       continue;
     }
-    const std::uint32_t base = pool.BaseLack();
+    const std::uint32_t base = pool.DemandShortage();
     const double size = std::max(1U, pool.need());
     const std::tuple<double, double, double> urgency{
-        base / size, -pool.tolerance(), lack / size};
-    if (!neediest || urgency > greatest) {
-      neediest = name;
+        base / size, -pool.tolerance(), shortage / size};
+    if (!most_urgent || urgency > greatest) {
+      most_urgent = name;
       greatest = urgency;
     }
   }
-  return neediest;
+  return most_urgent;
 }
 
 std::optional<pool_planner::donor> pool_planner::BestDonor(
     const planner_context& context,
     const vm_lifecycle& lifecycle,
-    const balances& pools,
+    const pool_balances& pools,
     const pool_id& receiver,
     const std::set<vm_id>& taken) const {
   const pool_balance& to = pools.at(receiver);
@@ -180,19 +181,19 @@
   std::optional<donor> best;
   std::tuple<bool, bool, std::uint32_t, std::uint32_t, double> least;
   for (const auto& [name, from] : pools) {
-    const standing& stand = standings_.at(name);
-    if (name == receiver || !IsDonor(context, from, stand, to) ||
-        !HasRoom(context, receiver, name)) {
+    const pool_trend& trend = trends_.at(name);
+    if (name == receiver || !IsDonor(context, from, trend, to) ||
+        !QuotaAllowsMove(context, receiver, name)) {
       continue;
     }
     const bool spares_all = is_urgent && from.tolerance() >= to.tolerance();
-    const double above_peak = from.size() - stand.peak;
+    const double above_peak = from.size() - trend.peak;
     for (const vm_view* vm : context.view.FindPool(name)->vms) {
       const zone_id domain = context.DomainOf(*vm, by_rack_);
-      const bool keeps_spare = from.CanSpare(domain, false);
-      if ((!keeps_spare && !(spares_all && from.CanSpare(domain, true))) ||
+      const bool keeps_spare = from.CanRelease(domain, false);
+      if ((!keeps_spare && !(spares_all && from.CanRelease(domain, true))) ||
           taken.contains(vm->id) || !lifecycle.CanDrain(*vm) ||
-          !MayLeave(context, *vm, is_urgent)) {
+          !MayMove(context, *vm, is_urgent)) {
         continue;
       }
       const std::tuple<bool, bool, std::uint32_t, std::uint32_t, double> cost{
@@ -209,34 +210,34 @@
 
 bool pool_planner::IsDonor(const planner_context& context,
                            const pool_balance& from,
-                           const standing& stand,
+                           const pool_trend& trend,
                            const pool_balance& to) const {
   if (from.size() <= from.need()) {
     return false;
   }
   if (IsUrgent(to)) {
-    return stand.surplus > 0 || from.tolerance() >= to.tolerance();
+    return trend.surplus > 0 || from.tolerance() >= to.tolerance();
   }
-  return HasLastingSurplus(context, stand);
+  return HasLastingSurplus(context, trend);
 }
 
 bool pool_planner::HasLastingSurplus(const planner_context& context,
-                                     const standing& stand) {
-  return stand.surplus > 0 && stand.surplus_since &&
-         context.now - *stand.surplus_since >= context.options.surplus_patience;
+                                     const pool_trend& trend) {
+  return trend.surplus > 0 && trend.surplus_since &&
+         context.now - *trend.surplus_since >= context.options.surplus_delay;
 }
 
-void pool_planner::SettleIfNoDonor(const planner_context& context,
-                                   const balances& pools,
-                                   std::set<pool_id>& settled) const {
-  for (const auto& [name, stand] : standings_) {
-    if (HasLastingSurplus(context, stand)) {
+void pool_planner::ExcludeIfNoDonor(const planner_context& context,
+                                    const pool_balances& pools,
+                                    std::set<pool_id>& excluded) const {
+  for (const auto& [name, trend] : trends_) {
+    if (HasLastingSurplus(context, trend)) {
       return;
     }
   }
-  for (const auto& [name, stand] : standings_) {
+  for (const auto& [name, trend] : trends_) {
     const pool_balance& pool = pools.at(name);
-    if (stand.lack > 0 && !IsUrgent(pool) && settled.insert(name).second) {
+    if (trend.shortage > 0 && !IsUrgent(pool) && excluded.insert(name).second) {
       ReportNoDonor(context, name, pool);
     }
   }
@@ -247,12 +248,12 @@
                                  const pool_balance& pool) {
   context.Report(
       log_severity::kWarning, ObjectOf(name),
-      "it lacks " + Count(pool.Lack()) + " VMs and no pool can spare one");
+      "it lacks " + Count(pool.Shortage()) + " VMs and no pool can spare one");
 }
 
-bool pool_planner::MayLeave(const planner_context& context,
-                            const vm_view& vm,
-                            bool is_urgent) const {
+bool pool_planner::MayMove(const planner_context& context,
+                           const vm_view& vm,
+                           bool is_urgent) const {
   if (!vm.available()) {
     return false;
   }
@@ -260,7 +261,7 @@
     return true;
   }
   return vm.seen != nullptr &&
-         context.now - vm.seen->pool_since >= context.options.least_dwell &&
+         context.now - vm.seen->pool_since >= context.options.min_dwell_time &&
          !AwaitsWave(context, vm);
 }
 
--- a/src/core/fleet/pool_rules.h
+++ b/src/core/fleet/pool_rules.h
@@ -7,7 +7,7 @@
 namespace plantainhead::core::pool_rules {
 
 /// A mover is a VM that was drained, or drains, to change its pool.
-inline bool IsMover(const vm_view& vm) {
+inline bool IsMoving(const vm_view& vm) {
   return vm.state != nullptr && vm.state->wave.empty() &&
          (vm.state->phase == vm_phase::kDraining ||
           vm.state->phase == vm_phase::kDrained);
--- a/src/core/fleet/queueing.cc
+++ b/src/core/fleet/queueing.cc
@@ -35,7 +35,7 @@
   return WaitFromBlocking(load, slots, BlockingProbability(load, slots));
 }
 
-std::uint32_t SlotsFor(double load, double late, double patience) {
+std::uint32_t RequiredSlots(double load, double late, double patience) {
   if (load <= 0.0) {
     return 0;
   }
--- a/src/core/fleet/task_history.cc
+++ b/src/core/fleet/task_history.cc
@@ -9,18 +9,18 @@
 namespace {
 
 /// Failures kept for each worker.
-constexpr std::size_t kKeptFailures = 8;
+constexpr std::size_t kMaxFailures = 8;
 /// Weight of a new measurement in the moving averages.
-constexpr double kWeight = 0.2;
+constexpr double kAverageWeight = 0.2;
 /// Jobs are given this much more than they were seen to use.
 constexpr double kHeadroom = 1.2;
 /// Bounds of the correction of what jobs declare. Memory is never cut below
 /// what is declared until the job itself was seen: too little ends the task.
-constexpr double kLeastRatio = 0.25;
-constexpr double kGreatestRatio = 4.0;
+constexpr double kMinRatio = 0.25;
+constexpr double kMaxRatio = 4.0;
 
 double Average(double known, double seen) {
-  return known <= 0 ? seen : known + kWeight * (seen - known);
+  return known <= 0 ? seen : known + kAverageWeight * (seen - known);
 }
 
 std::uint32_t RoundUp(double value) {
@@ -35,7 +35,7 @@
                       std::to_string(size.accelerators));
 }
 
-std::optional<job_size> SizeIn(const operation_id& start) {
+std::optional<job_size> ParseSize(const operation_id& start) {
   const std::size_t begin = start.value().rfind(':');
   if (begin == std::string::npos) {
     return std::nullopt;
@@ -57,14 +57,14 @@
     const bool has_ended = task.state == task_state::kFailed ||
                            task.state == task_state::kFinished;
     if (has_ended && !counted_.contains(task.started_by)) {
-      CountEnd(task);
+      CountTaskEnd(task);
     }
     if (has_ended) {
       listed.insert(task.started_by);
     }
     const auto job = state.jobs.find(task.job);
     if (task.state == task_state::kRunning && job != state.jobs.end()) {
-      Learn(task, job->second.spec);
+      LearnUsage(task, job->second.spec);
     }
   }
   counted_ = std::move(listed);
@@ -82,7 +82,7 @@
   });
 }
 
-void task_history::CountEnd(const task_listing& task) {
+void task_history::CountTaskEnd(const task_listing& task) {
   if (task.state == task_state::kFinished) {
     failures_.erase(task.vm);
     return;
@@ -91,14 +91,14 @@
   if (std::find(failures.begin(), failures.end(), task.job) == failures.end()) {
     failures.push_back(task.job);
   }
-  if (failures.size() > kKeptFailures) {
+  if (failures.size() > kMaxFailures) {
     failures.pop_front();
   }
   failed_on_[task.job].insert(task.vm);
 }
 
-void task_history::Learn(const task_listing& task,
-                         const job_requirements& spec) {
+void task_history::LearnUsage(const task_listing& task,
+                              const job_requirements& spec) {
   if (task.processors_used == 0 && task.memory_used_mb == 0) {
     return;
   }
@@ -116,8 +116,8 @@
   }
 }
 
-bool task_history::FailsEverything(const vm_id& vm,
-                                   std::size_t in_a_row) const {
+bool task_history::FailsAllTasks(const vm_id& vm,
+                                 std::size_t consecutive) const {
   const auto found = failures_.find(vm);
   if (found == failures_.end()) {
     return false;
@@ -126,7 +126,7 @@
   const auto only_here = std::count_if(
       found->second.begin(), found->second.end(),
       [&](const job_id& job) { return FailedOn(job).size() <= 1; });
-  return static_cast<std::size_t>(only_here) >= in_a_row;
+  return static_cast<std::size_t>(only_here) >= consecutive;
 }
 
 const std::set<vm_id>& task_history::FailedOn(const job_id& job) const {
@@ -154,16 +154,16 @@
   return last != found->second.last.end() && last->second >= since;
 }
 
-std::uint32_t task_history::Refusals(const job_id& job) const {
+std::uint32_t task_history::RefusalCount(const job_id& job) const {
   const auto found = refusals_.find(job);
   return found == refusals_.end() ? 0 : found->second.count;
 }
 
-void task_history::Pardon(const vm_id& vm) {
+void task_history::ClearFailures(const vm_id& vm) {
   failures_.erase(vm);
 }
 
-void task_history::Pardon(const job_id& job) {
+void task_history::ClearFailures(const job_id& job) {
   failed_on_.erase(job);
 }
 
@@ -184,11 +184,11 @@
     size.processors =
         std::max(1U, RoundUp(spec.processors *
                              std::clamp(ratio->second.processors * kHeadroom,
-                                        kLeastRatio, kGreatestRatio)));
+                                        kMinRatio, kMaxRatio)));
   }
   if (ratio->second.memory_mb > 1.0) {
-    size.memory_mb = RoundUp(spec.memory_mb *
-                             std::min(ratio->second.memory_mb, kGreatestRatio));
+    size.memory_mb =
+        RoundUp(spec.memory_mb * std::min(ratio->second.memory_mb, kMaxRatio));
   }
   return size;
 }
--- a/src/core/fleet/vm_lifecycle.cc
+++ b/src/core/fleet/vm_lifecycle.cc
@@ -12,20 +12,20 @@
 
 }  // namespace
 
-bool IsOwnPause(const fleet_wave& wave) {
+bool IsAutoPause(const fleet_wave& wave) {
   return wave.state == wave_state::kPaused &&
-         wave.reason.starts_with(kOwnPause);
+         wave.reason.starts_with(kAutoPausePrefix);
 }
 
-operation_id OperationFor(const std::string& kind,
-                          const std::string& object,
-                          generation expected) {
+operation_id MakeOperationId(const std::string& kind,
+                             const std::string& object,
+                             generation expected) {
   return operation_id(kind + ":" + object + ":" + std::to_string(expected));
 }
 
 vm_lifecycle::vm_lifecycle(const planner_context& context,
-                           const phase_watch& watch)
-    : context_(context), watch_(watch) {}
+                           const phase_tracker& tracker)
+    : context_(context), phase_tracker_(tracker) {}
 
 bool vm_lifecycle::CanDrain(const vm_view& vm) const {
   if (!vm.serving() || vm.is_pending || !vm.listed_live()) {
@@ -91,23 +91,23 @@
 
 void vm_lifecycle::AdvanceServing(const vm_view& vm) const {
   if (!vm.state->operation.empty()) {
-    context_.operations.Drive(vm.state->operation,
-                              move_vm{vm.id, vm.state->pool}, context_.now,
-                              context_.out);
+    context_.operations.EnsureSent(vm.state->operation,
+                                   move_vm{vm.id, vm.state->pool}, context_.now,
+                                   context_.out);
   }
 }
 
 void vm_lifecycle::AdvanceDraining(const vm_view& vm) const {
-  const std::string why = WhyAborted(vm);
+  const std::string why = AbortReason(vm);
   if (!why.empty()) {
     Readmit(vm, why);
     return;
   }
-  const std::optional<operation_result> end = context_.operations.Drive(
+  const std::optional<operation_result> end = context_.operations.EnsureSent(
       vm.state->operation, drain_vm{vm.id}, context_.now, context_.out);
   if (end == operation_result::kRefused) {
-    GiveUpDraining(vm, "the platform refused to drain it: " +
-                           context_.operations.DetailOf(vm.state->operation));
+    AbortDrain(vm, "the platform refused to drain it: " +
+                       context_.operations.DetailOf(vm.state->operation));
     return;
   }
   if (end == operation_result::kDone && IsDrained(vm)) {
@@ -115,13 +115,13 @@
              "no requests in flight at any entry or at the endpoint");
     return;
   }
-  if (HasWaited(vm, context_.options.drain_bound)) {
-    GiveUpDraining(vm, "it did not drain in time and serves again");
+  if (HasBeenInPhaseFor(vm, context_.options.drain_timeout)) {
+    AbortDrain(vm, "it did not drain in time and serves again");
   }
 }
 
-void vm_lifecycle::GiveUpDraining(const vm_view& vm,
-                                  const std::string& reason) const {
+void vm_lifecycle::AbortDrain(const vm_view& vm,
+                              const std::string& reason) const {
   context_.Report(log_severity::kWarning, ObjectOf(vm.id), reason);
   context_.deferred[vm.id] = context_.now;
   Readmit(vm, reason);
@@ -131,7 +131,7 @@
   if (vm.state->wave.empty()) {
     return;
   }
-  const std::string why = WhyAborted(vm);
+  const std::string why = AbortReason(vm);
   if (!why.empty()) {
     Readmit(vm, why);
     return;
@@ -142,7 +142,7 @@
 
 void vm_lifecycle::AdvanceRebooting(const vm_view& vm) const {
   const operation_id& id = vm.state->operation;
-  const std::optional<operation_result> end = context_.operations.Drive(
+  const std::optional<operation_result> end = context_.operations.EnsureSent(
       id, reboot_vm{vm.id}, context_.now, context_.out);
   if (end == operation_result::kRefused) {
     context_.Report(log_severity::kError, ObjectOf(vm.id),
@@ -162,7 +162,7 @@
              "rebooted and listed as live");
     return;
   }
-  if (HasWaited(vm, context_.options.return_bound)) {
+  if (HasBeenInPhaseFor(vm, context_.options.return_timeout)) {
     context_.Report(log_severity::kError, ObjectOf(vm.id),
                     "it did not come back in time after its reboot");
   }
@@ -178,13 +178,13 @@
     context_.reasons.erase(ObjectOf(vm.id));
     return;
   }
-  if (HasWaited(vm, context_.options.return_bound)) {
+  if (HasBeenInPhaseFor(vm, context_.options.return_timeout)) {
     context_.Report(log_severity::kError, ObjectOf(vm.id),
                     "it is not healthy after its reboot");
   }
 }
 
-std::string vm_lifecycle::WhyAborted(const vm_view& vm) const {
+std::string vm_lifecycle::AbortReason(const vm_view& vm) const {
   if (vm.state->wave.empty()) {
     return "";
   }
@@ -193,10 +193,10 @@
     return name + " has ended";
   }
   const fleet_wave& wave = context_.inputs.state.waves.at(vm.state->wave);
-  if (IsOwnPause(wave)) {
+  if (IsAutoPause(wave)) {
     return name + " is paused, " + wave.reason;
   }
-  if (context_.held_pools.contains(vm.state->pool)) {
+  if (context_.blocked_pools.contains(vm.state->pool)) {
     return "a failure took the slack of its pool";
   }
   return "";
@@ -213,7 +213,7 @@
   if (vm.seen == nullptr || vm.seen->operation != vm.state->operation) {
     return false;
   }
-  if (!HasWaited(vm, context_.options.drain_notice)) {
+  if (!HasBeenInPhaseFor(vm, context_.options.drain_notice)) {
     return false;
   }
   // A member that has not yet applied the drain may still send to the VM; the
@@ -222,11 +222,11 @@
   if (context_.inputs.reported_offset < vm.seen->offset || vm.in_flight > 0) {
     return false;
   }
-  return vm.jobs == 0 && watch_.LostMembersAreOver(
-                             context_.now, context_.options.greatest_deadline);
+  return vm.jobs == 0 && phase_tracker_.LostMemberRequestsExpired(
+                             context_.now, context_.options.max_deadline);
 }
 
-bool vm_lifecycle::HasWaited(const vm_view& vm, duration bound) const {
+bool vm_lifecycle::HasBeenInPhaseFor(const vm_view& vm, duration bound) const {
   return vm.seen != nullptr && context_.now - vm.seen->since >= bound;
 }
 
@@ -242,7 +242,7 @@
   record.phase = phase;
   if (!operation_kind.empty()) {
     record.operation =
-        OperationFor(operation_kind, vm.id.value(), vm.state->version);
+        MakeOperationId(operation_kind, vm.id.value(), vm.state->version);
   }
   record.wave = wave;
   record.reason = reason;
--- a/src/core/fleet/wave_planner.cc
+++ b/src/core/fleet/wave_planner.cc
@@ -15,7 +15,7 @@
 /// Tells if a VM that is out of work holds its zone: no other zone of the pool
 /// may be touched. One that has been out for longer than the bound is taken for
 /// lost for good, or it would hold the wave up for ever.
-bool HoldsZone(const planner_context& context, const vm_view& vm) {
+bool OccupiesZone(const planner_context& context, const vm_view& vm) {
   if (vm.state == nullptr || vm.zone.empty()) {
     return false;
   }
@@ -30,14 +30,14 @@
   }
   const time_point since =
       vm.serving() ? vm.seen->impaired_since : vm.seen->since;
-  return context.now - since < context.options.return_bound;
+  return context.now - since < context.options.return_timeout;
 }
 
-std::set<zone_id> HeldZones(const planner_context& context,
-                            const pool_view& pool) {
+std::set<zone_id> OccupiedZones(const planner_context& context,
+                                const pool_view& pool) {
   std::set<zone_id> zones;
   for (const vm_view* vm : pool.vms) {
-    if (HoldsZone(context, *vm)) {
+    if (OccupiesZone(context, *vm)) {
       zones.insert(vm->zone);
     }
   }
@@ -47,30 +47,31 @@
 std::uint32_t CountLost(const planner_context& context, const pool_view& pool) {
   std::uint32_t lost = 0;
   for (const vm_view* vm : pool.vms) {
-    lost += vm->is_lost() && HoldsZone(context, *vm) ? 1 : 0;
+    lost += vm->is_lost() && OccupiesZone(context, *vm) ? 1 : 0;
   }
   return lost;
 }
 
 /// Tells if the budgets allow the pool to go below its floor for one reboot.
 /// It is for pools too small to give up even one VM otherwise.
-bool MayDip(const planner_context& context,
-            const pool_capacity& capacity,
-            std::uint32_t available) {
+bool BudgetAllowsOutage(const planner_context& context,
+                        const pool_capacity& capacity,
+                        std::uint32_t available) {
   if (capacity.need == 0) {
     return true;
   }
   const double left = available > 0 ? available - 1 : 0;
   const double shed = std::max(0.0, 1.0 - left / capacity.need);
-  return shed * static_cast<double>(context.options.reboot_estimate.count()) <=
-         static_cast<double>(capacity.dip_allowance.count());
+  return shed * static_cast<double>(
+                    context.options.expected_reboot_time.count()) <=
+         static_cast<double>(capacity.outage_allowance.count());
 }
 
 /// Tells if a listed VM has no pool yet. A wave that is started together with
 /// the first targets meets empty pools: taken for finished then, it would never
 /// reboot their VMs. The pool planner gives every listed VM a pool, so this
 /// holds a wave up for some plans only.
-bool AwaitsPools(const planner_context& context) {
+bool HasUnassignedVms(const planner_context& context) {
   if (!context.list_is_fresh()) {
     return true;
   }
@@ -82,8 +83,8 @@
 
 }  // namespace
 
-std::set<pool_id> wave_planner::HeldPools(const planner_context& context,
-                                          const capacity_plan& capacity) {
+std::set<pool_id> wave_planner::BlockedPools(const planner_context& context,
+                                             const capacity_plan& capacity) {
   std::set<pool_id> held;
   for (const auto& [name, pool] : context.view.pools()) {
     if (pool.available < capacity.at(name).floor &&
@@ -97,7 +98,7 @@
 void wave_planner::Plan(const planner_context& context,
                         const vm_lifecycle& lifecycle,
                         const capacity_plan& capacity) {
-  std::erase_if(calm_since_, [&](const auto& item) {
+  std::erase_if(clear_since_, [&](const auto& item) {
     return !context.inputs.state.waves.contains(item.first);
   });
   for (const auto& [id, wave] : context.inputs.state.waves) {
@@ -115,14 +116,14 @@
   if (context.gate.IsPending(ObjectOf(id), wave.version, context.now)) {
     return;
   }
-  pass found;
+  scan_result found;
   for (const pool_id& name : wave.pools) {
     if (const pool_view* pool = context.view.FindPool(name)) {
       PlanPool(context, lifecycle, capacity.at(name), *pool, id, wave, found);
     }
   }
   if (found.left == 0 && found.under_way == 0) {
-    if (AwaitsPools(context)) {
+    if (HasUnassignedVms(context)) {
       context.reasons[ObjectOf(id)] = "listed VMs have no pool yet";
       return;
     }
@@ -132,7 +133,7 @@
   if (!found.obstacle.empty()) {
     context.reasons[ObjectOf(id)] = found.obstacle;
   }
-  PauseOrResume(context, id, wave, WhyPause(context, wave, found));
+  PauseOrResume(context, id, wave, PauseReason(context, wave, found));
 }
 
 void wave_planner::PlanPool(const planner_context& context,
@@ -141,7 +142,7 @@
                             const pool_view& pool,
                             const wave_id& id,
                             const fleet_wave& wave,
-                            pass& found) {
+                            scan_result& found) {
   std::uint32_t left = 0;
   std::uint32_t under_way = 0;
   for (const vm_view* vm : pool.vms) {
@@ -154,9 +155,9 @@
     return;
   }
   ++found.open_pools;
-  std::set<zone_id> zones = HeldZones(context, pool);
-  if (context.held_pools.contains(pool.spec->name)) {
-    ++found.held_pools;
+  std::set<zone_id> zones = OccupiedZones(context, pool);
+  if (context.blocked_pools.contains(pool.spec->name)) {
+    ++found.blocked_pools;
     found.obstacle =
         "a failure took the slack of pool " + pool.spec->name.value();
     return;
@@ -169,7 +170,7 @@
   for (const vm_view* vm : Candidates(context, lifecycle, pool, wave)) {
     const std::uint32_t cost = vm->available() ? 1 : 0;
     if (cost == 1 && available <= capacity.floor &&
-        (away > 0 || !MayDip(context, capacity, available))) {
+        (away > 0 || !BudgetAllowsOutage(context, capacity, available))) {
       found.obstacle = "pool " + pool.spec->name.value() + " has " +
                        std::to_string(available) + " VMs at work and needs " +
                        std::to_string(capacity.floor);
@@ -211,7 +212,7 @@
     const auto deferred = context.deferred.find(vm->id);
     const bool waits =
         deferred != context.deferred.end() &&
-        context.now - deferred->second < context.options.defer_time;
+        context.now - deferred->second < context.options.drain_retry_delay;
     if (!waits && lifecycle.CanDrain(*vm)) {
       found.push_back(vm);
     }
@@ -230,10 +231,10 @@
   return found;
 }
 
-std::string wave_planner::WhyPause(const planner_context& context,
-                                   const fleet_wave& wave,
-                                   const pass& found) const {
-  if (found.open_pools > 0 && found.held_pools == found.open_pools) {
+std::string wave_planner::PauseReason(const planner_context& context,
+                                      const fleet_wave& wave,
+                                      const scan_result& found) const {
+  if (found.open_pools > 0 && found.blocked_pools == found.open_pools) {
     return found.obstacle;
   }
   const double limit = wave.state == wave_state::kPaused
@@ -264,17 +265,17 @@
                                  const fleet_wave& wave,
                                  const std::string& why) {
   if (!why.empty()) {
-    calm_since_.erase(id);
+    clear_since_.erase(id);
     if (wave.state == wave_state::kRunning) {
-      SetState(context, id, wave, wave_state::kPaused, kOwnPause + why);
+      SetState(context, id, wave, wave_state::kPaused, kAutoPausePrefix + why);
     }
     return;
   }
-  if (!IsOwnPause(wave)) {
+  if (!IsAutoPause(wave)) {
     return;
   }
   const time_point calm =
-      calm_since_.try_emplace(id, context.now).first->second;
+      clear_since_.try_emplace(id, context.now).first->second;
   if (context.now - calm >= context.options.resume_after) {
     SetState(context, id, wave, wave_state::kRunning,
              "resumed, what paused it is over");
--- a/src/core/jobs/arrival_meter.cc
+++ b/src/core/jobs/arrival_rate_monitor.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/arrival_meter.h"
+#include "plantainhead/core/jobs/arrival_rate_monitor.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -12,14 +12,16 @@
 
 }  // namespace
 
-void arrival_meter::Note(const job_spec& job, time_point now, duration age) {
-  if (age > settings_.window + settings_.past) {
+void arrival_rate_monitor::RecordArrival(const job_spec& job,
+                                         time_point now,
+                                         duration age) {
+  if (age > settings_.window + settings_.baseline_window) {
     return;
   }
   arrival noted;
   noted.at = now - age;
   for (const step_spec& step : job.steps) {
-    if (step.lasting) {
+    if (step.long_running) {
       continue;
     }
     const double time = Seconds(step.estimate) * step.task_count;
@@ -27,8 +29,8 @@
     noted.memory += time * static_cast<double>(step.need.memory_mb);
     noted.gpus += time * static_cast<double>(step.need.gpus);
   }
-  const bool is_lasting = noted.cpu == 0 && noted.memory == 0;
-  if (!is_lasting) {
+  const bool is_long_running = noted.cpu == 0 && noted.memory == 0;
+  if (!is_long_running) {
     const auto next = std::upper_bound(
         arrivals_.begin(), arrivals_.end(), noted.at,
         [](time_point at, const arrival& other) { return at < other.at; });
@@ -36,7 +38,7 @@
   }
 }
 
-double arrival_meter::RateNow(time_point now) const {
+double arrival_rate_monitor::RateNow(time_point now) const {
   const auto since = [this](time_point begin) {
     return static_cast<std::size_t>(
         std::count_if(arrivals_.begin(), arrivals_.end(),
@@ -47,15 +49,15 @@
                       Seconds(settings_.window);
   const double short_rate =
       static_cast<double>(in_short) / Seconds(settings_.short_window);
-  const bool is_steep = in_short >= settings_.least_short_jobs &&
-                        short_rate >= settings_.steepness * rate;
+  const bool is_steep = in_short >= settings_.min_short_window_jobs &&
+                        short_rate >= settings_.steep_ratio * rate;
   return is_steep ? short_rate : rate;
 }
 
-resources arrival_meter::RisingDemand(time_point now) {
+resources arrival_rate_monitor::RisingDemand(time_point now) {
   const time_point window_begin = now - settings_.window;
-  const time_point past_begin = window_begin - settings_.past;
-  while (!arrivals_.empty() && arrivals_.front().at < past_begin) {
+  const time_point baseline_begin = window_begin - settings_.baseline_window;
+  while (!arrivals_.empty() && arrivals_.front().at < baseline_begin) {
     arrivals_.pop_front();
   }
   arrival sum;
@@ -68,10 +70,10 @@
   }
   recent_jobs_ = recent;
   const double rate = RateNow(now);
-  const double past_rate =
-      static_cast<double>(arrivals_.size() - recent) / Seconds(settings_.past);
-  const bool is_rise =
-      recent >= settings_.least_jobs && rate >= settings_.rise * past_rate;
+  const double baseline_rate = static_cast<double>(arrivals_.size() - recent) /
+                               Seconds(settings_.baseline_window);
+  const bool is_rise = recent >= settings_.min_window_jobs &&
+                       rate >= settings_.rise_ratio * baseline_rate;
   if (!is_rise) {
     return {};
   }
--- a/src/core/jobs/crash_suspicion.cc
+++ b/src/core/jobs/crash_suspicion.cc
@@ -33,7 +33,7 @@
         [kind](const run_loss& loss) { return loss.kind == kind; }));
   };
   const std::size_t at_start = count(loss_kind::kCrashAtStart);
-  const std::size_t doubtful =
+  const std::size_t uncertain =
       count(loss_kind::kCrashUnanswered) + count(loss_kind::kSilenceAtStart);
   const std::size_t later = count(loss_kind::kCrashLater);
   if (at_start >= kCertainAtStart || at_start + later >= kCertainCrashes ||
@@ -41,7 +41,7 @@
     return suspicion::kCertain;
   }
   const bool is_suspected =
-      at_start >= kSuspectedAtStart || doubtful + later >= kSuspectedOtherwise;
+      at_start >= kSuspectedAtStart || uncertain + later >= kSuspectedOtherwise;
   return is_suspected ? suspicion::kSuspected : suspicion::kNone;
 }
 
--- a/src/core/jobs/fleet_balancer.cc
+++ b/src/core/jobs/fleet_balancer.cc
@@ -20,12 +20,12 @@
   by_vm_.clear();
   ordered_ = 0;
   moving_ = 0;
-  for (std::size_t place = 0; place < hosts.size(); ++place) {
-    known_host& known = hosts_[hosts[place].host];
-    known.host = hosts[place];
-    known.place = place;
+  for (std::size_t position = 0; position < hosts.size(); ++position) {
+    known_host& known = hosts_[hosts[position].host];
+    known.host = hosts[position];
+    known.position = position;
     known.list = list_;
-    known.counts_as = {};
+    known.counted_as = {};
     if (!known.host.vm.empty()) {
       by_vm_[known.host.vm] = &known;
     }
@@ -33,7 +33,7 @@
   std::erase_if(
       hosts_, [this](const auto& entry) { return entry.second.list != list_; });
   for (auto& [name, known] : hosts_) {
-    Reassess(&known);
+    Reclassify(&known);
   }
 }
 
@@ -46,9 +46,9 @@
   }
 }
 
-void fleet_balancer::Reassess(known_host* known) {
+void fleet_balancer::Reclassify(known_host* known) {
   ++visited_hosts_;
-  Count(known, false);
+  UpdateCounts(known, false);
   const fleet_host& host = known->host;
   const auto move = moves_.find(host.host);
   const bool has_move = move != moves_.end();
@@ -56,7 +56,7 @@
   const bool is_usable =
       host.state == host_state::kUp && offers_.count(host.vm) == 0 &&
       closed_.count(host.vm) == 0 && leaving_.count(host.vm) == 0;
-  host_standing next;
+  host_classification next;
   if (has_move) {
     next.pool = move->second.pool;
   } else if (is_coming || is_usable) {
@@ -64,46 +64,49 @@
   }
   next.is_moving = is_coming || (has_move && move->second.is_accepted);
   next.is_ordered = has_move && !next.is_moving;
-  next.is_free = !has_move && IsFree(host);
+  next.is_free = !has_move && IsMovable(host);
   next.is_spare = spare_.count(host.pool) != 0;
-  known->counts_as = next;
+  known->counted_as = next;
   if (!next.is_free || next.is_spare) {
     known->unwanted_since.reset();
   }
-  Count(known, true);
+  UpdateCounts(known, true);
 }
 
-void fleet_balancer::Count(known_host* known, bool is_added) {
-  const host_standing& standing = known->counts_as;
+void fleet_balancer::UpdateCounts(known_host* known, bool is_added) {
+  const host_classification& classification = known->counted_as;
   const std::uint32_t one = is_added ? 1U : ~0U;
-  if (!standing.pool.empty()) {
-    counts_[standing.pool] += one;
+  if (!classification.pool.empty()) {
+    counts_[classification.pool] += one;
   }
-  ordered_ += standing.is_ordered ? one : 0U;
-  moving_ += standing.is_moving ? one : 0U;
-  if (!standing.is_free) {
+  ordered_ += classification.is_ordered ? one : 0U;
+  moving_ += classification.is_moving ? one : 0U;
+  if (!classification.is_free) {
     return;
   }
-  free_hosts& list = standing.is_spare ? free_spares_ : free_offers_;
+  free_hosts& list = classification.is_spare ? free_spares_ : free_offers_;
   if (is_added) {
-    list[known->place] = known;
+    list[known->position] = known;
   } else {
-    list.erase(known->place);
+    list.erase(known->position);
   }
 }
 
-void fleet_balancer::ReassessHost(const host_id& host) {
+void fleet_balancer::ReclassifyHost(const host_id& host) {
   const auto found = hosts_.find(host);
   if (found != hosts_.end()) {
-    Reassess(&found->second);
+    Reclassify(&found->second);
   }
 }
 
-void fleet_balancer::Put(std::set<vm_id>* vms, const vm_id& vm, bool is_in) {
-  const bool is_changed = is_in ? vms->insert(vm).second : vms->erase(vm) != 0;
+void fleet_balancer::SetMembership(std::set<vm_id>* vms,
+                                   const vm_id& vm,
+                                   bool is_member) {
+  const bool is_changed =
+      is_member ? vms->insert(vm).second : vms->erase(vm) != 0;
   const auto found = by_vm_.find(vm);
   if (is_changed && found != by_vm_.end()) {
-    Reassess(found->second);
+    Reclassify(found->second);
   }
 }
 
@@ -113,26 +116,26 @@
   std::set_symmetric_difference(vms->begin(), vms->end(), next.begin(),
                                 next.end(), std::back_inserter(changed));
   for (const vm_id& vm : changed) {
-    Put(vms, vm, next.count(vm) != 0);
+    SetMembership(vms, vm, next.count(vm) != 0);
   }
 }
 
 void fleet_balancer::OnMoveAnswer(const host_id& host,
                                   bool is_accepted,
-                                  bool is_settled,
+                                  bool is_reconciled,
                                   time_point now) {
   const auto found = moves_.find(host);
   if (found == moves_.end()) {
     return;
   }
-  if (is_settled && !is_accepted) {
+  if (is_reconciled && !is_accepted) {
     moves_.erase(found);
   } else {
     found->second.is_in_flight = false;
     found->second.is_accepted = is_accepted;
     found->second.changed_at = now;
   }
-  ReassessHost(host);
+  ReclassifyHost(host);
 }
 
 std::optional<time_point> fleet_balancer::OrderedAt(const host_id& host) const {
@@ -146,26 +149,26 @@
   return found == counts_.end() ? 0 : found->second;
 }
 
-balance_figures fleet_balancer::Figures(const std::set<host_id>& busy) const {
-  balance_figures figures;
+balancer_stats fleet_balancer::Stats(const std::set<host_id>& busy) const {
+  balancer_stats stats;
   for (const auto& [pool, wanted] : wanted_) {
-    figures.wanted += wanted;
-    figures.missing += wanted - std::min(wanted, CountOf(pool));
+    stats.wanted += wanted;
+    stats.missing += wanted - std::min(wanted, CountOf(pool));
   }
-  figures.moving = moving_;
-  figures.ordered = ordered_;
-  figures.free =
+  stats.moving = moving_;
+  stats.ordered = ordered_;
+  stats.free =
       static_cast<std::uint32_t>(free_spares_.size() + free_offers_.size());
   for (const host_id& host : busy) {
     const auto found = hosts_.find(host);
     const bool is_held =
-        found != hosts_.end() && found->second.counts_as.is_free;
-    figures.free -= is_held ? 1 : 0;
+        found != hosts_.end() && found->second.counted_as.is_free;
+    stats.free -= is_held ? 1 : 0;
   }
-  return figures;
+  return stats;
 }
 
-bool fleet_balancer::IsFree(const fleet_host& host) const {
+bool fleet_balancer::IsMovable(const fleet_host& host) const {
   const bool is_idle = spare_.count(host.pool) != 0 ||
                        (!host.vm.empty() && offers_.count(host.vm) != 0);
   // The platform refuses to move a VM that leaves.
@@ -173,22 +176,22 @@
          leaving_.count(host.vm) == 0;
 }
 
-void fleet_balancer::Order(known_host* known,
-                           const pool_id& pool,
-                           time_point now,
-                           std::vector<move_host>* moves) {
+void fleet_balancer::OrderMove(known_host* known,
+                               const pool_id& pool,
+                               time_point now,
+                               std::vector<move_host>* moves) {
   const host_id& host = known->host.host;
   pending_move& move = moves_[host];
   move.pool = pool;
   move.is_in_flight = true;
   move.changed_at = now;
   moves->push_back({host, pool});
-  Reassess(known);
+  Reclassify(known);
 }
 
 // A move to the pool that a host is in has no effect: the VM that was given
 // away there would never be used again. It goes by way of the spare pool.
-fleet_balancer::known_host* fleet_balancer::FindFree(
+fleet_balancer::known_host* fleet_balancer::FindMovable(
     const pool_id& pool,
     const std::set<host_id>& busy) {
   known_host* last = nullptr;
@@ -197,7 +200,8 @@
       ++visited_hosts_;
       known_host* known = it->second;
       if (known->host.pool != pool && busy.count(known->host.host) == 0) {
-        const bool is_later = last == nullptr || known->place > last->place;
+        const bool is_later =
+            last == nullptr || known->position > last->position;
         last = is_later ? known : last;
         break;
       }
@@ -218,43 +222,43 @@
     }
   }
   // The pool that misses most goes first, VM by VM.
-  std::set<pool_id> unserved;
+  std::set<pool_id> unsatisfied;
   while (true) {
-    const pool_id* neediest = nullptr;
+    const pool_id* most_deficient = nullptr;
     std::int64_t most = 0;
     for (const auto& [pool, wanted] : wanted_) {
       const std::int64_t missing = std::int64_t{wanted} - CountOf(pool);
-      if (missing > most && unserved.count(pool) == 0) {
+      if (missing > most && unsatisfied.count(pool) == 0) {
         most = missing;
-        neediest = &pool;
+        most_deficient = &pool;
       }
     }
-    if (neediest == nullptr) {
+    if (most_deficient == nullptr) {
       break;
     }
-    if (known_host* chosen = FindFree(*neediest, busy)) {
-      Order(chosen, *neediest, now, &moves);
+    if (known_host* chosen = FindMovable(*most_deficient, busy)) {
+      OrderMove(chosen, *most_deficient, now, &moves);
     } else {
-      unserved.insert(*neediest);
+      unsatisfied.insert(*most_deficient);
     }
   }
-  PutAside(busy, unserved, now, &moves);
+  MoveToSparePool(busy, unsatisfied, now, &moves);
   return moves;
 }
 
 // Sends hosts that nobody has wanted for a while to the spare pool; at once
 // those that their own pools want back, since there is no other way.
-void fleet_balancer::PutAside(const std::set<host_id>& busy,
-                              const std::set<pool_id>& wanting,
-                              time_point now,
-                              std::vector<move_host>* moves) {
+void fleet_balancer::MoveToSparePool(const std::set<host_id>& busy,
+                                     const std::set<pool_id>& wanting,
+                                     time_point now,
+                                     std::vector<move_host>* moves) {
   if (spare_.empty()) {
     return;
   }
   const duration delay =
-      is_scarce_ ? settings_.scarce_spare_delay : settings_.spare_delay;
+      has_shortage_ ? settings_.shortage_spare_delay : settings_.spare_delay;
   std::vector<known_host*> unwanted;
-  for (const auto& [place, known] : free_offers_) {
+  for (const auto& [position, known] : free_offers_) {
     unwanted.push_back(known);
   }
   visited_hosts_ += unwanted.size();
@@ -266,7 +270,7 @@
     const time_point begin = known->unwanted_since.value_or(now);
     const bool is_wanted_back = wanting.count(known->host.pool) != 0;
     if (is_wanted_back || now - begin >= delay) {
-      Order(known, *spare_.begin(), now, moves);
+      OrderMove(known, *spare_.begin(), now, moves);
     } else {
       known->unwanted_since = begin;
     }
--- a/src/core/jobs/fleet_list.cc
+++ b/src/core/jobs/fleet_list.cc
@@ -16,9 +16,10 @@
 
 }  // namespace
 
-std::vector<fleet_host> KeepFaultyHosts(std::vector<fleet_host> readable,
-                                        const std::vector<host_id>& faulty,
-                                        const std::vector<fleet_host>& before) {
+std::vector<fleet_host> AddUnreadableHosts(
+    std::vector<fleet_host> readable,
+    const std::vector<host_id>& unreadable,
+    const std::vector<fleet_host>& previous) {
   std::set<host_id> listed;
   for (const fleet_host& host : readable) {
     listed.insert(host.host);
@@ -28,13 +29,13 @@
       readable.push_back(Unusable(name));
     }
   };
-  for (const host_id& name : faulty) {
+  for (const host_id& name : unreadable) {
     keep(name);
   }
-  const bool is_one_nameless =
-      std::find(faulty.begin(), faulty.end(), "") != faulty.end();
-  if (is_one_nameless) {
-    for (const fleet_host& host : before) {
+  const bool has_unnamed_row =
+      std::find(unreadable.begin(), unreadable.end(), "") != unreadable.end();
+  if (has_unnamed_row) {
+    for (const fleet_host& host : previous) {
       keep(host.host);
     }
   }
--- a/src/core/jobs/host_order_queue.cc
+++ b/src/core/jobs/host_order_queue.cc
@@ -26,8 +26,8 @@
                                 std::vector<host_order>* taken) {
   std::vector<host_order> left;
   for (host_order& order : from->waiting) {
-    if (from->under_way < from->most && may_order(HostOf(order))) {
-      ++from->under_way;
+    if (from->in_flight < from->limit && may_order(HostOf(order))) {
+      ++from->in_flight;
       taken->push_back(std::move(order));
     } else {
       left.push_back(std::move(order));
@@ -36,9 +36,9 @@
   from->waiting = std::move(left);
 }
 
-void host_order_queue::GiveBack(const std::vector<host_order>& orders) {
+void host_order_queue::Requeue(const std::vector<host_order>& orders) {
   for (const host_order& order : orders) {
-    NoteOver(order);
+    NoteFinished(order);
     Add(order);
   }
 }
--- a/src/core/jobs/job_age.cc
+++ b/src/core/jobs/job_age.cc
@@ -5,10 +5,10 @@
 namespace plantainhead::core::jobs {
 
 duration AgeOf(const job_spec& job, time_point wall_now) {
-  if (!job.handed_in_at) {
+  if (!job.submitted_at) {
     return duration::zero();
   }
-  return std::clamp(wall_now - *job.handed_in_at, duration::zero(), kMostAge);
+  return std::clamp(wall_now - *job.submitted_at, duration::zero(), kMaxAge);
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/job_result.cc
+++ b/src/core/jobs/job_result.cc
@@ -18,15 +18,15 @@
   if (result.repeated_runs > 0) {
     return job_verdict::kRunsRepeated;
   }
-  const time_point latest_start = result.deadline - result.chain;
+  const time_point latest_start = result.deadline - result.critical_path;
   const bool began_late =
       !result.started_at || *result.started_at > latest_start;
   const bool has_waited = result.waits.total() >= ended_at - result.deadline;
   if (!began_late && !has_waited) {
     return job_verdict::kRanLong;
   }
-  return result.waits.Main() == wait_cause::kRoom
-             ? job_verdict::kWaitedForRoom
+  return result.waits.MainCause() == wait_cause::kCapacity
+             ? job_verdict::kWaitedForCapacity
              : job_verdict::kWaitedForOwner;
 }
 
--- a/src/core/jobs/job_state.cc
+++ b/src/core/jobs/job_state.cc
@@ -17,10 +17,10 @@
 job_state::job_state(std::shared_ptr<const job_spec> spec,
                      const queue_policy& policy,
                      time_point arrived_at,
-                     time_point handed_in_at)
+                     time_point submitted_at)
     : spec_(std::move(spec)),
       arrived_at_(arrived_at),
-      handed_in_at_(handed_in_at) {
+      submitted_at_(submitted_at) {
   SetPolicy(policy);
   if (!spec_->schedule) {
     Open(0);
@@ -31,7 +31,7 @@
   policy_ = policy;
   const double allowed =
       policy.stretch * static_cast<double>(LongestChain().count());
-  deadline_ = handed_in_at_ + duration(static_cast<std::int64_t>(allowed)) +
+  deadline_ = submitted_at_ + duration(static_cast<std::int64_t>(allowed)) +
               policy.latency_target;
 }
 
@@ -102,7 +102,7 @@
   return spec_->schedule->first_due + opened_ * spec_->schedule->interval;
 }
 
-task_state* job_state::Find(const task_name& name) {
+job_task_state* job_state::Find(const task_name& name) {
   const auto occurrence = occurrences_.find(name.occurrence);
   if (occurrence == occurrences_.end()) {
     return nullptr;
@@ -134,30 +134,30 @@
   return false;
 }
 
-bool job_state::SkipUntoldRuns(std::uint32_t count) {
+bool job_state::SkipUnreportedRuns(std::uint32_t count) {
   if (has_skipped_runs_ || IsFinal(phase_)) {
     return false;
   }
   has_skipped_runs_ = true;
   for (const auto& [number, occurrence] : occurrences_) {
     for (const step_state& step : occurrence.steps) {
-      for (const task_state& task : step.tasks) {
-        untold_runs_ = std::max(untold_runs_, task.last_run);
+      for (const job_task_state& task : step.tasks) {
+        unreported_runs_ = std::max(unreported_runs_, task.last_run);
       }
     }
   }
-  untold_runs_ += count;
+  unreported_runs_ += count;
   return true;
 }
 
-void job_state::NoteTold(const task_name& name, std::uint32_t run) {
-  if (task_state* task = Find(name)) {
+void job_state::NoteReportedRun(const task_name& name, std::uint32_t run) {
+  if (job_task_state* task = Find(name)) {
     task->last_run = std::max(task->last_run, run);
   }
 }
 
 void job_state::MarkPlaced(const task_name& name, std::uint32_t run) {
-  task_state& task = *Find(name);
+  job_task_state& task = *Find(name);
   if (task.phase == task_phase::kWaiting) {
     task.phase = task_phase::kPlaced;
     ++occurrences_[name.occurrence].steps[name.step].placed;
@@ -165,7 +165,7 @@
   task.last_run = std::max(task.last_run, run);
 }
 
-bool job_state::MarkBegun() {
+bool job_state::MarkRunning() {
   if (phase_ != job_phase::kQueued) {
     return false;
   }
@@ -174,14 +174,14 @@
 }
 
 void job_state::MarkWaiting(const task_name& name) {
-  task_state* task = Find(name);
+  job_task_state* task = Find(name);
   if (task != nullptr && task->phase == task_phase::kPlaced) {
     task->phase = task_phase::kWaiting;
     --occurrences_[name.occurrence].steps[name.step].placed;
   }
 }
 
-void job_state::MarkDone(step_state* step, task_state* task) {
+void job_state::MarkDone(step_state* step, job_task_state* task) {
   if (task->phase == task_phase::kDone) {
     return;
   }
@@ -202,7 +202,7 @@
                          end_kind how,
                          const std::string& checkpoint,
                          const vm_id& vm) {
-  task_state* task = Find(name);
+  job_task_state* task = Find(name);
   if (task == nullptr) {
     return false;
   }
@@ -218,9 +218,9 @@
   }
   const step_spec& step = StepOf(name);
   step_state& steps = occurrences_[name.occurrence].steps[name.step];
-  if (how == end_kind::kDone && !step.lasting) {
+  if (how == end_kind::kDone && !step.long_running) {
     if (step.gang) {
-      for (task_state& member : steps.tasks) {
+      for (job_task_state& member : steps.tasks) {
         member.ended_run = std::max(member.ended_run, run);
       }
     }
@@ -239,7 +239,7 @@
 }
 
 bool job_state::CountFailure(const task_name& name,
-                             task_state* task,
+                             job_task_state* task,
                              std::uint32_t run) {
   std::vector<std::uint32_t>& failed = task->failed_runs;
   if (task->phase == task_phase::kDone) {
@@ -249,7 +249,7 @@
     return false;
   }
   failed.push_back(run);
-  if (failed.size() >= policy_.max_attempts && !StepOf(name).lasting) {
+  if (failed.size() >= policy_.max_attempts && !StepOf(name).long_running) {
     Finish(job_phase::kFailed);
   }
   return true;
@@ -260,7 +260,7 @@
 // record, and a later run's may be read before an earlier one's. A failure that
 // isn't counted would let the task start once more than its queue allows.
 bool job_state::ApplyLate(const task_name& name,
-                          task_state* task,
+                          job_task_state* task,
                           std::uint32_t run,
                           end_kind how) {
   if (how == end_kind::kFailed) {
@@ -268,7 +268,7 @@
   }
   const bool is_done = how == end_kind::kDone &&
                        task->phase != task_phase::kDone &&
-                       !StepOf(name).lasting;
+                       !StepOf(name).long_running;
   if (is_done) {
     task->is_presumed = false;
     CompleteTask(name, task);
@@ -277,10 +277,10 @@
 }
 
 // One end as done stands for all members of a gang.
-void job_state::CompleteTask(const task_name& name, task_state* task) {
+void job_state::CompleteTask(const task_name& name, job_task_state* task) {
   step_state& step = occurrences_[name.occurrence].steps[name.step];
   if (StepOf(name).gang) {
-    for (task_state& member : step.tasks) {
+    for (job_task_state& member : step.tasks) {
       MarkDone(&step, &member);
     }
   }
@@ -289,7 +289,7 @@
 }
 
 bool job_state::PresumeEnd(const task_name& name, std::uint32_t run) {
-  task_state* task = Find(name);
+  job_task_state* task = Find(name);
   if (task == nullptr || run <= task->ended_run) {
     return false;
   }
@@ -304,7 +304,7 @@
 }
 
 bool job_state::CountLoss(const task_name& name, const run_loss& loss) {
-  task_state* task = Find(name);
+  job_task_state* task = Find(name);
   if (task == nullptr || !IsEvidence(loss.kind)) {
     return false;
   }
@@ -329,7 +329,8 @@
   return true;
 }
 
-bool job_state::WithdrawLosses(const vm_id& vm, const life_mark& born) {
+bool job_state::WithdrawLosses(const vm_id& vm,
+                               const vm_incarnation& incarnation) {
   if (!has_losses_) {
     return false;
   }
@@ -337,10 +338,11 @@
   has_losses_ = false;
   for (auto& [number, occurrence] : occurrences_) {
     for (step_state& step : occurrence.steps) {
-      for (task_state& task : step.tasks) {
+      for (job_task_state& task : step.tasks) {
         const auto count =
             std::erase_if(task.losses, [&](const run_loss& loss) {
-              return loss.vm == vm && !AreOtherLives(loss.born, born);
+              return loss.vm == vm &&
+                     !AreDifferentIncarnations(loss.incarnation, incarnation);
             });
         is_withdrawn = is_withdrawn || count > 0;
         has_losses_ = has_losses_ || !task.losses.empty();
@@ -350,9 +352,9 @@
   return is_withdrawn;
 }
 
-bool job_state::ForgetLosses(const task_name& name) {
-  task_state* task = Find(name);
-  if (task == nullptr || task->losses.empty() || !StepOf(name).lasting) {
+bool job_state::ClearLosses(const task_name& name) {
+  job_task_state* task = Find(name);
+  if (task == nullptr || task->losses.empty() || !StepOf(name).long_running) {
     return false;
   }
   task->losses.clear();
@@ -387,14 +389,14 @@
     return;
   }
   phase_ = progress.phase;
-  untold_runs_ = progress.untold_runs;
+  unreported_runs_ = progress.unreported_runs;
   for (const task_record& record : progress.tasks) {
     const bool is_valid = record.occurrence < OccurrencesOf(*spec_) &&
                           record.step < spec_->steps.size();
     while (is_valid && opened_ <= record.occurrence) {
       Open(opened_);
     }
-    task_state* task =
+    job_task_state* task =
         Find({spec_->id, record.occurrence, record.step, record.index});
     if (task == nullptr) {
       continue;
@@ -420,10 +422,10 @@
   result.id = spec_->id;
   result.queue = spec_->queue;
   result.phase = phase_;
-  result.arrived_at = handed_in_at_;
+  result.arrived_at = submitted_at_;
   result.started_at = started_at_;
   result.deadline = deadline_;
-  result.chain = LongestChain();
+  result.critical_path = LongestChain();
   result.waits = waits_;
   result.repeated_runs = repeated_runs_;
   result.is_inherited = is_inherited_;
@@ -434,12 +436,12 @@
 job_progress job_state::Progress() const {
   job_progress progress;
   progress.phase = phase_;
-  progress.untold_runs = untold_runs_;
+  progress.unreported_runs = unreported_runs_;
   for (const auto& [number, occurrence] : occurrences_) {
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
-      const std::vector<task_state>& tasks = occurrence.steps[s].tasks;
+      const std::vector<job_task_state>& tasks = occurrence.steps[s].tasks;
       for (std::uint32_t i = 0; i < tasks.size(); ++i) {
-        const task_state& task = tasks[i];
+        const job_task_state& task = tasks[i];
         if (task.ended_run == 0 && task.losses.empty()) {
           continue;
         }
