--- a/src/core/jobs/job_state.h
+++ b/src/core/jobs/job_state.h
@@ -24,7 +24,7 @@
   kDone,
 };
 
-struct task_state {
+struct job_task_state {
   task_phase phase = task_phase::kWaiting;
   /// Highest run that was ever ordered or listed.
   std::uint32_t last_run = 0;
@@ -44,7 +44,7 @@
 };
 
 struct step_state {
-  std::vector<task_state> tasks;
+  std::vector<job_task_state> tasks;
   std::uint32_t done = 0;
   std::uint32_t placed = 0;
 
@@ -64,12 +64,12 @@
 class job_state {
  public:
   /// Preconditions: `spec` is set and has a step; `arrived_at` is when this
-  /// process learned of the job, and `handed_in_at`, which isn't later, when
+  /// process learned of the job, and `submitted_at`, which isn't later, when
   /// its caller handed it in.
   job_state(std::shared_ptr<const job_spec> spec,
             const queue_policy& policy,
             time_point arrived_at,
-            time_point handed_in_at);
+            time_point submitted_at);
 
   const job_spec& spec() const { return *spec_; }
   const std::shared_ptr<const job_spec>& shared_spec() const { return spec_; }
@@ -79,9 +79,9 @@
   /// When the job should have ended, by its caller's estimates.
   time_point deadline() const { return deadline_; }
   /// Tells only whether an earlier owner may have started the job. What its
-  /// caller sees counts from `handed_in_at`.
+  /// caller sees counts from `submitted_at`.
   time_point arrived_at() const { return arrived_at_; }
-  time_point handed_in_at() const { return handed_in_at_; }
+  time_point submitted_at() const { return submitted_at_; }
   /// Notes that an earlier owner had accepted the job.
   void MarkInherited() { is_inherited_ = true; }
   /// Notes that a task was ordered to start.
@@ -92,7 +92,7 @@
   }
   /// Notes what its tasks wait for from now on.
   void NoteWait(std::optional<wait_cause> cause, time_point now) {
-    waits_.Note(cause, now);
+    waits_.SetCause(cause, now);
   }
   /// Returns whether a task waits whose step is open.
   bool HasWaiting() const;
@@ -113,7 +113,7 @@
     return occurrences_;
   }
   /// Returns the task, or null when the job has none of this name (any more).
-  task_state* Find(const task_name& name);
+  job_task_state* Find(const task_name& name);
   const step_spec& StepOf(const task_name& name) const {
     return spec_->steps[name.step];
   }
@@ -125,21 +125,21 @@
 
   /// Leaves out `count` run numbers that an earlier owner may have given, once
   /// in this object's life. Returns true when it is news.
-  bool SkipUntoldRuns(std::uint32_t count);
+  bool SkipUnreportedRuns(std::uint32_t count);
   /// Lets no task start before the batch is stored.
   void HoldUntilStored(std::uint64_t batch) { starts_after_batch_ = batch; }
   std::uint64_t starts_after_batch() const { return starts_after_batch_; }
   /// Notes that a VM has told of the run, of which nothing else is known.
-  void NoteTold(const task_name& name, std::uint32_t run);
+  void NoteReportedRun(const task_name& name, std::uint32_t run);
   /// Returns the number that the next run of the task gets.
-  std::uint32_t NextRun(const task_state& task) const {
-    return std::max(task.last_run, untold_runs_) + 1;
+  std::uint32_t NextRun(const job_task_state& task) const {
+    return std::max(task.last_run, unreported_runs_) + 1;
   }
   void MarkPlaced(const task_name& name, std::uint32_t run);
   /// Notes that a VM has taken a task. An order alone doesn't make a job run:
   /// it may be lost or refused, and callers would be told that the job runs,
   /// and operators that it doesn't wait. Returns true when it is news.
-  bool MarkBegun();
+  bool MarkRunning();
   /// The run is over without effect; the task waits again.
   void MarkWaiting(const task_name& name);
   /// Takes the end of a run that a VM has listed. Returns false when it was
@@ -158,10 +158,10 @@
   bool CountLoss(const task_name& name, const run_loss& loss);
   /// Takes back what was counted for runs on a VM of which this life turns out
   /// to live. Returns false when nothing was.
-  bool WithdrawLosses(const vm_id& vm, const life_mark& born);
+  bool WithdrawLosses(const vm_id& vm, const vm_incarnation& incarnation);
   /// Forgets what counts against a lasting task that is at work. Returns false
   /// when nothing did.
-  bool ForgetLosses(const task_name& name);
+  bool ClearLosses(const task_name& name);
   /// Returns whether something may count against a task.
   bool HasLosses() const { return has_losses_; }
   void Cancel() { Finish(job_phase::kCancelled); }
@@ -169,15 +169,17 @@
  private:
   /// Takes an end of a run for which a later end, or a presumed one, is known.
   bool ApplyLate(const task_name& name,
-                 task_state* task,
+                 job_task_state* task,
                  std::uint32_t run,
                  end_kind how);
-  void CompleteTask(const task_name& name, task_state* task);
+  void CompleteTask(const task_name& name, job_task_state* task);
   /// Returns false when the failure was counted before, or the task is done.
-  bool CountFailure(const task_name& name, task_state* task, std::uint32_t run);
+  bool CountFailure(const task_name& name,
+                    job_task_state* task,
+                    std::uint32_t run);
   void Finish(job_phase phase);
   void Open(std::uint32_t occurrence);
-  void MarkDone(step_state* step, task_state* task);
+  void MarkDone(step_state* step, job_task_state* task);
   duration FindRemainingChain(const occurrence_state& occurrence) const;
   void CheckCompletion();
   duration LongestChain() const;
@@ -185,11 +187,11 @@
   std::shared_ptr<const job_spec> spec_;
   queue_policy policy_;
   time_point arrived_at_;
-  time_point handed_in_at_;
+  time_point submitted_at_;
   time_point deadline_;
   job_phase phase_ = job_phase::kQueued;
   std::optional<time_point> started_at_;
-  wait_clock waits_;
+  wait_time_tracker waits_;
   std::uint32_t repeated_runs_ = 0;
   bool is_inherited_ = false;
   bool is_given_up_ = false;
@@ -198,7 +200,7 @@
   std::map<std::uint32_t, occurrence_state> occurrences_;
   std::uint32_t opened_ = 0;
   /// See `job_progress`.
-  std::uint32_t untold_runs_ = 0;
+  std::uint32_t unreported_runs_ = 0;
   bool has_skipped_runs_ = false;
   std::uint64_t starts_after_batch_ = 0;
 };
--- a/src/core/jobs/job_table.cc
+++ b/src/core/jobs/job_table.cc
@@ -24,8 +24,8 @@
   }
   const std::vector<step_spec>& steps = job->spec().steps;
   if (std::any_of(steps.begin(), steps.end(),
-                  [](const step_spec& step) { return step.lasting; })) {
-    lasting_.emplace(id, job);
+                  [](const step_spec& step) { return step.long_running; })) {
+    long_running_.emplace(id, job);
   }
   return job;
 }
@@ -54,7 +54,7 @@
     waiting_.emplace(id, job);
     return;
   }
-  for (auto* jobs : {&open_, &waiting_, &scheduled_, &lasting_}) {
+  for (auto* jobs : {&open_, &waiting_, &scheduled_, &long_running_}) {
     jobs->erase(id);
   }
 }
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -42,7 +42,9 @@
   void NoteNoneWaits(const job_id& id) { waiting_.erase(id); }
   /// Open jobs with a schedule, and those with a step that lasts.
   const std::map<job_id, job_state*>& scheduled() const { return scheduled_; }
-  const std::map<job_id, job_state*>& lasting() const { return lasting_; }
+  const std::map<job_id, job_state*>& long_running() const {
+    return long_running_;
+  }
 
   /// Notes that something may count against the job's tasks.
   void NoteLosses(job_state* job);
@@ -60,7 +62,7 @@
   std::map<job_id, job_state*> open_;
   std::map<job_id, job_state*> waiting_;
   std::map<job_id, job_state*> scheduled_;
-  std::map<job_id, job_state*> lasting_;
+  std::map<job_id, job_state*> long_running_;
   std::set<job_id> changed_;
   std::set<job_id> with_losses_;
   std::unordered_set<job_id> ended_;
--- a/src/core/jobs/wave_keeper.cc
+++ b/src/core/jobs/maintenance_scheduler.cc
@@ -1,11 +1,11 @@
-#include "plantainhead/core/jobs/wave_keeper.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace plantainhead::core::jobs {
 
-bool wave_keeper::AddWave(const maintenance_wave& wave) {
+bool maintenance_scheduler::AddWave(const maintenance_wave& wave) {
   auto [found, is_new] = waves_.try_emplace(wave.number);
   if (!is_new) {
     return false;
@@ -23,7 +23,8 @@
 // released as no longer needed. One that was ordered waits for the answer to
 // its order, and one that is down for its return: that is what its own record
 // tells of.
-void wave_keeper::NoteServiced(std::uint64_t wave, const host_id& host) {
+void maintenance_scheduler::NoteServiced(std::uint64_t wave,
+                                         const host_id& host) {
   const auto found = waves_.find(wave);
   if (found == waves_.end()) {
     return;
@@ -38,19 +39,19 @@
   }
 }
 
-void wave_keeper::NoteCompleted(std::uint64_t wave) {
+void maintenance_scheduler::NoteCompleted(std::uint64_t wave) {
   const auto found = waves_.find(wave);
   if (found != waves_.end()) {
     found->second.is_complete = true;
   }
 }
 
-void wave_keeper::UpdateHosts(const std::vector<fleet_host>& hosts,
-                              const std::set<pool_id>& spare,
-                              time_point requested_at) {
+void maintenance_scheduler::UpdateHosts(const std::vector<fleet_host>& hosts,
+                                        const std::set<pool_id>& spare,
+                                        time_point requested_at) {
   for (auto& [name, listed] : hosts_) {
-    if (!listed.left_out_since) {
-      listed.left_out_since = requested_at;
+    if (!listed.unlisted_since) {
+      listed.unlisted_since = requested_at;
     }
   }
   host_of_vm_.clear();
@@ -66,13 +67,13 @@
   is_listed_ = true;
 }
 
-void wave_keeper::UpdateClosed(const std::set<vm_id>& vms) {
+void maintenance_scheduler::UpdateClosed(const std::set<vm_id>& vms) {
   closed_ = vms;
   std::erase_if(released_,
                 [this](const vm_id& vm) { return closed_.count(vm) == 0; });
 }
 
-void wave_keeper::NoteClosed(const vm_id& vm, bool is_closed) {
+void maintenance_scheduler::NoteClosed(const vm_id& vm, bool is_closed) {
   if (is_closed) {
     closed_.insert(vm);
   } else {
@@ -81,7 +82,7 @@
   }
 }
 
-void wave_keeper::NoteEmpty(const vm_id& vm, bool is_empty) {
+void maintenance_scheduler::NoteEmpty(const vm_id& vm, bool is_empty) {
   if (is_empty) {
     empty_.insert(vm);
   } else {
@@ -89,10 +90,10 @@
   }
 }
 
-void wave_keeper::OnServiceAnswer(std::uint64_t wave,
-                                  const host_id& host,
-                                  service_result result,
-                                  time_point now) {
+void maintenance_scheduler::OnServiceAnswer(std::uint64_t wave,
+                                            const host_id& host,
+                                            service_result result,
+                                            time_point now) {
   const auto found = waves_.find(wave);
   if (found == waves_.end()) {
     return;
@@ -105,10 +106,10 @@
       progress.phase = host_phase::kDown;
       progress.accepted_at = now;
       return;
-    case service_result::kNotNow:
+    case service_result::kTemporaryFailure:
       progress.phase = host_phase::kClosing;
       return;
-    case service_result::kNever:
+    case service_result::kPermanentFailure:
       progress.phase = host_phase::kDone;
       return;
     case service_result::kUnknown:
@@ -117,7 +118,7 @@
   }
 }
 
-bool wave_keeper::HasWork() const {
+bool maintenance_scheduler::HasWork() const {
   return std::any_of(waves_.begin(), waves_.end(), [](const auto& entry) {
     return !entry.second.is_complete ||
            std::any_of(entry.second.hosts.begin(), entry.second.hosts.end(),
@@ -127,7 +128,7 @@
   });
 }
 
-std::set<host_id> wave_keeper::BusyHosts() const {
+std::set<host_id> maintenance_scheduler::BusyHosts() const {
   std::set<host_id> busy;
   for (const auto& [number, wave] : waves_) {
     for (const auto& [host, progress] : wave.hosts) {
@@ -140,14 +141,15 @@
   return busy;
 }
 
-const wave_keeper::listed_host* wave_keeper::FindHost(
+const maintenance_scheduler::listed_host* maintenance_scheduler::FindHost(
     const host_id& host) const {
   const auto found = hosts_.find(host);
   return found == hosts_.end() ? nullptr : &found->second;
 }
 
-const wave_keeper::listed_host* wave_keeper::FindHost(const host_id& host,
-                                                      host_progress* progress) {
+const maintenance_scheduler::listed_host* maintenance_scheduler::FindHost(
+    const host_id& host,
+    host_progress* progress) {
   if (progress->listed == nullptr) {
     progress->listed = FindHost(host);
   }
@@ -157,14 +159,14 @@
 // Only lists without the host tell that it left. Measured from the last list
 // that had it, a time in which no list can be read would count as absence: one
 // list without a host that is away for a moment would complete the wave.
-bool wave_keeper::IsMissing(const listed_host* listed) const {
+bool maintenance_scheduler::IsMissing(const listed_host* listed) const {
   const std::optional<time_point> since =
-      listed == nullptr ? first_requested_at_ : listed->left_out_since;
+      listed == nullptr ? first_requested_at_ : listed->unlisted_since;
   return since && requested_at_ - *since > settings_.missing_limit;
 }
 
 // Returns how many VMs of each pool are being emptied or are down.
-std::map<pool_id, std::uint32_t> wave_keeper::CountBusy() {
+std::map<pool_id, std::uint32_t> maintenance_scheduler::CountBusy() {
   std::map<pool_id, std::uint32_t> busy;
   for (auto& [number, wave] : waves_) {
     for (auto& [host, progress] : wave.hosts) {
@@ -183,8 +185,8 @@
 // list that was asked for before the host went down shows it as up, and a host
 // of a spare pool has no life to compare: taken for back, it would let one host
 // too many go down.
-void wave_keeper::NoteReturns(fleet_wave* wave,
-                              std::vector<wave_action>* actions) {
+void maintenance_scheduler::NoteReturns(fleet_wave* wave,
+                                        std::vector<wave_action>* actions) {
   for (auto& [host, progress] : wave->hosts) {
     if (progress.phase != host_phase::kDown) {
       continue;
@@ -210,26 +212,27 @@
   }
 }
 
-bool wave_keeper::IsReady(const host_progress& progress,
-                          const fleet_host& host) const {
+bool maintenance_scheduler::IsReady(const host_progress& progress,
+                                    const fleet_host& host) const {
   return host.vm.empty() || spare_.count(host.pool) != 0 ||
          empty_.count(progress.vm) != 0;
 }
 
-bool wave_keeper::RunsTasks(const fleet_host& host) const {
+bool maintenance_scheduler::RunsTasks(const fleet_host& host) const {
   return !host.vm.empty() && spare_.count(host.pool) == 0;
 }
 
 // Returns how many of the pools' hosts must be in hand for the wave to end in
 // time. All that it allows, if its time isn't known.
-std::uint32_t wave_keeper::NeededAtOnce(const fleet_wave& wave,
-                                        time_point now) const {
-  const std::uint32_t most = wave.wave.most_at_once + settings_.emptied_ahead;
+std::uint32_t maintenance_scheduler::RequiredConcurrency(const fleet_wave& wave,
+                                                         time_point now) const {
+  const std::uint32_t most = wave.wave.max_concurrent + settings_.drained_ahead;
   if (!wave.wave.published_at) {
     return most;
   }
   const auto usable = static_cast<std::int64_t>(
-      static_cast<double>(wave.wave.time_limit.count()) * settings_.pace_share);
+      static_cast<double>(wave.wave.time_limit.count()) *
+      settings_.deadline_share);
   const duration left = *wave.wave.published_at + duration(usable) - now;
   const auto open = std::count_if(
       wave.hosts.begin(), wave.hosts.end(), [](const auto& entry) {
@@ -243,7 +246,7 @@
   return std::min(most, static_cast<std::uint32_t>(needed));
 }
 
-std::vector<wave_keeper::due_host> wave_keeper::DueHosts(
+std::vector<maintenance_scheduler::due_host> maintenance_scheduler::DueHosts(
     fleet_wave* wave,
     std::map<pool_id, std::uint32_t>* busy) {
   std::vector<due_host> due;
@@ -260,7 +263,7 @@
 
 // Returns a host whose VM an earlier keeper has closed. Its pool misses the VM
 // already; were other hosts closed first, it would miss both.
-wave_keeper::due_iterator wave_keeper::FindClosed(
+maintenance_scheduler::due_iterator maintenance_scheduler::FindClosed(
     std::vector<due_host>* due) const {
   return std::find_if(due->begin(), due->end(), [this](const due_host& next) {
     return closed_.count(next.host->vm) != 0;
@@ -269,16 +272,17 @@
 
 // Returns the next host, spread over the pools, so that none loses many VMs at
 // once.
-wave_keeper::due_iterator wave_keeper::FindNext(std::vector<due_host>* due,
-                                                bool only_spare,
-                                                bool spares_short) const {
+maintenance_scheduler::due_iterator maintenance_scheduler::FindNext(
+    std::vector<due_host>* due,
+    bool only_spare,
+    bool protect_undersized) const {
   auto next = due->end();
   std::uint32_t least = 0;
   for (auto it = due->begin(); it != due->end(); ++it) {
     const bool runs_tasks = RunsTasks(*it->host);
-    const bool is_missed =
-        runs_tasks && spares_short && short_.count(it->host->pool) != 0;
-    if (is_missed || (runs_tasks && only_spare)) {
+    const bool is_protected = runs_tasks && protect_undersized &&
+                              undersized_.count(it->host->pool) != 0;
+    if (is_protected || (runs_tasks && only_spare)) {
       continue;
     }
     const std::uint32_t busy = runs_tasks ? 1 + *it->busy : 0;
@@ -296,11 +300,12 @@
 // as long as for two moves, so that only as many are in hand as the wave's time
 // demands. The same always holds for the pools' hosts, and none of a pool that
 // lacks VMs is taken before all that the wave allows are needed.
-void wave_keeper::CloseNext(fleet_wave* wave,
-                            time_point now,
-                            std::vector<wave_action>* actions) {
-  const std::uint32_t most = wave->wave.most_at_once + settings_.emptied_ahead;
-  const std::uint32_t needed = NeededAtOnce(*wave, now);
+void maintenance_scheduler::CloseNext(fleet_wave* wave,
+                                      time_point now,
+                                      std::vector<wave_action>* actions) {
+  const std::uint32_t most =
+      wave->wave.max_concurrent + settings_.drained_ahead;
+  const std::uint32_t needed = RequiredConcurrency(*wave, now);
   std::uint32_t begun = 0;
   std::uint32_t begun_in_pools = 0;
   for (const auto& [host, progress] : wave->hosts) {
@@ -309,7 +314,7 @@
     begun += is_begun ? 1 : 0;
     begun_in_pools += is_begun && !progress.vm.empty() ? 1 : 0;
   }
-  const std::uint32_t limit = short_.empty() ? most : needed;
+  const std::uint32_t limit = undersized_.empty() ? most : needed;
   if (begun >= most) {
     return;
   }
@@ -339,9 +344,9 @@
   }
 }
 
-void wave_keeper::PlanWave(fleet_wave* wave,
-                           time_point now,
-                           std::vector<wave_action>* actions) {
+void maintenance_scheduler::PlanWave(fleet_wave* wave,
+                                     time_point now,
+                                     std::vector<wave_action>* actions) {
   NoteReturns(wave, actions);
   if (wave->is_complete) {
     return;
@@ -379,7 +384,7 @@
     const bool is_turn = progress.phase == host_phase::kClosing &&
                          listed->host.state == host_state::kUp &&
                          IsReady(progress, listed->host) &&
-                         down < wave->wave.most_at_once;
+                         down < wave->wave.max_concurrent;
     if (is_repeat || is_turn) {
       down += is_turn ? 1 : 0;
       progress.phase = host_phase::kOrdered;
@@ -402,7 +407,7 @@
 }
 
 // Returns the VMs that are being emptied, or may be serviced, for a wave.
-std::set<vm_id> wave_keeper::NeededVms() const {
+std::set<vm_id> maintenance_scheduler::NeededVms() const {
   std::set<vm_id> needed;
   for (const auto& [number, wave] : waves_) {
     for (const auto& [host, progress] : wave.hosts) {
@@ -422,7 +427,7 @@
   return needed;
 }
 
-bool wave_keeper::IsSurelyNeeded(const vm_id& vm) const {
+bool maintenance_scheduler::IsConfirmedNeeded(const vm_id& vm) const {
   const auto host = host_of_vm_.find(vm);
   if (host == host_of_vm_.end()) {
     return false;
@@ -442,12 +447,12 @@
 // left while the wave ended, or by a keeper that was lost before it took that
 // back. It would take no tasks for the rest of its life, and its pool would
 // miss it. Released, it is used again, or given away if it is vacant already.
-void wave_keeper::ReleaseUnneeded(std::vector<wave_action>* actions) {
+void maintenance_scheduler::ReleaseUnneeded(std::vector<wave_action>* actions) {
   std::vector<vm_id> unreleased;
   std::set_difference(closed_.begin(), closed_.end(), released_.begin(),
                       released_.end(), std::back_inserter(unreleased));
   std::erase_if(unreleased,
-                [this](const vm_id& vm) { return IsSurelyNeeded(vm); });
+                [this](const vm_id& vm) { return IsConfirmedNeeded(vm); });
   if (unreleased.empty()) {
     return;
   }
@@ -459,14 +464,15 @@
   }
 }
 
-void wave_keeper::Release(const vm_id& vm, std::vector<wave_action>* actions) {
+void maintenance_scheduler::Release(const vm_id& vm,
+                                    std::vector<wave_action>* actions) {
   if (closed_.count(vm) != 0) {
     released_.insert(vm);
   }
   actions->emplace_back(release_vm{vm});
 }
 
-std::vector<wave_action> wave_keeper::Plan(time_point now) {
+std::vector<wave_action> maintenance_scheduler::Plan(time_point now) {
   std::vector<wave_action> actions;
   if (!is_listed_) {
     return actions;
--- a/src/core/jobs/pool_answers.cc
+++ b/src/core/jobs/pool_answers.cc
@@ -14,10 +14,10 @@
   }
 }
 
-void pool_scheduler::impl::TakeStartAnswer(vm_state* vm,
-                                           const run_ref& target,
-                                           start_result result,
-                                           time_point now) {
+void pool_scheduler::impl::ProcessStartAnswer(vm_state* vm,
+                                              const run_ref& target,
+                                              start_result result,
+                                              time_point now) {
   run_state* run = vm->Find(target.task, target.run);
   if (run == nullptr) {
     return;
@@ -28,22 +28,22 @@
       if (!run->confirmed_at) {
         run->confirmed_at = now;
         run->progressed_at = now;
-        NoteBegun(jobs_.Find(target.task.job));
+        NoteRunning(jobs_.Find(target.task.job));
       }
       return;
     case start_result::kUnknown:
       NoteUnansweredStart(vm, target, now);
-      NoteUnsettled(run, now);
+      NoteStartUnknown(run, now);
       return;
-    case start_result::kNoRoom:
-    case start_result::kUnwell:
+    case start_result::kNoCapacity:
+    case start_result::kUnhealthy:
     case start_result::kNotSent:
-    case start_result::kLate:
+    case start_result::kOrderExpired:
       vm->avoid_until =
           std::max(vm->avoid_until, now + settings_.refusal_pause);
       EndRun(vm, target.task);
       return;
-    case start_result::kOldRun:
+    case start_result::kStaleRun:
       EndRun(vm, target.task);
       return;
     case start_result::kInvalid: {
@@ -68,21 +68,21 @@
 // confirmed there the task must not start elsewhere. A lasting task may be at
 // work already, and a stop would take it from its users; so the VM tells first
 // whether it runs. Other tasks are stopped at once: they would only wait.
-void pool_scheduler::impl::NoteUnsettled(run_state* run, time_point now) {
+void pool_scheduler::impl::NoteStartUnknown(run_state* run, time_point now) {
   if (run->confirmed_at) {
     return;
   }
-  if (run->IsLasting()) {
-    run->unsettled_since = now;
+  if (run->IsLongRunning()) {
+    run->start_unknown_since = now;
   } else {
     run->is_stop_wanted = true;
   }
 }
 
-void pool_scheduler::impl::TakeStopAnswer(vm_state* vm,
-                                          const run_ref& target,
-                                          bool is_answered,
-                                          time_point now) {
+void pool_scheduler::impl::ProcessStopAnswer(vm_state* vm,
+                                             const run_ref& target,
+                                             bool is_answered,
+                                             time_point now) {
   run_state* run = vm->Find(target.task, target.run);
   if (run == nullptr) {
     return;
@@ -90,7 +90,7 @@
   run->is_stop_in_flight = false;
   // It may be the former life that has stopped the run, and the present one may
   // start it yet.
-  const bool may_be_former = run->stop_sent_at < vm->life_known_at();
+  const bool may_be_former = run->stop_sent_at < vm->incarnation_known_at();
   if (may_be_former) {
     run->next_stop_at = now;
   } else if (is_answered) {
@@ -102,7 +102,7 @@
 
 hold_parameters pool_scheduler::impl::NextHold(vm_state* vm, time_point now) {
   hold_parameters hold;
-  const bool has_unacked = vm->acknowledged_through < vm->taken_through;
+  const bool has_unacked = vm->acknowledged_through < vm->processed_through;
   if (!vm->IsReachable()) {
     // A VM that doesn't answer gets no longer lease: what may be running there
     // can start elsewhere only after the last lease is over. Nor is any end
@@ -113,14 +113,15 @@
   hold.lease_until = vm->Grant(settings_.lease, now);
   const bool has_stops =
       std::any_of(vm->runs().begin(), vm->runs().end(), [](const auto& entry) {
-        return entry.second.is_stop_wanted || entry.second.unsettled_since;
+        return entry.second.is_stop_wanted || entry.second.start_unknown_since;
       });
   if (has_unacked || has_stops) {
     hold.wait = settings_.watch_wait / 10;
   } else {
-    hold.wait = vm->HasServing() ? settings_.watch_wait : settings_.hold_wait;
+    hold.wait =
+        vm->HasLatencySensitive() ? settings_.watch_wait : settings_.hold_wait;
   }
-  if (vm->HasFreshSuspect()) {
+  if (vm->HasNewlyStartedSuspect()) {
     hold.wait = std::min(hold.wait, settings_.suspect_wait);
   }
   return hold;
--- a/src/core/jobs/pool_size.cc
+++ b/src/core/jobs/pool_load.cc
@@ -8,15 +8,15 @@
 pool_load pool_scheduler::impl::Load(const pool_id& pool, time_point now) {
   pool_load load;
   IndexChanged(now);
-  if (const pool_figures* figures = index_.Find(pool)) {
-    load.usable_vms = figures->usable_vms;
-    load.stages = figures->stages;
-    load.used = figures->used;
+  if (const pool_vm_index* pool_index = index_.Find(pool)) {
+    load.usable_vms = pool_index->usable_vms;
+    load.stages = pool_index->stages;
+    load.used = pool_index->used;
     if (load.usable_vms > 0) {
       const std::int64_t count = load.usable_vms;
-      load.vm_capacity = {figures->capacity.cpu_millis / count,
-                          figures->capacity.memory_mb / count,
-                          figures->capacity.gpus / count};
+      load.vm_capacity = {pool_index->capacity.cpu_millis / count,
+                          pool_index->capacity.memory_mb / count,
+                          pool_index->capacity.gpus / count};
     }
   }
   for (const auto& [id, job] : jobs_.waiting()) {
@@ -24,7 +24,7 @@
       AddDemand(job, now, &load);
     }
   }
-  for (const auto& [id, job] : jobs_.lasting()) {
+  for (const auto& [id, job] : jobs_.long_running()) {
     if (job->spec().pool == pool) {
       AddSpread(*job, &load);
     }
@@ -45,15 +45,15 @@
       // A job that is late anyway draws no VMs: it gains little by ending
       // somewhat earlier, and runs in what room there is.
       const bool is_late =
-          !step.lasting &&
+          !step.long_running &&
           now + job->RemainingChain(&occurrence) > job->deadline();
       if (is_late || !job->IsOpen(occurrence, s)) {
         continue;
       }
-      const resources room = RoomOf(step);
-      load->waiting = load->waiting + resources{waiting * room.cpu_millis,
-                                                waiting * room.memory_mb,
-                                                waiting * room.gpus};
+      const resources demand = DemandOf(step);
+      load->waiting = load->waiting + resources{waiting * demand.cpu_millis,
+                                                waiting * demand.memory_mb,
+                                                waiting * demand.gpus};
     }
   }
 }
@@ -63,10 +63,10 @@
     return;
   }
   for (const step_spec& step : job.spec().steps) {
-    if (step.lasting && step.most_per_vm > 0) {
+    if (step.long_running && step.max_per_vm > 0) {
       load->spread =
           std::max(load->spread,
-                   (step.task_count + step.most_per_vm - 1) / step.most_per_vm);
+                   (step.task_count + step.max_per_vm - 1) / step.max_per_vm);
     }
   }
 }
@@ -75,11 +75,11 @@
                                                    std::size_t count) {
   IndexChanged(indexed_at_);
   std::vector<vm_id> chosen;
-  const pool_figures* figures = index_.Find(pool);
-  if (figures == nullptr) {
+  const pool_vm_index* pool_index = index_.Find(pool);
+  if (pool_index == nullptr) {
     return chosen;
   }
-  for (const ranked_vm& idle : figures->idle) {
+  for (const ranked_vm& idle : pool_index->idle) {
     if (chosen.size() == count) {
       break;
     }
--- a/src/core/jobs/pool_placement.cc
+++ b/src/core/jobs/pool_placement.cc
@@ -9,7 +9,7 @@
 
 // Lasting tasks go before all priorities, and jobs that will be late after
 // them.
-constexpr int kLastingRank = -1;
+constexpr int kLongRunningRank = -1;
 constexpr int kLateRank = 1000;
 
 bool HasLabel(const vm_description& vm, const std::string& label) {
@@ -18,25 +18,25 @@
 }
 
 // How little VMs of the kind suit a task of the step.
-int BurdenOf(std::size_t kind, const step_spec& step) {
-  int burden = 0;
-  if (step.fills) {
-    burden += taker_list::HasServing(kind) ? 2 : 0;
+int PenaltyOf(std::size_t kind, const step_spec& step) {
+  int penalty = 0;
+  if (step.best_effort) {
+    penalty += available_vm_list::HasLatencySensitive(kind) ? 2 : 0;
   }
-  if (step.lasting) {
-    burden += taker_list::HasLasting(kind) ? 0 : 1;
+  if (step.long_running) {
+    penalty += available_vm_list::HasLongRunning(kind) ? 0 : 1;
   }
-  return burden;
+  return penalty;
 }
 
 }  // namespace
 
-resources RoomOf(const step_spec& step) {
-  resources room = step.need;
-  if (step.fills) {
-    room.cpu_millis = 0;
+resources DemandOf(const step_spec& step) {
+  resources demand = step.need;
+  if (step.best_effort) {
+    demand.cpu_millis = 0;
   }
-  return room;
+  return demand;
 }
 
 // After a takeover a task may be running, or may have ended, on any VM that
@@ -50,7 +50,8 @@
   // record of it: a newer owner, which may have heard it, would have claimed
   // the partition before.
   IndexChanged(now);
-  is_recovered_ = lapse_batch_ <= stored_through_ && index_.unsettled().empty();
+  is_recovered_ =
+      expiry_batch_ <= stored_through_ && index_.unreconciled().empty();
   return is_recovered_;
 }
 
@@ -61,9 +62,9 @@
     return wait;
   }
   IndexChanged(now);
-  vms_.NoteVisits(index_.unsettled().size());
-  for (const vm_state* vm : index_.unsettled()) {
-    ++(vm->is_listed ? wait.listed : wait.unlisted);
+  vms_.NoteVisits(index_.unreconciled().size());
+  for (const vm_state* vm : index_.unreconciled()) {
+    ++(vm->is_registered ? wait.registered : wait.unregistered);
     wait.vm = vm->description().id;
   }
   return wait;
@@ -71,11 +72,11 @@
 
 // A VM may have told of a task's end before the job was read. Its next listing
 // tells it again; a start before that would run a task that is done.
-std::set<job_id> pool_scheduler::impl::JobsWithUntakenEnds() const {
+std::set<job_id> pool_scheduler::impl::JobsWithUnprocessedEnds() const {
   std::set<job_id> jobs;
-  vms_.NoteVisits(index_.with_untaken_ends().size());
-  for (const vm_state* vm : index_.with_untaken_ends()) {
-    for (const auto& [task, run] : vm->untaken_ends) {
+  vms_.NoteVisits(index_.with_unprocessed_ends().size());
+  for (const vm_state* vm : index_.with_unprocessed_ends()) {
+    for (const auto& [task, run] : vm->unprocessed_ends) {
       jobs.insert(task.job);
     }
   }
@@ -85,7 +86,7 @@
 std::vector<pool_scheduler::impl::candidate> pool_scheduler::impl::Candidates(
     time_point now) {
   const bool is_recovered = IsRecovered(now);
-  const std::set<job_id> with_untaken_ends = JobsWithUntakenEnds();
+  const std::set<job_id> with_unprocessed_ends = JobsWithUnprocessedEnds();
   std::vector<candidate> candidates;
   std::vector<job_id> none_waits;
   for (const auto& [id, job] : jobs_.waiting()) {
@@ -95,8 +96,9 @@
       continue;
     }
     const bool may_be_running =
-        !is_recovered && job->arrived_at() < takeover_.fresh_from;
-    const bool is_held = may_be_running || with_untaken_ends.count(id) != 0 ||
+        !is_recovered && job->arrived_at() < takeover_.exclusive_from;
+    const bool is_held = may_be_running ||
+                         with_unprocessed_ends.count(id) != 0 ||
                          job->starts_after_batch() > stored_through_;
     if (is_held) {
       NoteWait(job, wait_cause::kRecovery, now);
@@ -106,15 +108,15 @@
     bool lasts = false;
     for (auto& [number, occurrence] : job->occurrences()) {
       for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
-        lasts = lasts ||
-                (job->spec().steps[s].lasting && job->IsOpen(occurrence, s));
+        lasts = lasts || (job->spec().steps[s].long_running &&
+                          job->IsOpen(occurrence, s));
       }
       chain = std::max(chain, job->RemainingChain(&occurrence));
     }
     const bool is_late = now + chain > job->deadline();
     int rank = job->policy().priority;
     if (lasts) {
-      rank = kLastingRank;
+      rank = kLongRunningRank;
     } else if (is_late) {
       rank += kLateRank;
     }
@@ -157,7 +159,7 @@
   const auto count = job->occurrences()[occurrence].steps[step].tasks.size();
   for (std::uint32_t i = 0; i < count; ++i) {
     const task_name name{job->spec().id, occurrence, step, i};
-    const task_state& task = *job->Find(name);
+    const job_task_state& task = *job->Find(name);
     if (starts_left_ == 0) {
       return;
     }
@@ -166,7 +168,7 @@
       continue;
     }
     vm_state* vm = ChooseVm(job, name, rack, now);
-    if (vm == nullptr && IsKeptApart(*job, name)) {
+    if (vm == nullptr && MustRunIsolated(*job, name)) {
       continue;
     }
     if (vm == nullptr) {
@@ -183,10 +185,10 @@
     const job_state& job,
     std::uint32_t step) const {
   std::vector<std::string> racks;
-  const pool_figures* pool = index_.Find(job.spec().pool);
+  const pool_vm_index* pool = index_.Find(job.spec().pool);
   if (job.spec().steps[step].same_rack && pool != nullptr) {
-    for (const auto& [rack, takers] : pool->takers_by_rack) {
-      if (takers > 0) {
+    for (const auto& [rack, available] : pool->available_by_rack) {
+      if (available > 0) {
         racks.push_back(rack);
       }
     }
@@ -205,13 +207,13 @@
   step_state& state = job->occurrences()[occurrence].steps[step];
   // A gang that is larger than the window starts when nothing else does.
   const bool is_held_back =
-      state.tasks.size() > starts_left_ && starts_under_way_ > 0;
+      state.tasks.size() > starts_left_ && starts_in_flight_ > 0;
   if (state.placed > 0 || is_held_back) {
     return;
   }
   std::uint32_t run = 0;
   std::string checkpoint;
-  for (const task_state& task : state.tasks) {
+  for (const job_task_state& task : state.tasks) {
     if (task.starts_after_batch > stored_through_) {
       return;
     }
@@ -220,7 +222,7 @@
   }
   for (const std::string& rack : RacksFor(*job, step)) {
     std::vector<std::pair<vm_state*, task_name>> placed;
-    const std::size_t unplaced_before = unplaced_.size();
+    const std::size_t unplaced_before = unmet_demands_.size();
     for (std::uint32_t i = 0; i < state.tasks.size(); ++i) {
       const task_name name{job->spec().id, occurrence, step, i};
       vm_state* vm = ChooseVm(job, name, rack, now);
@@ -231,7 +233,7 @@
       }
       run_state reserved;
       reserved.step = &job->spec().steps[step];
-      reserved.room = RoomOf(*reserved.step);
+      reserved.demand = DemandOf(*reserved.step);
       vm->Add(name, reserved);
       index_.Update(vm, now);
       placed.emplace_back(vm, name);
@@ -243,7 +245,7 @@
     }
     if (!fits) {
       // What found no room beside the trial may find some without it.
-      unplaced_.resize(unplaced_before);
+      unmet_demands_.resize(unplaced_before);
       continue;
     }
     for (const auto& [vm, name] : placed) {
@@ -256,7 +258,7 @@
 
 bool pool_scheduler::impl::MayStart(time_point now) const {
   return !cancellations_read_through_ ||
-         now - *cancellations_read_through_ <= settings_.oldest_cancellations;
+         now - *cancellations_read_through_ <= settings_.max_cancellation_age;
 }
 
 std::uint32_t pool_scheduler::impl::RunsOfStep(const vm_state& vm,
@@ -272,18 +274,19 @@
 // Room only shrinks while a plan is made, so that what found none before finds
 // none now. In an overload a plan would otherwise look for room on every VM for
 // every job that waits, and take longer the more jobs wait.
-bool pool_scheduler::impl::IsHopeless(const pool_id& pool,
-                                      const step_spec& step) const {
-  const resources room = RoomOf(step);
-  return std::any_of(unplaced_.begin(), unplaced_.end(),
-                     [&](const unplaced_need& need) {
-                       return Fits(need.room, room) && need.pool == pool &&
+bool pool_scheduler::impl::IsKnownUnplaceable(const pool_id& pool,
+                                              const step_spec& step) const {
+  const resources demand = DemandOf(step);
+  return std::any_of(unmet_demands_.begin(), unmet_demands_.end(),
+                     [&](const unmet_demand& need) {
+                       return Fits(need.demand, demand) && need.pool == pool &&
                               need.label == step.required_label;
                      });
 }
 
 // A gang needs all its VMs at once, so that its members can't be kept apart.
-bool pool_scheduler::impl::IsKeptApart(job_state& job, const task_name& task) {
+bool pool_scheduler::impl::MustRunIsolated(job_state& job,
+                                           const task_name& task) {
   return !job.StepOf(task).gang &&
          SuspicionOf(job.Find(task)->losses) != suspicion::kNone;
 }
@@ -291,13 +294,13 @@
 bool pool_scheduler::impl::MayHold(const vm_state& vm,
                                    const task_name& task,
                                    const step_spec& step,
-                                   bool is_kept_apart) const {
+                                   bool is_isolated) const {
   // If the VM crashes it must be plain which task did it.
-  if (vm.HasFreshSuspect() || (is_kept_apart && vm.HasFresh())) {
+  if (vm.HasNewlyStartedSuspect() || (is_isolated && vm.HasNewlyStarted())) {
     return false;
   }
   const bool is_full =
-      step.most_per_vm > 0 && RunsOfStep(vm, task) >= step.most_per_vm;
+      step.max_per_vm > 0 && RunsOfStep(vm, task) >= step.max_per_vm;
   return !is_full && vm.runs().count(task) == 0;
 }
 
@@ -305,24 +308,24 @@
 struct pool_scheduler::impl::vm_search {
   const task_name& task;
   const step_spec& step;
-  resources room;
-  bool is_kept_apart = false;
+  resources demand;
+  bool is_isolated = false;
   /// Where the last run of the task failed, if it must go elsewhere.
   const vm_id* avoided = nullptr;
   time_point now;
   /// What was found on the way.
-  bool has_room = false;
+  bool has_capacity = false;
   vm_state* last_resort = nullptr;
 };
 
 bool pool_scheduler::impl::Suits(vm_state* vm, vm_search* search) const {
   const std::string& label = search->step.required_label;
-  const bool has_room = Fits(search->room, vm->Free()) &&
-                        search->now >= vm->avoid_until &&
-                        (label.empty() || HasLabel(vm->description(), label));
-  search->has_room = search->has_room || has_room;
-  if (!has_room ||
-      !MayHold(*vm, search->task, search->step, search->is_kept_apart)) {
+  const bool has_capacity =
+      Fits(search->demand, vm->Free()) && search->now >= vm->avoid_until &&
+      (label.empty() || HasLabel(vm->description(), label));
+  search->has_capacity = search->has_capacity || has_capacity;
+  if (!has_capacity ||
+      !MayHold(*vm, search->task, search->step, search->is_isolated)) {
     return false;
   }
   if (search->avoided != nullptr && vm->description().id == *search->avoided) {
@@ -336,18 +339,18 @@
 // much room stay free for large tasks. Lasting tasks go where others are
 // already, as far as their steps allow: the VMs without any can be given away
 // when the demand falls. Those that only fill keep away from those that serve.
-vm_state* pool_scheduler::impl::FindBest(const taker_list& takers,
+vm_state* pool_scheduler::impl::FindBest(const available_vm_list& available,
                                          vm_search* search) const {
   vm_state* best = nullptr;
   std::tuple<int, ranked_vm> best_cost;
-  for (std::size_t kind = 0; kind < taker_list::kKinds; ++kind) {
-    const ranked_vms& list = takers.OfKind(kind);
-    const int burden = BurdenOf(kind, search->step);
-    for (auto it = list.lower_bound(search->room.cpu_millis); it != list.end();
-         ++it) {
+  for (std::size_t kind = 0; kind < available_vm_list::kKinds; ++kind) {
+    const ranked_vms& list = available.OfKind(kind);
+    const int penalty = PenaltyOf(kind, search->step);
+    for (auto it = list.lower_bound(search->demand.cpu_millis);
+         it != list.end(); ++it) {
       vms_.NoteVisits(1);
       if (Suits(it->vm, search)) {
-        const std::tuple<int, ranked_vm> cost = {burden, *it};
+        const std::tuple<int, ranked_vm> cost = {penalty, *it};
         if (best == nullptr || cost < best_cost) {
           best = it->vm;
           best_cost = cost;
@@ -360,17 +363,19 @@
 }
 
 // With a VM that crashes as little as can be is to be lost.
-vm_state* pool_scheduler::impl::FindLeastBusy(const taker_list& takers,
-                                              vm_search* search) const {
+vm_state* pool_scheduler::impl::FindLeastBusy(
+    const available_vm_list& available,
+    vm_search* search) const {
   vm_state* best = nullptr;
   std::tuple<std::size_t, ranked_vm> best_cost;
-  for (std::size_t kind = 0; kind < taker_list::kKinds; ++kind) {
-    for (const ranked_vm& taker : takers.OfKind(kind)) {
+  for (std::size_t kind = 0; kind < available_vm_list::kKinds; ++kind) {
+    for (const ranked_vm& available_vm : available.OfKind(kind)) {
       vms_.NoteVisits(1);
-      const std::tuple<std::size_t, ranked_vm> cost = {taker.vm->runs().size(),
-                                                       taker};
-      if (Suits(taker.vm, search) && (best == nullptr || cost < best_cost)) {
-        best = taker.vm;
+      const std::tuple<std::size_t, ranked_vm> cost = {
+          available_vm.vm->runs().size(), available_vm};
+      if (Suits(available_vm.vm, search) &&
+          (best == nullptr || cost < best_cost)) {
+        best = available_vm.vm;
         best_cost = cost;
       }
     }
@@ -384,30 +389,31 @@
                                          time_point now) {
   const step_spec& step = job->spec().steps[task.step];
   const pool_id& pool = job->spec().pool;
-  const taker_list* eligible = index_.TakersWith(pool, step.required_label);
-  if (eligible == nullptr || IsHopeless(pool, step)) {
+  const available_vm_list* eligible =
+      index_.AvailableWith(pool, step.required_label);
+  if (eligible == nullptr || IsKnownUnplaceable(pool, step)) {
     return nullptr;
   }
-  const task_state& state = *job->Find(task);
+  const job_task_state& state = *job->Find(task);
   vm_search search{task,
                    step,
-                   RoomOf(step),
-                   IsKeptApart(*job, task),
+                   DemandOf(step),
+                   MustRunIsolated(*job, task),
                    now < state.failed_until ? &state.failed_on : nullptr,
                    now,
                    false,
                    nullptr};
   vm_state* best = nullptr;
-  if (search.is_kept_apart) {
+  if (search.is_isolated) {
     best = FindLeastBusy(*eligible, &search);
   } else {
     if (!rack.empty()) {
-      best = FindBest(*index_.TakersWith(pool, rack), &search);
+      best = FindBest(*index_.AvailableWith(pool, rack), &search);
     }
     best = best == nullptr ? FindBest(*eligible, &search) : best;
   }
-  if (!search.has_room) {
-    unplaced_.push_back({pool, step.required_label, search.room});
+  if (!search.has_capacity) {
+    unmet_demands_.push_back({pool, step.required_label, search.demand});
   }
   if (best == nullptr && eligible->size() <= 1) {
     return search.last_resort;
@@ -428,18 +434,18 @@
   run_state state;
   state.run = run;
   state.step = &job->StepOf(task);
-  state.room = RoomOf(*state.step);
+  state.demand = DemandOf(*state.step);
   state.ordered_at = now;
   state.progressed_at = now;
   state.is_start_in_flight = true;
-  state.is_suspected = IsKeptApart(*job, task);
+  state.is_suspected = MustRunIsolated(*job, task);
   vm->Add(task, state);
   job->MarkPlaced(task, run);
   job->MarkStarted(now);
   index_.Update(vm, now);
-  vms_.Touch(vm);
+  vms_.MarkChanged(vm);
   ++counts_.starts;
-  ++starts_under_way_;
+  ++starts_in_flight_;
   starts_left_ -= std::min<std::size_t>(starts_left_, 1);
   orders->emplace_back(start_order{{vm->description().id, task, run},
                                    job->shared_spec(),
--- a/src/core/jobs/pool_plan.cc
+++ b/src/core/jobs/pool_plan.cc
@@ -12,27 +12,27 @@
 std::vector<vm_order> pool_scheduler::impl::Plan(time_point now,
                                                  time_point wall_now) {
   std::vector<vm_order> orders;
-  vms_.WakeDue(now);
+  vms_.MarkDueChecks(now);
   for (vm_state* vm : vms_.TakeDue()) {
-    LapseIfSilent(vm, now);
-    vms_.Touch(vm);
+    ExpireIfSilent(vm, now);
+    vms_.MarkChanged(vm);
   }
-  SkipUntoldRuns(now);
+  SkipUnreportedRuns(now);
   // With those that a lapse of others has changed.
   const std::vector<vm_state*> due = vms_.TakeDue();
   for (vm_state* vm : due) {
     PlanVm(vm, now, &orders);
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
   }
   OpenOccurrences(wall_now);
   IndexChanged(now);
   CountStarts();
   if (MayStart(now)) {
-    unplaced_.clear();
+    unmet_demands_.clear();
     for (const candidate& next : Candidates(now)) {
       PlaceJob(next.job, now, &orders);
       NoteWait(next.job,
-               starts_left_ == 0 ? wait_cause::kAnswers : wait_cause::kRoom,
+               starts_left_ == 0 ? wait_cause::kAnswers : wait_cause::kCapacity,
                now);
     }
   } else {
@@ -41,8 +41,8 @@
     }
   }
   for (vm_state* vm : vms_.TakeDue()) {
-    PlanNextLook(vm, now);
-    ForgetIfGone(vm, now);
+    ScheduleNextCheck(vm, now);
+    RemoveIfGone(vm, now);
   }
   return orders;
 }
@@ -59,9 +59,10 @@
                                   time_point now,
                                   std::vector<vm_order>* orders) {
   // A listing is acted on once.
-  const bool is_news = vm->IsReachable() && vm->last_heard() > vm->checked_at;
-  if (is_news) {
-    vm->checked_at = vm->last_heard();
+  const bool is_new_listing =
+      vm->IsReachable() && vm->last_answer_at() > vm->checked_at;
+  if (is_new_listing) {
+    vm->checked_at = vm->last_answer_at();
     StopHungRuns(vm, now);
     PlanPace(vm, orders);
   }
@@ -82,26 +83,26 @@
 }
 
 // What else may change the plan for a VM is a call about it.
-void pool_scheduler::impl::PlanNextLook(vm_state* vm, time_point now) {
+void pool_scheduler::impl::ScheduleNextCheck(vm_state* vm, time_point now) {
   const bool is_emptied = vm->is_closed || vm->description().draining;
   const bool is_at_work =
       (is_emptied && !vm->runs().empty()) ||
       std::any_of(vm->runs().begin(), vm->runs().end(),
                   [](const auto& run) { return run.second.is_stop_wanted; });
   if (is_at_work) {
-    vms_.WakeAt(vm, now);
+    vms_.ScheduleCheck(vm, now);
     return;
   }
   std::optional<time_point> next;
-  if (!vm->IsLapsed(now)) {
-    next = vm->lapse_at();
+  if (!vm->IsLeaseExpired(now)) {
+    next = vm->lease_expires_at();
   }
   if (vm->trusted_until && vm->IsTrusted(now)) {
-    const time_point doubted_from = *vm->trusted_until + duration(1);
-    next = next ? std::min(*next, doubted_from) : doubted_from;
+    const time_point untrusted_from = *vm->trusted_until + duration(1);
+    next = next ? std::min(*next, untrusted_from) : untrusted_from;
   }
   if (next) {
-    vms_.WakeAt(vm, *next);
+    vms_.ScheduleCheck(vm, *next);
   }
 }
 
@@ -112,8 +113,8 @@
 }
 
 void pool_scheduler::impl::CountStarts() {
-  starts_under_way_ = index_.starts_under_way();
-  starts_left_ = window_.size() - std::min(window_.size(), starts_under_way_);
+  starts_in_flight_ = index_.starts_in_flight();
+  starts_left_ = window_.size() - std::min(window_.size(), starts_in_flight_);
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/pool_records.cc
+++ b/src/core/jobs/pool_records.cc
@@ -25,7 +25,7 @@
     // Ends that changed no record need no batch of their own. What they tell
     // may be in the one that is under way.
     for (const vm_id& id : unacknowledged_) {
-      if (vm_state* vm = vms_.FindUntouched(id)) {
+      if (vm_state* vm = vms_.FindUnmarked(id)) {
         for (auto& [number, needed] : vm->unstored_ends) {
           needed = std::min(needed, jobs_.next_batch() - 1);
         }
@@ -49,7 +49,7 @@
 void pool_scheduler::impl::AckStored() {
   vms_.NoteVisits(unacknowledged_.size());
   std::erase_if(unacknowledged_, [this](const vm_id& id) {
-    vm_state* vm = vms_.FindUntouched(id);
+    vm_state* vm = vms_.FindUnmarked(id);
     if (vm == nullptr) {
       return true;
     }
--- a/src/core/jobs/pool_reports.cc
+++ b/src/core/jobs/pool_reports.cc
@@ -11,31 +11,31 @@
   description.id = known.id;
   description.address = known.address;
   vm_state& vm = *vms_.Add(description).first;
-  vm.is_listed = false;
+  vm.is_registered = false;
   vm.is_recorded = true;
   vm.is_record_due = false;
   AssumeLeaseOf(known.id, &vm);
-  vm.is_settled = vacant_.count(known.id) != 0;
+  vm.is_reconciled = vacant_.count(known.id) != 0;
   NoteVmChange(vm);
 }
 
 void pool_scheduler::impl::AssumeLeaseOf(const vm_id& id, vm_state* vm) {
-  const auto known = takeover_.lapsed_at.find(id);
-  vm->AssumeLease(known == takeover_.lapsed_at.end()
-                      ? takeover_.others_lapsed_at
+  const auto known = takeover_.lease_ends.find(id);
+  vm->AssumeLease(known == takeover_.lease_ends.end()
+                      ? takeover_.default_lease_end
                       : known->second);
 }
 
 void pool_scheduler::impl::UpdateVms(const std::vector<vm_description>& listed,
                                      time_point now) {
   for (auto& [id, vm] : vms_.All()) {
-    vm.is_listed = false;
-    vms_.Touch(&vm);
+    vm.is_registered = false;
+    vms_.MarkChanged(&vm);
   }
   for (const vm_description& description : listed) {
     UpdateVm(description, now);
   }
-  has_list_ = true;
+  has_registry_ = true;
 }
 
 void pool_scheduler::impl::UpdateVm(const vm_description& description,
@@ -44,26 +44,27 @@
     return;
   }
   const auto [vm, is_new] = vms_.Add(description);
-  TakeLife(vm, std::nullopt, description.born, now);
+  UpdateIncarnation(vm, std::nullopt, description.incarnation, now);
   if (is_new || vm->description() != description) {
     vm->Describe(description);
     NoteVmChange(*vm);
   }
-  vm->is_listed = true;
+  vm->is_registered = true;
   // An owner that was paused may have been the first to see this VM, and may
   // have started a task on it that would start twice here.
-  const bool may_be_used = is_new && (!has_list_ || now < takeover_.fresh_from);
+  const bool may_be_used =
+      is_new && (!has_registry_ || now < takeover_.exclusive_from);
   if (may_be_used && vacant_.count(description.id) != 0) {
-    vm->is_settled = true;
+    vm->is_reconciled = true;
   } else if (may_be_used) {
     AssumeLeaseOf(description.id, vm);
     is_recovered_ = false;
   }
 }
 
-void pool_scheduler::impl::UnlistVm(const vm_id& id) {
+void pool_scheduler::impl::UnregisterVm(const vm_id& id) {
   if (vm_state* vm = FindVm(id)) {
-    vm->is_listed = false;
+    vm->is_registered = false;
   }
 }
 
@@ -76,11 +77,11 @@
     return;
   }
   const bool is_first = !known->trusted_until.has_value();
-  const bool was_doubted = known->indexed.stage == vm_stage::kUntrusted;
-  if (is_first || was_doubted || trusted_until < *known->trusted_until) {
+  const bool was_untrusted = known->indexed.stage == vm_stage::kUntrusted;
+  if (is_first || was_untrusted || trusted_until < *known->trusted_until) {
     FindVm(id)->trusted_until = trusted_until;
   } else {
-    vms_.FindUntouched(id)->trusted_until = trusted_until;
+    vms_.FindUnmarked(id)->trusted_until = trusted_until;
   }
 }
 
@@ -88,11 +89,11 @@
   vm_changes_.push_back(vm.description().id);
 }
 
-void pool_scheduler::impl::TakeListing(vm_state* vm,
-                                       time_point sent_at,
-                                       const vm_listing& listing,
-                                       time_point now) {
-  if (!TakeLife(vm, sent_at, listing.born, now) ||
+void pool_scheduler::impl::ProcessListing(vm_state* vm,
+                                          time_point sent_at,
+                                          const run_listing& listing,
+                                          time_point now) {
+  if (!UpdateIncarnation(vm, sent_at, listing.incarnation, now) ||
       listing.vm_clock < vm->last_clock()) {
     // The answer of an earlier hold, on another connection.
     return;
@@ -100,51 +101,51 @@
   if (!vm->IsReachable()) {
     WithdrawLosses(*vm);
   }
-  vm->Hear(listing.vm_clock, now);
+  vm->RecordAnswer(listing.vm_clock, now);
   for (const running_task& row : listing.running) {
-    TakeRunning(vm, row, now);
+    ProcessRunning(vm, row, now);
   }
-  vm->untaken_ends.clear();
+  vm->unprocessed_ends.clear();
   for (const ended_task& end : listing.ended) {
-    const bool is_held_back = !vm->untaken_ends.empty();
-    if (end.number > vm->taken_through &&
-        (is_held_back || !TakeEnd(vm, end, now))) {
-      std::uint32_t& run = vm->untaken_ends[end.task];
+    const bool is_held_back = !vm->unprocessed_ends.empty();
+    if (end.number > vm->processed_through &&
+        (is_held_back || !ProcessEnd(vm, end, now))) {
+      std::uint32_t& run = vm->unprocessed_ends[end.task];
       run = std::max(run, end.run);
     }
   }
   CheckAbsent(vm, sent_at, listing, now);
   index_.UpdateUnknown(vm);
-  vm->is_settled =
-      vm->is_settled || (!listing.is_partial && !vm->unknown_end_since);
+  vm->is_reconciled =
+      vm->is_reconciled || (!listing.is_partial && !vm->unknown_end_since);
 }
 
-void pool_scheduler::impl::TakeRunning(vm_state* vm,
-                                       const running_task& row,
-                                       time_point now) {
+void pool_scheduler::impl::ProcessRunning(vm_state* vm,
+                                          const running_task& row,
+                                          time_point now) {
   run_state* run = vm->Find(row.task, row.run);
   if (run == nullptr) {
     Adopt(vm, row, now);
     return;
   }
   NoteListed(vm, row.task, run);
-  run->unsettled_since.reset();
+  run->start_unknown_since.reset();
   if (!run->confirmed_at) {
     run->confirmed_at = now;
-    NoteBegun(jobs_.Find(row.task.job));
+    NoteRunning(jobs_.Find(row.task.job));
   }
-  if (now - *run->confirmed_at >= settings_.fresh_time) {
-    vm->MarkOutlived(run);
+  if (now - *run->confirmed_at >= settings_.crash_window) {
+    vm->MarkSurvived(run);
   }
   run->reading = row.reading;
   if (run->percent != row.percent) {
     run->percent = row.percent;
     run->progressed_at = now;
   }
-  if (run->IsLasting() && row.percent >= kAtWork) {
-    NoteAtWork(row.task);
+  if (run->IsLongRunning() && row.percent >= kReadyPercent) {
+    NoteReady(row.task);
   }
-  if (run->IsForeign()) {
+  if (run->IsOfUnknownJob()) {
     if (jobs_.Find(row.task.job) != nullptr) {
       vm->Erase(row.task);
       Adopt(vm, row, now);
@@ -157,7 +158,7 @@
 // The VM was only cut off: what ran on it didn't crash it.
 void pool_scheduler::impl::WithdrawLosses(const vm_state& vm) {
   for (job_state* job : jobs_.TakeWithLosses()) {
-    if (job->WithdrawLosses(vm.description().id, vm.born)) {
+    if (job->WithdrawLosses(vm.description().id, vm.incarnation)) {
       jobs_.NoteChange(job);
     }
     jobs_.NoteLosses(job);
@@ -165,9 +166,9 @@
 }
 
 // What lasts outlives many VMs, so that only crashes in a row count.
-void pool_scheduler::impl::NoteAtWork(const task_name& task) {
+void pool_scheduler::impl::NoteReady(const task_name& task) {
   job_state* job = jobs_.Find(task.job);
-  if (job != nullptr && job->ForgetLosses(task)) {
+  if (job != nullptr && job->ClearLosses(task)) {
     jobs_.NoteChange(job);
   }
 }
@@ -179,7 +180,7 @@
                                  time_point now) {
   run_state run;
   run.run = row.run;
-  run.is_listed = true;
+  run.is_registered = true;
   run.ordered_at = now;
   run.confirmed_at = now;
   run.progressed_at = now;
@@ -193,26 +194,26 @@
     vm->Add(row.task, run);
     return;
   }
-  task_state* task = job->Find(row.task);
+  job_task_state* task = job->Find(row.task);
   const bool is_wanted = task != nullptr &&
                          task->phase == task_phase::kWaiting &&
                          row.run > task->ended_run;
   run.is_stop_wanted = !is_wanted;
   if (row.task.step < job->spec().steps.size()) {
     const step_spec& step = job->spec().steps[row.task.step];
-    run.room = RoomOf(step);
+    run.demand = DemandOf(step);
     run.step = &step;
   }
   vm->Add(row.task, run);
   if (is_wanted) {
     job->MarkPlaced(row.task, row.run);
-    NoteBegun(job);
+    NoteRunning(job);
   }
 }
 
 std::optional<unknown_job_vm> pool_scheduler::impl::FindUnknownJob() {
   const auto is_unknown = [this](const auto& run) {
-    return run.second.IsForeign() && !jobs_.IsEnded(run.first.job);
+    return run.second.IsOfUnknownJob() && !jobs_.IsEnded(run.first.job);
   };
   const vm_set& vms = index_.with_unknown_jobs();
   vms_.NoteVisits(vms.size());
@@ -224,7 +225,8 @@
     return std::nullopt;
   }
   const vm_state& vm = **found;
-  return unknown_job_vm{vm.description().id, vm.is_listed, vm.IsReachable()};
+  return unknown_job_vm{vm.description().id, vm.is_registered,
+                        vm.IsReachable()};
 }
 
 // An earlier owner may have read the job sooner and started it, and the VM may
@@ -233,39 +235,39 @@
 // time. Runs of which no VM has told yet are another matter: see `IsRecovered`.
 void pool_scheduler::impl::AdoptRunsOf(const job_id& id, time_point now) {
   for (vm_state* vm : vms_.WithRunsOf(id)) {
-    std::vector<running_task> told;
+    std::vector<running_task> listed_runs;
     for (const auto& [task, run] : vm->runs()) {
-      if (run.IsForeign() && task.job == id) {
-        told.push_back({task, run.run, "", run.percent, run.reading});
+      if (run.IsOfUnknownJob() && task.job == id) {
+        listed_runs.push_back({task, run.run, "", run.percent, run.reading});
       }
     }
-    for (const running_task& row : told) {
+    for (const running_task& row : listed_runs) {
       vm->Erase(row.task);
       Adopt(vm, row, now);
     }
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
   }
-  const auto forgotten = forgotten_runs_.find(id);
-  if (forgotten == forgotten_runs_.end()) {
+  const auto forgotten = highest_unknown_runs_.find(id);
+  if (forgotten == highest_unknown_runs_.end()) {
     return;
   }
   for (const auto& [task, run] : forgotten->second) {
-    jobs_.Find(id)->NoteTold(task, run);
+    jobs_.Find(id)->NoteReportedRun(task, run);
   }
-  forgotten_runs_.erase(forgotten);
+  highest_unknown_runs_.erase(forgotten);
 }
 
 // `job` may be null: one that isn't known.
-void pool_scheduler::impl::NoteBegun(job_state* job) {
-  if (job != nullptr && job->MarkBegun()) {
+void pool_scheduler::impl::NoteRunning(job_state* job) {
+  if (job != nullptr && job->MarkRunning()) {
     jobs_.NoteChange(job);
   }
 }
 
 // Returns false when the end, and all later ones, can't be taken in yet.
-bool pool_scheduler::impl::TakeEnd(vm_state* vm,
-                                   const ended_task& end,
-                                   time_point now) {
+bool pool_scheduler::impl::ProcessEnd(vm_state* vm,
+                                      const ended_task& end,
+                                      time_point now) {
   job_state* job = jobs_.Find(end.task.job);
   if (job == nullptr && !jobs_.IsEnded(end.task.job)) {
     // Its job's record may not have been read yet, for as long as a read of it
@@ -282,7 +284,7 @@
   if (job != nullptr && end.how == end_kind::kDone && StopLaterStarts(end)) {
     return false;
   }
-  vm->taken_through = end.number;
+  vm->processed_through = end.number;
   if (vm->unstored_ends.empty()) {
     unacknowledged_.push_back(vm->description().id);
   }
@@ -295,17 +297,17 @@
     return true;
   }
   NoteHealth(vm, end, now);
-  NoteBegun(job);
+  NoteRunning(job);
   // A newer run may have been placed.
-  const task_state* task = job->Find(end.task);
+  const job_task_state* task = job->Find(end.task);
   const bool is_late = task != nullptr && end.run < task->last_run;
   const bool is_new = job->ApplyEnd(end.task, end.run, end.how, end.checkpoint,
                                     vm->description().id);
   if (is_new) {
     if (end.how == end_kind::kFailed) {
       ++counts_.failed_runs;
-      if (task_state* task = job->Find(end.task)) {
-        task->failed_until = now + settings_.elsewhere;
+      if (job_task_state* task = job->Find(end.task)) {
+        task->failed_until = now + settings_.failed_vm_avoidance;
       }
     }
     jobs_.NoteChange(job);
@@ -323,14 +325,14 @@
 // Returns whether there are any.
 bool pool_scheduler::impl::StopLaterStarts(const ended_task& end) {
   job_state* job = jobs_.Find(end.task.job);
-  const task_state* ended = job->Find(end.task);
+  const job_task_state* ended = job->Find(end.task);
   if (ended == nullptr || end.run >= ended->last_run) {
     return false;
   }
   const bool is_gang = job->StepOf(end.task).gang;
   bool is_any = false;
   for (vm_state* vm : vms_.WithRunsOf(end.task.job)) {
-    vms_.Touch(vm);
+    vms_.MarkChanged(vm);
     ForRunsOfStep(vm, end.task, [&](const task_name& task, run_state* run) {
       const bool may_start = run->run > end.run && !run->confirmed_at &&
                              (is_gang || task.index == end.task.index);
@@ -376,9 +378,9 @@
 // been made earlier.
 void pool_scheduler::impl::CheckAbsent(vm_state* vm,
                                        time_point sent_at,
-                                       const vm_listing& listing,
+                                       const run_listing& listing,
                                        time_point now) {
-  if (listing.is_partial || !vm->untaken_ends.empty()) {
+  if (listing.is_partial || !vm->unprocessed_ends.empty()) {
     return;
   }
   std::set<std::pair<task_name, std::uint32_t>> running;
@@ -394,12 +396,12 @@
     const bool is_stopped =
         run.stop_answered_at && *run.stop_answered_at <= sent_at;
     const bool was_started = run.confirmed_at && *run.confirmed_at <= sent_at;
-    if (run.former_life && (is_stopped || was_started)) {
+    if (run.former_incarnation && (is_stopped || was_started)) {
       lost.push_back(LostRunOf(*vm, task, run, true));
-      lost.back().born = run.former_life;
+      lost.back().incarnation = run.former_incarnation;
     } else if (is_stopped) {
       over.push_back(task);
-    } else if (run.unsettled_since && *run.unsettled_since <= sent_at) {
+    } else if (run.start_unknown_since && *run.start_unknown_since <= sent_at) {
       run.is_stop_wanted = true;
     } else if (was_started) {
       run.is_stop_wanted = true;
--- a/src/core/jobs/pool_scheduler.cc
+++ b/src/core/jobs/pool_scheduler.cc
@@ -21,7 +21,7 @@
     return;
   }
   impl_->AdoptRunsOf(job->spec().id, now);
-  if (impl_->has_list()) {
+  if (impl_->has_registry()) {
     impl_->NoteReading(job);
   } else {
     job->MarkInherited();
@@ -100,8 +100,8 @@
   impl_->UpdateVm(vm, now);
 }
 
-void pool_scheduler::UnlistVm(const vm_id& vm) {
-  impl_->UnlistVm(vm);
+void pool_scheduler::UnregisterVm(const vm_id& vm) {
+  impl_->UnregisterVm(vm);
 }
 
 void pool_scheduler::NoteReport(const vm_id& vm, time_point trusted_until) {
@@ -155,7 +155,7 @@
   std::map<vm_id, time_point> ends;
   for (const auto& [id, vm] : impl_->vms().All()) {
     if (vm.is_recorded) {
-      ends[id] = vm.lapse_at();
+      ends[id] = vm.lease_expires_at();
     }
   }
   return ends;
@@ -191,7 +191,7 @@
   }
   impl_->NoteStartTime(impl_->FindVm(target.vm), target, now);
   if (vm_state* vm = impl_->FindVm(target.vm)) {
-    impl_->TakeStartAnswer(vm, target, result, now);
+    impl_->ProcessStartAnswer(vm, target, result, now);
   }
   if (result == start_result::kReplaced) {
     OnReplaced(target.vm, now);
@@ -202,16 +202,16 @@
                                   bool is_answered,
                                   time_point now) {
   if (vm_state* vm = impl_->FindVm(target.vm)) {
-    impl_->TakeStopAnswer(vm, target, is_answered, now);
+    impl_->ProcessStopAnswer(vm, target, is_answered, now);
   }
 }
 
 void pool_scheduler::OnListing(const vm_id& vm,
                                time_point sent_at,
-                               const vm_listing& listing,
+                               const run_listing& listing,
                                time_point now) {
   if (vm_state* found = impl_->FindVm(vm)) {
-    impl_->TakeListing(found, sent_at, listing, now);
+    impl_->ProcessListing(found, sent_at, listing, now);
   }
 }
 
@@ -219,7 +219,7 @@
   if (vm_state* found = impl_->FindVm(vm)) {
     // Once in each silence.
     if (found->IsReachable()) {
-      impl_->DoubtFreshRuns(found);
+      impl_->SuspectNewlyStartedRuns(found);
     }
     found->NoteUnanswered();
   }
@@ -233,8 +233,8 @@
   return impl_->AnswerDelay();
 }
 
-bool pool_scheduler::HoldsStartsBack() const {
-  return impl_->HoldsStartsBack();
+bool pool_scheduler::IsStartWindowFull() const {
+  return impl_->IsStartWindowFull();
 }
 
 hold_parameters pool_scheduler::NextHold(const vm_id& vm, time_point now) {
--- a/src/core/jobs/pool_scheduler_impl.h
+++ b/src/core/jobs/pool_scheduler_impl.h
@@ -20,10 +20,10 @@
 namespace plantainhead::core::jobs {
 
 /// A lasting task at this percentage serves.
-inline constexpr std::uint32_t kAtWork = 100;
+inline constexpr std::uint32_t kReadyPercent = 100;
 
 /// Returns what a task of the step takes of a VM's capacity.
-resources RoomOf(const step_spec& step);
+resources DemandOf(const step_spec& step);
 
 /// The state of a `pool_scheduler`. It looks at VMs that have changed, and not
 /// at all of them: who changes a VM takes it from `FindVm` or calls
@@ -42,9 +42,9 @@
   vm_table& vms() { return vms_; }
   /// True once the registry's VMs are known: jobs that were added before that
   /// are an earlier owner's.
-  bool has_list() const { return has_list_; }
+  bool has_registry() const { return has_registry_; }
   /// Returns the VM for a change of it, or null when it is unknown.
-  vm_state* FindVm(const vm_id& id) { return vms_.Change(id); }
+  vm_state* FindVm(const vm_id& id) { return vms_.FindForChange(id); }
   const vm_state* PeekVm(const vm_id& id) const { return vms_.Find(id); }
   scheduler_counts Counts() const;
   pool_load Load(const pool_id& pool, time_point now);
@@ -54,27 +54,27 @@
   void AddKnownVm(const known_vm& vm);
   void UpdateVms(const std::vector<vm_description>& listed, time_point now);
   void UpdateVm(const vm_description& description, time_point now);
-  void UnlistVm(const vm_id& id);
-  void TakeListing(vm_state* vm,
-                   time_point sent_at,
-                   const vm_listing& listing,
-                   time_point now);
-  void TakeStartAnswer(vm_state* vm,
-                       const run_ref& target,
-                       start_result result,
-                       time_point now);
-  void TakeStopAnswer(vm_state* vm,
-                      const run_ref& target,
-                      bool is_answered,
+  void UnregisterVm(const vm_id& id);
+  void ProcessListing(vm_state* vm,
+                      time_point sent_at,
+                      const run_listing& listing,
                       time_point now);
+  void ProcessStartAnswer(vm_state* vm,
+                          const run_ref& target,
+                          start_result result,
+                          time_point now);
+  void ProcessStopAnswer(vm_state* vm,
+                         const run_ref& target,
+                         bool is_answered,
+                         time_point now);
   /// Notes the result of a start for the window of starts. `vm` may be null.
   void NoteStartTime(vm_state* vm, const run_ref& target, time_point now);
   duration AnswerDelay() const { return window_.delay(); }
-  bool HoldsStartsBack() const { return starts_left_ == 0; }
+  bool IsStartWindowFull() const { return starts_left_ == 0; }
   void Replace(const vm_id& id, time_point now);
   /// Counts what began on a VM just before it fell silent against its tasks,
   /// until the VM is heard again.
-  void DoubtFreshRuns(vm_state* vm);
+  void SuspectNewlyStartedRuns(vm_state* vm);
   hold_parameters NextHold(vm_state* vm, time_point now);
 
   std::vector<vm_order> Plan(time_point now, time_point wall_now);
@@ -97,7 +97,7 @@
   void AdoptRunsOf(const job_id& id, time_point now);
   /// Counts what a job, since it was handed in, has waited to be read.
   static void NoteReading(job_state* job) {
-    NoteWait(job, wait_cause::kReading, job->handed_in_at());
+    NoteWait(job, wait_cause::kReading, job->submitted_at());
   }
   /// Wants a stop of every run of the job.
   void StopRunsOf(const job_id& id);
@@ -125,10 +125,10 @@
   };
 
   /// What tasks of a step ask of a VM, but for what only some tasks ask.
-  struct unplaced_need {
+  struct unmet_demand {
     pool_id pool;
     std::string label;
-    resources room;
+    resources demand;
   };
 
   void AssumeLeaseOf(const vm_id& id, vm_state* vm);
@@ -136,14 +136,17 @@
   // Lives.
   /// Notes of which life of the VM a listing or a registry entry is. Returns
   /// false when that life is over. `asked_at`: when a listing was asked for.
-  bool TakeLife(vm_state* vm,
-                std::optional<time_point> asked_at,
-                const life_mark& born,
-                time_point now);
-  void BeginLife(vm_state* vm, const life_mark& born, time_point now);
+  bool UpdateIncarnation(vm_state* vm,
+                         std::optional<time_point> asked_at,
+                         const vm_incarnation& incarnation,
+                         time_point now);
+  void BeginIncarnation(vm_state* vm,
+                        const vm_incarnation& incarnation,
+                        time_point now);
   /// Prepares a run to be settled with the next life of its VM.
-  static void DoubtRun(run_state* run, const life_mark& former_life);
-  static void ForgetOldStarts(vm_state* vm, time_point now);
+  static void MarkUncertain(run_state* run,
+                            const vm_incarnation& former_incarnation);
+  static void DropOldStarts(vm_state* vm, time_point now);
   static void NoteUnansweredStart(vm_state* vm,
                                   const run_ref& target,
                                   time_point now);
@@ -151,29 +154,29 @@
   /// Ends runs that nothing more can be heard of, and counts them against their
   /// tasks.
   void EndLostRuns(vm_state* vm, const std::vector<lost_run>& lost);
-  void ForgetUntakenEnds(vm_state* vm);
-  /// Returns a run that is lost with its VM. `is_over`: so is the life of the
-  /// VM that it was on.
+  void DropUnprocessedEnds(vm_state* vm);
+  /// Returns a run that is lost with its VM. `has_incarnation_ended`: so is the
+  /// life of the VM that it was on.
   static lost_run LostRunOf(const vm_state& vm,
                             const task_name& task,
                             const run_state& run,
-                            bool is_over);
+                            bool has_incarnation_ended);
 
   // Reports.
-  void TakeRunning(vm_state* vm, const running_task& row, time_point now);
+  void ProcessRunning(vm_state* vm, const running_task& row, time_point now);
   void Adopt(vm_state* vm, const running_task& row, time_point now);
-  void NoteBegun(job_state* job);
+  void NoteRunning(job_state* job);
   void WithdrawLosses(const vm_state& vm);
   void NoteListed(vm_state* vm, const task_name& task, run_state* run);
-  void NoteAtWork(const task_name& task);
-  bool TakeEnd(vm_state* vm, const ended_task& end, time_point now);
+  void NoteReady(const task_name& task);
+  bool ProcessEnd(vm_state* vm, const ended_task& end, time_point now);
   void NoteHealth(vm_state* vm, const ended_task& end, time_point now);
   void CheckAbsent(vm_state* vm,
                    time_point sent_at,
-                   const vm_listing& listing,
+                   const run_listing& listing,
                    time_point now);
 
-  static void NoteUnsettled(run_state* run, time_point now);
+  static void NoteStartUnknown(run_state* run, time_point now);
   void AckStored();
 
   // Ends of runs.
@@ -181,18 +184,18 @@
   /// Returns its job when that is news of it, else null.
   job_state* EndRun(vm_state* vm, const task_name& task);
   void CountLoss(job_state* job, const task_name& task, const run_loss& loss);
-  /// Ends all runs on a VM of which nothing more can be heard. `is_over`: that
-  /// life of it is known to be over.
-  void EndUnheardRuns(vm_state* vm, bool is_over);
+  /// Ends all runs on a VM of which nothing more can be heard.
+  /// `has_incarnation_ended`: that life of it is known to be over.
+  void EndAllRunsAsLost(vm_state* vm, bool has_incarnation_ended);
   static bool IsEndPlanned(const vm_state& vm);
   /// Whether a crash of the VM now is another task's doing than the run's.
   static bool IsClearedBySuspect(const vm_state& vm, const run_state& run);
-  void LapseIfSilent(vm_state* vm, time_point now);
+  void ExpireIfSilent(vm_state* vm, time_point now);
   /// Forgets a VM that the registry lists no more and that can run nothing.
-  void ForgetIfGone(vm_state* vm, time_point now);
+  void RemoveIfGone(vm_state* vm, time_point now);
   void StopHungRuns(vm_state* vm, time_point now);
   void EmptyVm(vm_state* vm, time_point now);
-  bool MayDisturb(const task_name& task);
+  bool MayInterrupt(const task_name& task);
   void PlanStops(vm_state* vm, time_point now, std::vector<vm_order>* orders);
   void PlanPace(vm_state* vm, std::vector<vm_order>* orders);
 
@@ -202,7 +205,7 @@
   void OpenOccurrences(time_point wall_now);
   void PlanVm(vm_state* vm, time_point now, std::vector<vm_order>* orders);
   /// Sees to it that the VM is planned for again when that may be due.
-  void PlanNextLook(vm_state* vm, time_point now);
+  void ScheduleNextCheck(vm_state* vm, time_point now);
   /// Notes that the VM is new, described anew or about to be forgotten.
   void NoteVmChange(const vm_state& vm);
 
@@ -215,9 +218,9 @@
   /// Notes what the job's tasks wait for, if any does.
   static void NoteWait(job_state* job, wait_cause cause, time_point now);
   bool IsRecovered(time_point now);
-  void SkipUntoldRuns(time_point now);
-  void NoteForgotten(const task_name& task, std::uint32_t run);
-  std::set<job_id> JobsWithUntakenEnds() const;
+  void SkipUnreportedRuns(time_point now);
+  void NoteUnknownRun(const task_name& task, std::uint32_t run);
+  std::set<job_id> JobsWithUnprocessedEnds() const;
   std::vector<candidate> Candidates(time_point now);
   void PlaceJob(job_state* job, time_point now, std::vector<vm_order>* orders);
   void PlaceStep(job_state* job,
@@ -232,14 +235,14 @@
                  std::uint32_t step,
                  time_point now,
                  std::vector<vm_order>* orders);
-  bool IsHopeless(const pool_id& pool, const step_spec& step) const;
+  bool IsKnownUnplaceable(const pool_id& pool, const step_spec& step) const;
   /// Whether the task starts only beside runs that aren't fresh.
-  static bool IsKeptApart(job_state& job, const task_name& task);
+  static bool MustRunIsolated(job_state& job, const task_name& task);
   /// Whether the VM could hold one more task of the step, apart from its room.
   bool MayHold(const vm_state& vm,
                const task_name& task,
                const step_spec& step,
-               bool is_kept_apart) const;
+               bool is_isolated) const;
   vm_state* ChooseVm(job_state* job,
                      const task_name& task,
                      const std::string& rack,
@@ -249,8 +252,10 @@
   /// has room.
   bool Suits(vm_state* vm, vm_search* search) const;
   /// Return the VM of the list that suits the task best, or null.
-  vm_state* FindBest(const taker_list& takers, vm_search* search) const;
-  vm_state* FindLeastBusy(const taker_list& takers, vm_search* search) const;
+  vm_state* FindBest(const available_vm_list& available,
+                     vm_search* search) const;
+  vm_state* FindLeastBusy(const available_vm_list& available,
+                          vm_search* search) const;
   std::uint32_t RunsOfStep(const vm_state& vm, const task_name& task) const;
   void Start(job_state* job,
              const task_name& task,
@@ -278,7 +283,7 @@
   std::vector<vm_id> emptied_;
   /// VMs with ends that wait for their batch of records to be stored.
   std::vector<vm_id> unacknowledged_;
-  bool has_list_ = false;
+  bool has_registry_ = false;
   std::uint64_t stored_through_ = 0;
   scheduler_counts counts_;
   /// Runs that were lost and haven't been reported.
@@ -286,19 +291,19 @@
   send_window window_;
   /// Starts that may still be ordered in this plan, and what is under way.
   std::size_t starts_left_ = 0;
-  std::size_t starts_under_way_ = 0;
+  std::size_t starts_in_flight_ = 0;
   /// What found no VM in this plan.
-  std::vector<unplaced_need> unplaced_;
+  std::vector<unmet_demand> unmet_demands_;
   /// A VM's lease ran out before it had told what was started there.
-  bool has_untold_vm_ = false;
+  bool has_unreported_vm_ = false;
   time_point jobs_read_through_;
   /// Nothing: it isn't told.
   std::optional<time_point> cancellations_read_through_;
   /// The highest runs of unknown jobs that VMs had told of before they lapsed.
-  std::map<job_id, std::map<task_name, std::uint32_t>> forgotten_runs_;
+  std::map<job_id, std::map<task_name, std::uint32_t>> highest_unknown_runs_;
   bool is_recovered_ = false;
   /// The batch that records the last lapse of a VM.
-  std::uint64_t lapse_batch_ = 0;
+  std::uint64_t expiry_batch_ = 0;
 };
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/pool_sizer.cc
+++ b/src/core/jobs/pool_sizer.cc
@@ -18,9 +18,9 @@
 }
 
 // Adds a value to those of which only later ones that are greater count.
-void KeepPeaks(std::uint32_t value,
-               time_point now,
-               std::deque<std::pair<time_point, std::uint32_t>>* peaks) {
+void PushPeak(std::uint32_t value,
+              time_point now,
+              std::deque<std::pair<time_point, std::uint32_t>>* peaks) {
   while (!peaks->empty() && peaks->back().second <= value) {
     peaks->pop_back();
   }
@@ -29,16 +29,17 @@
 
 }  // namespace
 
-std::uint32_t pool_sizer::Filled(double vms) const {
-  return static_cast<std::uint32_t>(std::ceil(vms / settings_.fill));
+std::uint32_t pool_sizer::VmsToHold(double vms) const {
+  return static_cast<std::uint32_t>(std::ceil(vms / settings_.fill_ratio));
 }
 
 std::uint32_t pool_sizer::Needed(const pool_load& load) const {
-  const std::uint32_t now_needed =
-      Filled(VmsFor(load.used + load.waiting, load));
-  const std::uint32_t rise = Filled(VmsFor(load.rising, load));
-  const std::uint32_t past_rise = rises_.empty() ? 0 : rises_.front().second;
-  return std::max({now_needed, rise, past_rise, load.spread}) +
+  const std::uint32_t needed_now =
+      VmsToHold(VmsFor(load.used + load.waiting, load));
+  const std::uint32_t rise = VmsToHold(VmsFor(load.rising, load));
+  const std::uint32_t held_rise =
+      rise_peaks_.empty() ? 0 : rise_peaks_.front().second;
+  return std::max({needed_now, rise, held_rise, load.spread}) +
          settings_.reserve;
 }
 
@@ -46,40 +47,40 @@
 // rate soon holds before as well, while the VMs are on their way. If less were
 // wanted then, the hosts would go elsewhere, and be asked for a second time.
 void pool_sizer::NoteRise(const pool_load& load, time_point now) {
-  const std::uint32_t rise = Filled(VmsFor(load.rising, load));
-  if (rise > 0 && load.rising_jobs >= settings_.least_remembered_jobs) {
-    KeepPeaks(rise, now, &rises_);
+  const std::uint32_t rise = VmsToHold(VmsFor(load.rising, load));
+  if (rise > 0 && load.rising_jobs >= settings_.min_held_rise_jobs) {
+    PushPeak(rise, now, &rise_peaks_);
   }
-  while (!rises_.empty() &&
-         now - rises_.front().first > settings_.rise_memory) {
-    rises_.pop_front();
+  while (!rise_peaks_.empty() &&
+         now - rise_peaks_.front().first > settings_.rise_hold_time) {
+    rise_peaks_.pop_front();
   }
 }
 
 std::uint32_t pool_sizer::Update(const pool_load& load,
-                                 bool is_scarce,
+                                 bool has_shortage,
                                  time_point now) {
   NoteRise(load, now);
   const std::uint32_t needed = Needed(load);
   first_update_ = first_update_.value_or(now);
-  KeepPeaks(needed, now, &needs_);
-  while (now - needs_.front().first > settings_.memory) {
-    needs_.pop_front();
+  PushPeak(needed, now, &need_peaks_);
+  while (now - need_peaks_.front().first > settings_.demand_window) {
+    need_peaks_.pop_front();
   }
-  if (!is_scarce) {
-    return needs_.front().second;
+  if (!has_shortage) {
+    return need_peaks_.front().second;
   }
-  const auto recent =
-      std::find_if(needs_.begin(), needs_.end(), [&](const auto& entry) {
-        return now - entry.first <= settings_.scarce_memory;
+  const auto recent = std::find_if(
+      need_peaks_.begin(), need_peaks_.end(), [&](const auto& entry) {
+        return now - entry.first <= settings_.shortage_demand_window;
       });
   return recent->second;
 }
 
-bool pool_sizer::MayShrink(bool is_scarce, time_point now) const {
-  const duration memory =
-      is_scarce ? settings_.scarce_memory : settings_.memory;
-  return first_update_ && now - *first_update_ > memory;
+bool pool_sizer::MayShrink(bool has_shortage, time_point now) const {
+  const duration demand_window =
+      has_shortage ? settings_.shortage_demand_window : settings_.demand_window;
+  return first_update_ && now - *first_update_ > demand_window;
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/send_window.cc
+++ b/src/core/jobs/send_window.cc
@@ -10,37 +10,37 @@
 
 }  // namespace
 
-send_window::send_window(const window_settings& settings)
+send_window::send_window(const send_window_settings& settings)
     : settings_(settings),
-      size_(static_cast<double>(settings.first)),
-      fast_below_(static_cast<double>(settings.most)) {}
+      size_(static_cast<double>(settings.initial_size)),
+      slow_start_threshold_(static_cast<double>(settings.max_size)) {}
 
 void send_window::NoteResult(duration took, time_point now) {
-  usual_ += (took - usual_) / kSmoothing;
+  smoothed_delay_ += (took - smoothed_delay_) / kSmoothing;
   counted_from_ = counted_ == 0 ? now : counted_from_;
   ++counted_;
   if (took <= settings_.slow) {
-    size_ += size_ < fast_below_ ? 1.0 : 1.0 / size_;
-    size_ = std::min(size_, static_cast<double>(settings_.most));
+    size_ += size_ < slow_start_threshold_ ? 1.0 : 1.0 / size_;
+    size_ = std::min(size_, static_cast<double>(settings_.max_size));
     return;
   }
   ++slow_;
-  if (now - counted_from_ < settings_.least_halving_gap) {
+  if (now - counted_from_ < settings_.min_halving_interval) {
     return;
   }
   const double share =
       static_cast<double>(slow_) / static_cast<double>(counted_);
   counted_ = 0;
   slow_ = 0;
-  if (share < settings_.least_slow_share) {
+  if (share < settings_.min_slow_share) {
     return;
   }
-  size_ = std::max(static_cast<double>(settings_.least), size_ / 2);
-  fast_below_ = size_;
+  size_ = std::max(static_cast<double>(settings_.min_size), size_ / 2);
+  slow_start_threshold_ = size_;
 }
 
 duration send_window::delay() const {
-  return usual_ > settings_.slow ? usual_ : duration::zero();
+  return smoothed_delay_ > settings_.slow ? smoothed_delay_ : duration::zero();
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/send_window.h
+++ b/src/core/jobs/send_window.h
@@ -11,18 +11,18 @@
 /// Limits of a `send_window`. The defaults are those of starts. VMs answer in
 /// some ms, and an owner that orders hundreds of starts is busy for some tenths
 /// of a second, so that `slow` is far above both.
-struct window_settings {
-  std::size_t least = 8;
+struct send_window_settings {
+  std::size_t min_size = 8;
   /// How many calls may be under way before any was answered.
-  std::size_t first = 512;
-  std::size_t most = 512;
+  std::size_t initial_size = 512;
+  std::size_t max_size = 512;
   /// Answers that take longer have waited for the link.
   duration slow = std::chrono::milliseconds(600);
   /// The answers of what was sent before the last halving say nothing new.
-  duration least_halving_gap = std::chrono::milliseconds(700);
+  duration min_halving_interval = std::chrono::milliseconds(700);
   /// A full link makes most results late. Where fewer are, single peers are
   /// silent, and all others would be held back for them.
-  double least_slow_share = 0.1;
+  double min_slow_share = 0.1;
 };
 
 /// Bounds the calls that are under way by what the link carries, as a sender's
@@ -33,7 +33,7 @@
 class send_window {
  public:
   /// Precondition: 0 < least <= first <= most.
-  explicit send_window(const window_settings& settings = {});
+  explicit send_window(const send_window_settings& settings = {});
   /// Notes that a call was answered, or was given up, after `took`.
   void NoteResult(duration took, time_point now);
   /// Returns how many may be under way.
@@ -43,11 +43,11 @@
   duration delay() const;
 
  private:
-  window_settings settings_;
+  send_window_settings settings_;
   double size_;
   /// Up to here the window doubles with each round of answers.
-  double fast_below_;
-  duration usual_ = duration::zero();
+  double slow_start_threshold_;
+  duration smoothed_delay_ = duration::zero();
   /// The results since the window was last halved, or might have been.
   time_point counted_from_;
   std::size_t counted_ = 0;
--- a/src/core/jobs/vacancy_checker.cc
+++ b/src/core/jobs/vacancy_checker.cc
@@ -8,8 +8,8 @@
     kept.emplace(hint.vm, hint.reason);
     NoteHint(hint);
   }
-  const std::map<hint_key, noted_hint> all = hints_;
-  for (const auto& [key, noted] : all) {
+  const std::map<hint_key, tracked_hint> all = hints_;
+  for (const auto& [key, tracked] : all) {
     if (kept.count(key) == 0) {
       DropHint(key.first, key.second);
     }
@@ -26,8 +26,8 @@
     // A hint of another owner is news: the earlier one may have been refuted.
     DropHint(hint.vm, hint.reason);
   }
-  noted_hint& noted = hints_[key];
-  noted.hint = hint;
+  tracked_hint& tracked = hints_[key];
+  tracked.hint = hint;
   by_partition_[hint.partition].insert(key);
   unread_[hint.partition].insert(key);
 }
@@ -44,12 +44,12 @@
 }
 
 void vacancy_checker::SetPhase(const hint_key& key,
-                               noted_hint* noted,
+                               tracked_hint* tracked,
                                state phase) {
-  const std::uint32_t partition = noted->hint.partition;
-  const bool was_confirmed = noted->phase == state::kConfirmed;
+  const std::uint32_t partition = tracked->hint.partition;
+  const bool was_confirmed = tracked->phase == state::kConfirmed;
   const bool is_confirmed = phase == state::kConfirmed;
-  noted->phase = phase;
+  tracked->phase = phase;
   unread_[partition].erase(key);
   reading_[partition].erase(key);
   if (phase == state::kUnread) {
@@ -62,7 +62,7 @@
   }
 }
 
-std::set<std::uint32_t> vacancy_checker::TakeReadings() {
+std::set<std::uint32_t> vacancy_checker::TakePartitionsToRead() {
   std::set<std::uint32_t> due;
   for (auto& [partition, keys] : unread_) {
     if (keys.empty() || !reading_[partition].empty()) {
@@ -77,9 +77,9 @@
   return due;
 }
 
-void vacancy_checker::EndReading(std::uint32_t partition,
-                                 bool is_read,
-                                 const std::set<vm_id>& vacant) {
+void vacancy_checker::OnPartitionRead(std::uint32_t partition,
+                                      bool is_read,
+                                      const std::set<vm_id>& vacant) {
   const std::set<hint_key> read = reading_[partition];
   for (const hint_key& key : read) {
     const bool is_vacant = vacant.count(key.first) != 0;
@@ -116,12 +116,12 @@
 // with the tasks that run there. When the owner empties the VM once more the
 // hint is the same as before, so that a refuted one isn't refuted for good.
 void vacancy_checker::NoteVacant(const hint_key& key,
-                                 noted_hint* noted,
+                                 tracked_hint* tracked,
                                  bool is_vacant) {
-  if (noted->phase == state::kConfirmed && !is_vacant) {
-    SetPhase(key, noted, state::kRefuted);
-  } else if (noted->phase == state::kRefuted && is_vacant) {
-    SetPhase(key, noted, state::kUnread);
+  if (tracked->phase == state::kConfirmed && !is_vacant) {
+    SetPhase(key, tracked, state::kRefuted);
+  } else if (tracked->phase == state::kRefuted && is_vacant) {
+    SetPhase(key, tracked, state::kUnread);
   }
 }
 
@@ -131,31 +131,31 @@
 
 std::set<vm_id> vacancy_checker::Confirmed(vacancy_reason reason) const {
   std::set<vm_id> vms;
-  for (const auto& [key, noted] : hints_) {
-    if (key.second == reason && noted.phase == state::kConfirmed) {
+  for (const auto& [key, tracked] : hints_) {
+    if (key.second == reason && tracked.phase == state::kConfirmed) {
       vms.insert(key.first);
     }
   }
   return vms;
 }
 
-std::vector<vm_id> vacancy_checker::TakeGoneOffers(
+std::vector<vm_id> vacancy_checker::TakeStaleOffers(
     const std::set<vm_id>& present,
     time_point now) {
   std::vector<vm_id> gone;
-  for (auto& [key, noted] : hints_) {
-    if (key.second != vacancy_reason::kOffered || noted.is_taken_as_gone) {
+  for (auto& [key, tracked] : hints_) {
+    if (key.second != vacancy_reason::kOffered || tracked.is_reported_gone) {
       continue;
     }
     if (present.count(key.first) != 0) {
-      noted.missing_since.reset();
+      tracked.missing_since.reset();
       continue;
     }
-    if (!noted.missing_since) {
-      noted.missing_since = now;
+    if (!tracked.missing_since) {
+      tracked.missing_since = now;
     }
-    if (now - *noted.missing_since > settings_.missing_limit) {
-      noted.is_taken_as_gone = true;
+    if (now - *tracked.missing_since > settings_.missing_limit) {
+      tracked.is_reported_gone = true;
       gone.push_back(key.first);
     }
   }
--- a/src/core/jobs/vacancy_keeper.cc
+++ b/src/core/jobs/vacancy_manager.cc
@@ -1,18 +1,18 @@
-#include "plantainhead/core/jobs/vacancy_keeper.h"
+#include "plantainhead/core/jobs/vacancy_manager.h"
 
 #include <iterator>
 
 namespace plantainhead::core::jobs {
 
-void vacancy_keeper::Restore(const std::set<vm_id>& recorded) {
+void vacancy_manager::Restore(const std::set<vm_id>& recorded) {
   for (const vm_id& vm : recorded) {
     closed_vm* entry = Close(vm);
     entry->at = stage::kVacant;
-    PlanHint(vm, entry);
+    ScheduleHint(vm, entry);
   }
 }
 
-void vacancy_keeper::UpdateForService(const std::set<vm_id>& vms) {
+void vacancy_manager::UpdateForService(const std::set<vm_id>& vms) {
   const std::set<vm_id> before = for_service_;
   for (const vm_id& vm : before) {
     if (vms.count(vm) == 0) {
@@ -24,7 +24,7 @@
   }
 }
 
-void vacancy_keeper::NoteForService(const vm_id& vm, bool is_for_service) {
+void vacancy_manager::NoteForService(const vm_id& vm, bool is_for_service) {
   if (is_for_service == (for_service_.count(vm) != 0)) {
     return;
   }
@@ -35,16 +35,16 @@
   } else {
     for_service_.erase(vm);
   }
-  PlanHint(vm, entry);
-  OpenIfFree(vm);
+  ScheduleHint(vm, entry);
+  ReopenIfUnused(vm);
 }
 
-bool vacancy_keeper::Resize(const pool_id& pool,
-                            const pool_load& load,
-                            std::uint32_t wanted,
-                            const vm_chooser& least_used) {
+bool vacancy_manager::Resize(const pool_id& pool,
+                             const pool_load& load,
+                             std::uint32_t wanted,
+                             const vm_chooser& least_used) {
   if (load.usable_vms < wanted) {
-    return TakeBack(pool, wanted - load.usable_vms);
+    return Reclaim(pool, wanted - load.usable_vms);
   }
   if (load.usable_vms > wanted) {
     return Release(pool, least_used(load.usable_vms - wanted));
@@ -52,8 +52,8 @@
   return false;
 }
 
-bool vacancy_keeper::Release(const pool_id& pool,
-                             const std::vector<vm_id>& vms) {
+bool vacancy_manager::Release(const pool_id& pool,
+                              const std::vector<vm_id>& vms) {
   bool is_changed = false;
   for (const vm_id& vm : vms) {
     closed_vm* entry = Close(vm);
@@ -71,7 +71,7 @@
 // its last task runs, though there is room for them. It is safe to use it again
 // as long as no record of its vacancy was asked for: the owner of the fleet
 // acts on nothing else. The last one goes first, as least of it is empty yet.
-bool vacancy_keeper::TakeBack(const pool_id& pool, std::uint32_t count) {
+bool vacancy_manager::Reclaim(const pool_id& pool, std::uint32_t count) {
   std::uint32_t taken = 0;
   for (auto it = released_.end(); it != released_.begin() && taken < count;) {
     it = std::prev(it);
@@ -82,17 +82,17 @@
     }
     closed_vm* entry = Find(vm);
     entry->at = stage::kClosing;
-    found_.erase(vm);
+    empty_.erase(vm);
     const auto after = std::next(it);
     DropRelease(entry);
     it = after;
-    OpenIfFree(vm);
+    ReopenIfUnused(vm);
     ++taken;
   }
   return taken > 0;
 }
 
-vacancy_keeper::closed_vm* vacancy_keeper::Find(const vm_id& vm) {
+vacancy_manager::closed_vm* vacancy_manager::Find(const vm_id& vm) {
   const auto found = entries_.find(vm);
   if (found == entries_.end()) {
     return nullptr;
@@ -101,7 +101,7 @@
   return &found->second;
 }
 
-vacancy_keeper::closed_vm* vacancy_keeper::Close(const vm_id& vm) {
+vacancy_manager::closed_vm* vacancy_manager::Close(const vm_id& vm) {
   const auto [entry, is_new] = entries_.try_emplace(vm);
   ++visited_vms_;
   if (is_new) {
@@ -110,7 +110,7 @@
   return &entry->second;
 }
 
-void vacancy_keeper::OpenIfFree(const vm_id& vm) {
+void vacancy_manager::ReopenIfUnused(const vm_id& vm) {
   const closed_vm& entry = entries_.at(vm);
   const bool is_kept =
       entry.is_for_service || entry.released || entry.at != stage::kClosing;
@@ -124,30 +124,30 @@
   changed_.push_back(vm);
 }
 
-void vacancy_keeper::DropRelease(closed_vm* entry) {
+void vacancy_manager::DropRelease(closed_vm* entry) {
   if (entry->released) {
     released_.erase(*entry->released);
     entry->released.reset();
   }
 }
 
-std::vector<vm_id> vacancy_keeper::TakeChanged() {
+std::vector<vm_id> vacancy_manager::TakeChanged() {
   return std::exchange(changed_, {});
 }
 
-bool vacancy_keeper::NoteEmpty(const vm_id& vm) {
+bool vacancy_manager::NoteEmpty(const vm_id& vm) {
   closed_vm* entry = Find(vm);
   if (entry == nullptr || entry->at != stage::kClosing) {
     return false;
   }
-  entry->at = stage::kFound;
-  found_.insert(vm);
+  entry->at = stage::kEmpty;
+  empty_.insert(vm);
   return true;
 }
 
-void vacancy_keeper::NotePresence(const vm_id& vm,
-                                  const vm_presence& presence,
-                                  time_point now) {
+void vacancy_manager::NotePresence(const vm_id& vm,
+                                   const vm_presence& presence,
+                                   time_point now) {
   closed_vm* entry = Find(vm);
   if (entry == nullptr || entry->presence == presence) {
     return;
@@ -160,31 +160,32 @@
     entry->gone_since = now;
     gone_.emplace(now, vm);
   }
-  PlanHint(vm, entry);
+  ScheduleHint(vm, entry);
   if (!presence.is_held) {
     DropRelease(entry);
-    OpenIfFree(vm);
+    ReopenIfUnused(vm);
   }
 }
 
-void vacancy_keeper::NoteHintShown(const vacant_vm& hint, bool is_shown) {
+void vacancy_manager::NoteHintShown(const vacant_vm& hint, bool is_shown) {
   if (closed_vm* entry = Find(hint.vm)) {
     entry->hints[static_cast<std::size_t>(hint.reason)].is_shown = is_shown;
-    PlanHint(hint.vm, entry);
+    ScheduleHint(hint.vm, entry);
   }
 }
 
-vacancy_batch vacancy_keeper::TakeBatch(time_point now) {
+vacancy_batch vacancy_manager::TakeBatch(time_point now) {
   vacancy_batch batch;
-  batch.vacant.assign(found_.begin(), found_.end());
+  batch.vacant.assign(empty_.begin(), empty_.end());
   recording_ = batch.vacant;
-  found_.clear();
+  empty_.clear();
   for (const vm_id& vm : recording_) {
     closed_vm* entry = Find(vm);
     entry->at = stage::kRecording;
     DropRelease(entry);
   }
-  while (!gone_.empty() && now - gone_.begin()->first > settings_.memory) {
+  while (!gone_.empty() &&
+         now - gone_.begin()->first > settings_.record_retention) {
     const vm_id vm = gone_.begin()->second;
     gone_.erase(gone_.begin());
     closed_vm* entry = Find(vm);
@@ -197,37 +198,37 @@
     entry->gone_since.reset();
     entry->at = stage::kClosing;
     entry->hints = {};
-    PlanHint(vm, entry);
-    OpenIfFree(vm);
+    ScheduleHint(vm, entry);
+    ReopenIfUnused(vm);
   }
   return batch;
 }
 
-std::vector<vacant_vm> vacancy_keeper::NoteStored() {
+std::vector<vacant_vm> vacancy_manager::NoteStored() {
   std::vector<vacant_vm> recorded;
   for (const vm_id& vm : std::exchange(recording_, {})) {
     closed_vm* entry = Find(vm);
     entry->at = stage::kVacant;
     recorded.push_back({vm, ReasonOf(*entry)});
-    PlanHint(vm, entry);
+    ScheduleHint(vm, entry);
   }
   return recorded;
 }
 
-std::vector<vacant_vm> vacancy_keeper::TakeHints(time_point now) {
+std::vector<vacant_vm> vacancy_manager::TakeHints(time_point now) {
   std::vector<vacant_vm> hints;
   while (!hints_due_.empty() && hints_due_.begin()->first <= now) {
     const vm_id vm = hints_due_.begin()->second;
     closed_vm* entry = Find(vm);
-    HintOf(entry)->told_at = now;
+    HintOf(entry)->sent_at = now;
     hints.push_back({vm, ReasonOf(*entry)});
-    PlanHint(vm, entry);
+    ScheduleHint(vm, entry);
   }
   return hints;
 }
 
 // Notes when the owner of the fleet is to be told of the VM next, if at all.
-void vacancy_keeper::PlanHint(const vm_id& vm, closed_vm* entry) {
+void vacancy_manager::ScheduleHint(const vm_id& vm, closed_vm* entry) {
   if (entry->hint_due) {
     hints_due_.erase({*entry->hint_due, vm});
     entry->hint_due.reset();
@@ -235,20 +236,20 @@
   const hint_state& hint = *HintOf(entry);
   const bool is_wanted = entry->at == stage::kVacant &&
                          entry->presence.is_held &&
-                         (!hint.told_at || !hint.is_shown);
+                         (!hint.sent_at || !hint.is_shown);
   if (is_wanted) {
     entry->hint_due =
-        hint.told_at ? *hint.told_at + settings_.hint_retry : time_point();
+        hint.sent_at ? *hint.sent_at + settings_.hint_retry : time_point();
     hints_due_.emplace(*entry->hint_due, vm);
   }
 }
 
-vacancy_reason vacancy_keeper::ReasonOf(const closed_vm& entry) {
+vacancy_reason vacancy_manager::ReasonOf(const closed_vm& entry) {
   return entry.is_for_service ? vacancy_reason::kForService
                               : vacancy_reason::kOffered;
 }
 
-vacancy_keeper::hint_state* vacancy_keeper::HintOf(closed_vm* entry) {
+vacancy_manager::hint_state* vacancy_manager::HintOf(closed_vm* entry) {
   return &entry->hints[static_cast<std::size_t>(ReasonOf(*entry))];
 }
 
--- a/src/core/jobs/vm_index.h
+++ b/src/core/jobs/vm_index.h
@@ -44,22 +44,23 @@
 /// VMs that take tasks, ranked by the processor time that they have left, in
 /// thousandths of a core. Some tasks avoid VMs with tasks that serve, or seek
 /// those with tasks that last, so that each kind has a list of its own.
-class taker_list {
+class available_vm_list {
  public:
   static constexpr std::size_t kKinds = 4;
 
   static std::size_t KindOf(const vm_state& vm) {
-    return (vm.HasServing() ? 2U : 0U) + (vm.HasLasting() ? 1U : 0U);
+    return (vm.HasLatencySensitive() ? 2U : 0U) +
+           (vm.HasLongRunning() ? 1U : 0U);
   }
-  static bool HasServing(std::size_t kind) { return (kind & 2U) != 0; }
-  static bool HasLasting(std::size_t kind) { return (kind & 1U) != 0; }
+  static bool HasLatencySensitive(std::size_t kind) { return (kind & 2U) != 0; }
+  static bool HasLongRunning(std::size_t kind) { return (kind & 1U) != 0; }
 
   const ranked_vms& OfKind(std::size_t kind) const { return lists_[kind]; }
   std::size_t size() const { return size_; }
-  /// Precondition: `taker` isn't in the list.
-  void Insert(std::size_t kind, const ranked_vm& taker);
-  /// Precondition: `taker` is in the list.
-  void Erase(std::size_t kind, const ranked_vm& taker);
+  /// Precondition: `ranked` isn't in the list.
+  void Insert(std::size_t kind, const ranked_vm& ranked);
+  /// Precondition: `ranked` is in the list.
+  void Erase(std::size_t kind, const ranked_vm& ranked);
 
  private:
   std::array<ranked_vms, kKinds> lists_;
@@ -67,19 +68,19 @@
 };
 
 /// What is kept of all VMs of one pool.
-struct pool_figures {
+struct pool_vm_index {
   vm_set vms;
   std::uint32_t usable_vms = 0;
   /// Of the usable VMs.
   resources capacity;
   resources used;
-  vm_stages stages;
+  vm_stage_counts stages;
   /// Usable VMs without a lasting task, the most free first.
   ranked_vms idle;
   /// Under the empty label all of them, and those with a label that was asked
-  /// for; see `TakersWith`.
-  std::map<std::string, taker_list> takers;
-  std::map<std::string, std::size_t> takers_by_rack;
+  /// for; see `AvailableWith`.
+  std::map<std::string, available_vm_list> available;
+  std::map<std::string, std::size_t> available_by_rack;
 };
 
 /// Figures and lists of an owner's VMs, kept up to date VM by VM.
@@ -94,34 +95,35 @@
   void Remove(vm_state* vm);
 
   /// Returns what is kept of the pool, or null when it never had a VM.
-  const pool_figures* Find(const pool_id& pool) const;
+  const pool_vm_index* Find(const pool_id& pool) const;
   /// Returns the takers of the pool with the label; the empty one stands for
   /// all. The first call for a label looks at all of them. Null: the pool never
   /// had a VM.
-  const taker_list* TakersWith(const pool_id& pool, const std::string& label);
+  const available_vm_list* AvailableWith(const pool_id& pool,
+                                         const std::string& label);
   /// Returns how many starts are on their way to VMs.
-  std::size_t starts_under_way() const { return starts_under_way_; }
+  std::size_t starts_in_flight() const { return starts_in_flight_; }
   /// VMs that haven't told all, and whose leases aren't over.
-  const vm_set& unsettled() const { return unsettled_; }
+  const vm_set& unreconciled() const { return unreconciled_; }
   /// VMs that told of an end that isn't taken in.
-  const vm_set& with_untaken_ends() const { return with_untaken_ends_; }
+  const vm_set& with_unprocessed_ends() const { return with_unprocessed_ends_; }
   /// VMs that told of a job that isn't known here.
   const vm_set& with_unknown_jobs() const { return with_unknown_jobs_; }
   /// Reachable VMs of which a record is due.
   const vm_set& record_due() const { return record_due_; }
 
  private:
-  void FindPlaces(vm_state* vm);
-  static void ListLabel(const std::string& label, pool_figures* pool);
-  static vm_figures FiguresOf(const vm_state& vm, time_point now);
-  void Add(vm_state* vm, const vm_figures& figures);
+  void FindSlots(vm_state* vm);
+  static void ListLabel(const std::string& label, pool_vm_index* pool);
+  static vm_index_entry EntryOf(const vm_state& vm, time_point now);
+  void Add(vm_state* vm, const vm_index_entry& entry);
   void Subtract(vm_state* vm);
 
   /// Its elements are pointed to.
-  std::map<pool_id, pool_figures> pools_;
-  std::size_t starts_under_way_ = 0;
-  vm_set unsettled_;
-  vm_set with_untaken_ends_;
+  std::map<pool_id, pool_vm_index> pools_;
+  std::size_t starts_in_flight_ = 0;
+  vm_set unreconciled_;
+  vm_set with_unprocessed_ends_;
   vm_set with_unknown_jobs_;
   vm_set record_due_;
 };
--- a/src/core/jobs/vm_registry.cc
+++ b/src/core/jobs/vm_registry.cc
@@ -5,29 +5,29 @@
 namespace plantainhead::core::jobs {
 
 bool vm_registry::Put(vm_description vm) {
-  bool is_news = unreadable_.erase(vm.id) != 0;
+  bool is_changed = unreadable_.erase(vm.id) != 0;
   const auto [found, is_new] = readable_.try_emplace(vm.id);
-  is_news = is_news || is_new || found->second != vm;
-  if (is_news) {
+  is_changed = is_changed || is_new || found->second != vm;
+  if (is_changed) {
     found->second = std::move(vm);
     if (found->second.draining) {
-      leaving_.insert(found->first);
+      draining_.insert(found->first);
     } else {
-      leaving_.erase(found->first);
+      draining_.erase(found->first);
     }
   }
-  return is_news;
+  return is_changed;
 }
 
 void vm_registry::PutUnreadable(const vm_id& id) {
   readable_.erase(id);
-  leaving_.erase(id);
+  draining_.erase(id);
   unreadable_.insert(id);
 }
 
 void vm_registry::Drop(const vm_id& id) {
   readable_.erase(id);
-  leaving_.erase(id);
+  draining_.erase(id);
   unreadable_.erase(id);
 }
 
--- a/src/core/jobs/vm_state.cc
+++ b/src/core/jobs/vm_state.cc
@@ -9,7 +9,7 @@
 // date on it; 1/0.975 leaves a quarter of the deviation as a reserve.
 constexpr double kSlowestClock = 0.975;
 // Ending what runs takes a VM a moment after its lease is over.
-constexpr duration kLapseReserve = std::chrono::milliseconds(100);
+constexpr duration kExpiryReserve = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -55,62 +55,63 @@
 }
 
 void vm_state::Count(const run_state& run, int change) {
-  used_ = change > 0 ? used_ + run.room : used_ - run.room;
-  foreign_ += run.IsForeign() ? change : 0;
-  lasting_ += run.IsLasting() ? change : 0;
-  serving_ += run.IsServing() ? change : 0;
-  fresh_ += run.is_fresh ? change : 0;
-  fresh_suspects_ += run.is_fresh && run.is_suspected ? change : 0;
+  used_ = change > 0 ? used_ + run.demand : used_ - run.demand;
+  unknown_job_runs_ += run.IsOfUnknownJob() ? change : 0;
+  long_running_ += run.IsLongRunning() ? change : 0;
+  latency_sensitive_ += run.IsLatencySensitive() ? change : 0;
+  newly_started_ += run.is_newly_started ? change : 0;
+  newly_started_suspects_ +=
+      run.is_newly_started && run.is_suspected ? change : 0;
 }
 
-void vm_state::MarkOutlived(run_state* run) {
-  if (!run->is_fresh) {
+void vm_state::MarkSurvived(run_state* run) {
+  if (!run->is_newly_started) {
     return;
   }
-  run->is_fresh = false;
-  --fresh_;
-  fresh_suspects_ -= run->is_suspected ? 1 : 0;
+  run->is_newly_started = false;
+  --newly_started_;
+  newly_started_suspects_ -= run->is_suspected ? 1 : 0;
 }
 
-void vm_state::Hear(duration vm_clock, time_point now) {
-  is_heard_ = true;
+void vm_state::RecordAnswer(duration vm_clock, time_point now) {
+  has_answered_ = true;
   unanswered_ = 0;
-  last_heard_ = now;
+  last_answer_at_ = now;
   clock_sample_ = vm_clock;
 }
 
 // Its leases may have been granted on a clock that is of no use any more; the
-// last of them is over by `lapse_at` all the same.
-void vm_state::BeginLife(const life_mark& mark, time_point now) {
-  born = mark;
-  life_known_at_ = now;
-  is_heard_ = false;
+// last of them is over by `lease_expires_at` all the same.
+void vm_state::BeginIncarnation(const vm_incarnation& next, time_point now) {
+  incarnation = next;
+  incarnation_known_at_ = now;
+  has_answered_ = false;
   unanswered_ = 0;
   clock_sample_ = duration::zero();
-  taken_through = 0;
+  processed_through = 0;
   acknowledged_through = 0;
   unstored_ends.clear();
   unknown_end_since.reset();
   avoid_until = {};
   failures_in_row = 0;
   failing_jobs.clear();
-  is_settled = false;
+  is_reconciled = false;
 }
 
 std::optional<duration> vm_state::Grant(duration lease, time_point now) {
-  if (!is_heard_) {
+  if (!has_answered_) {
     return std::nullopt;
   }
-  const duration until = clock_sample_ + (now - last_heard_) + lease;
+  const duration until = clock_sample_ + (now - last_answer_at_) + lease;
   const auto longest = static_cast<std::int64_t>(
       static_cast<double>((until - clock_sample_).count()) / kSlowestClock);
-  lapse_at_ =
-      std::max(lapse_at_, last_heard_ + duration(longest) + kLapseReserve);
+  lease_expires_at_ = std::max(
+      lease_expires_at_, last_answer_at_ + duration(longest) + kExpiryReserve);
   return until;
 }
 
 void vm_state::AssumeLease(time_point until) {
-  lapse_at_ = std::max(lapse_at_, until);
+  lease_expires_at_ = std::max(lease_expires_at_, until);
 }
 
 }  // namespace plantainhead::core::jobs
--- a/src/core/jobs/vm_table.cc
+++ b/src/core/jobs/vm_table.cc
@@ -13,22 +13,22 @@
   return found->second;
 }
 
-vm_state* vm_table::FindUntouched(const vm_id& id) {
+vm_state* vm_table::FindUnmarked(const vm_id& id) {
   const auto found = lookup_.find(id);
   return found == lookup_.end() ? nullptr : found->second;
 }
 
-vm_state* vm_table::Change(const vm_id& id) {
+vm_state* vm_table::FindForChange(const vm_id& id) {
   const auto found = lookup_.find(id);
   if (found == lookup_.end()) {
     return nullptr;
   }
   NoteVisits(1);
-  Touch(found->second);
+  MarkChanged(found->second);
   return found->second;
 }
 
-void vm_table::Touch(vm_state* vm) {
+void vm_table::MarkChanged(vm_state* vm) {
   if (!vm->is_changed) {
     vm->is_changed = true;
     changed_.push_back(vm);
@@ -48,7 +48,7 @@
     lookup_.emplace(found->first, vm);
   }
   NoteVisits(1);
-  Touch(vm);
+  MarkChanged(vm);
   return {vm, is_new};
 }
 
@@ -59,8 +59,8 @@
   if (vm->is_due) {
     std::erase(due_, vm);
   }
-  if (vm->wake_at) {
-    wakes_.erase({*vm->wake_at, vm});
+  if (vm->next_check_at) {
+    checks_.erase({*vm->next_check_at, vm});
   }
   vm->ClearRuns();
   const vm_id id = vm->description().id;
@@ -68,23 +68,23 @@
   by_id_.erase(id);
 }
 
-void vm_table::WakeAt(vm_state* vm, time_point at) {
-  if (vm->wake_at == at) {
+void vm_table::ScheduleCheck(vm_state* vm, time_point at) {
+  if (vm->next_check_at == at) {
     return;
   }
-  if (vm->wake_at) {
-    wakes_.erase({*vm->wake_at, vm});
+  if (vm->next_check_at) {
+    checks_.erase({*vm->next_check_at, vm});
   }
-  vm->wake_at = at;
-  wakes_.emplace(at, vm);
+  vm->next_check_at = at;
+  checks_.emplace(at, vm);
 }
 
-void vm_table::WakeDue(time_point now) {
-  while (!wakes_.empty() && wakes_.begin()->first <= now) {
-    vm_state* vm = wakes_.begin()->second;
-    wakes_.erase(wakes_.begin());
-    vm->wake_at.reset();
-    Touch(vm);
+void vm_table::MarkDueChecks(time_point now) {
+  while (!checks_.empty() && checks_.begin()->first <= now) {
+    vm_state* vm = checks_.begin()->second;
+    checks_.erase(checks_.begin());
+    vm->next_check_at.reset();
+    MarkChanged(vm);
   }
 }
 
--- a/src/core/jobs/vm_table.h
+++ b/src/core/jobs/vm_table.h
@@ -26,11 +26,11 @@
   /// Returns the VM, or null when it is unknown.
   const vm_state* Find(const vm_id& id) const;
   /// The same for a change of it: it counts as changed.
-  vm_state* Change(const vm_id& id);
+  vm_state* FindForChange(const vm_id& id);
   /// The same for a change that a plan needn't know of.
-  vm_state* FindUntouched(const vm_id& id);
+  vm_state* FindUnmarked(const vm_id& id);
   /// Marks the VM as changed. Precondition: it is in the table.
-  void Touch(vm_state* vm);
+  void MarkChanged(vm_state* vm);
   /// Returns the VM, marked as changed, and whether it is new.
   std::pair<vm_state*, bool> Add(const vm_description& description);
   /// Precondition: it is in the table.
@@ -38,9 +38,9 @@
 
   /// Marks the VM as changed when a plan is made at `at` or later. The date
   /// replaces the one before. Precondition: it is in the table.
-  void WakeAt(vm_state* vm, time_point at);
+  void ScheduleCheck(vm_state* vm, time_point at);
   /// Marks those as changed whose date has come.
-  void WakeDue(time_point now);
+  void MarkDueChecks(time_point now);
   /// Returns the VMs that may have changed since the last call, in the order in
   /// which they became known: for the index, and for the plan.
   std::vector<vm_state*> TakeChanged();
@@ -68,7 +68,7 @@
   job_vms job_vms_;
   std::vector<vm_state*> changed_;
   std::vector<vm_state*> due_;
-  std::set<std::pair<time_point, vm_state*>> wakes_;
+  std::set<std::pair<time_point, vm_state*>> checks_;
   std::uint32_t next_number_ = 0;
   mutable std::uint64_t visits_ = 0;
 };
--- a/src/core/log/fleet_view.cc
+++ b/src/core/log/fleet_view.cc
@@ -3,7 +3,7 @@
 namespace plantainhead::core {
 
 fleet_view::fleet_view(const planner_inputs& inputs,
-                       const phase_watch& watch,
+                       const phase_tracker& watch,
                        const record_gate& gate,
                        time_point now) {
   JoinVms(inputs);
@@ -49,7 +49,7 @@
   }
 }
 
-void fleet_view::JoinObservations(const phase_watch& watch,
+void fleet_view::JoinObservations(const phase_tracker& watch,
                                   const record_gate& gate,
                                   time_point now) {
   for (auto& [id, vm] : vms_) {
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -5,15 +5,15 @@
 
 namespace plantainhead::core {
 
-frame_standing StandingOf(const fleet_state& fleet, const peer_frame& frame) {
+frame_status FrameStatusOf(const fleet_state& fleet, const peer_frame& frame) {
   if (!fleet.members.contains(frame.from)) {
-    return frame_standing::kNotMember;
+    return frame_status::kNotMember;
   }
   if (frame.view == fleet.view) {
-    return frame_standing::kCurrent;
+    return frame_status::kCurrent;
   }
-  return frame.view < fleet.view ? frame_standing::kOlderView
-                                 : frame_standing::kNewerView;
+  return frame.view < fleet.view ? frame_status::kOlderView
+                                 : frame_status::kNewerView;
 }
 
 membership::membership(entry_member self, membership_options options)
@@ -23,8 +23,8 @@
                         const heartbeat_contents& contents,
                         time_point now,
                         effects& out) {
-  NoteOwnPause(now);
-  FollowView(fleet, now);
+  DetectLocalPause(now);
+  UpdateView(fleet, now);
   if (expelled_) {
     return;
   }
@@ -32,11 +32,11 @@
     Join(contents, now, out);
     return;
   }
-  if (leaving_ && now - *leave_asked_at_ >= options_.record_pause) {
+  if (leaving_ && now - *leave_asked_at_ >= options_.record_retry_interval) {
     leave_asked_at_ = now;
     out.Append(leave_entry{self_.who});
   }
-  Judge(fleet, contents, now, out);
+  UpdateSuspicions(fleet, contents, now, out);
   SendHeartbeats(fleet, contents, now, out);
 }
 
@@ -46,7 +46,7 @@
     return;
   }
   known_member& member = found->second;
-  member.heard_at = now;
+  member.last_heard_at = now;
   const auto* beat = std::get_if<heartbeat>(&frame.message);
   if (beat == nullptr) {
     return;
@@ -61,7 +61,7 @@
   }
   status.sequence = beat->sequence;
   status.view = frame.view;
-  status.heard_at = now;
+  status.last_heard_at = now;
   if (beat->complete) {
     status.last = *beat;
     return;
@@ -95,7 +95,7 @@
   return &*found->second.status;
 }
 
-void membership::NoteOwnPause(time_point now) {
+void membership::DetectLocalPause(time_point now) {
   // An entry that was frozen wakes up with old times for all others and would
   // accuse the whole fleet at once, though it alone had stood still. Its own
   // ticks show the gap; from here on every member gets a whole timeout again.
@@ -106,14 +106,14 @@
     return;
   }
   for (auto& [who, member] : others_) {
-    member.heard_at = now;
+    member.last_heard_at = now;
   }
   // The others may have given this entry up; only its watchers would hear of
   // its return by its heartbeats.
-  tell_all_ = true;
+  notify_all_ = true;
 }
 
-void membership::FollowView(const fleet_state& fleet, time_point now) {
+void membership::UpdateView(const fleet_state& fleet, time_point now) {
   if (view_ == fleet.view) {
     return;
   }
@@ -129,16 +129,16 @@
   });
   for (const auto& [who, member] : fleet.members) {
     if (who != self_.who) {
-      Rewatch(who, now);
+      UpdateWatch(who, now);
     }
   }
 }
 
-void membership::Rewatch(incarnation who, time_point now) {
+void membership::UpdateWatch(incarnation who, time_point now) {
   const auto [found, is_new] = others_.try_emplace(who);
   known_member& member = found->second;
   if (is_new) {
-    member.heard_at = now;
+    member.last_heard_at = now;
   }
   const bool watched = ring_.Watches(self_.who, who);
   // Whoever wasn't watched before may have had nothing to say.
@@ -158,13 +158,14 @@
 void membership::Join(const heartbeat_contents& contents,
                       time_point now,
                       effects& out) {
-  if (leaving_ || contents.stopping || contents.log_out ||
+  if (leaving_ || contents.stopping || contents.log_unreachable ||
       !contents.caught_up) {
     return;
   }
   // The record may be on its way; a second one at once would only add load to a
   // slow log.
-  if (join_asked_at_ && now - *join_asked_at_ < options_.record_pause) {
+  if (join_asked_at_ &&
+      now - *join_asked_at_ < options_.record_retry_interval) {
     return;
   }
   join_asked_at_ = now;
--- a/src/core/membership/membership_heartbeats.cc
+++ b/src/core/membership/membership_heartbeats.cc
@@ -30,7 +30,7 @@
   if (others_.empty()) {
     return;
   }
-  NoteNews(fleet, contents);
+  DetectChanges(fleet, contents);
   SendSmall(fleet, MakeHeartbeat(contents, false), now, out);
   SendComplete(fleet, contents, now, out);
 }
@@ -43,7 +43,7 @@
   made.ready = contents.ready;
   made.stopping = contents.stopping;
   made.complete = complete;
-  made.suspected.assign(unheard_.begin(), unheard_.end());
+  made.suspected.assign(missed_members_.begin(), missed_members_.end());
   if (complete) {
     made.load = contents.load;
     made.in_flight = contents.in_flight;
@@ -53,23 +53,25 @@
   return made;
 }
 
-void membership::NoteNews(const fleet_state& fleet,
-                          const heartbeat_contents& contents) {
+void membership::DetectChanges(const fleet_state& fleet,
+                               const heartbeat_contents& contents) {
   const bool changed =
-      told_.ready != contents.ready || told_.stopping != contents.stopping ||
-      !std::equal(unheard_.begin(), unheard_.end(), told_.suspected.begin(),
-                  told_.suspected.end());
-  tell_all_ = tell_all_ || changed;
+      last_broadcast_.ready != contents.ready ||
+      last_broadcast_.stopping != contents.stopping ||
+      !std::equal(missed_members_.begin(), missed_members_.end(),
+                  last_broadcast_.suspected.begin(),
+                  last_broadcast_.suspected.end());
+  notify_all_ = notify_all_ || changed;
   // The planner waits for each member's word that it has applied a drain and
   // has nothing in flight; in turn alone this would come many seconds late in
   // a large fleet.
   if (planner_ != fleet.lease.holder) {
     planner_ = fleet.lease.holder;
-    tell_planner_ = true;
+    notify_planner_ = true;
   }
-  if (told_in_flight_ != contents.in_flight) {
-    told_in_flight_ = contents.in_flight;
-    tell_planner_ = true;
+  if (reported_in_flight_ != contents.in_flight) {
+    reported_in_flight_ = contents.in_flight;
+    notify_planner_ = true;
   }
   if (seen_offset_ == fleet.offset) {
     return;
@@ -78,7 +80,7 @@
   const generation changes = SumOfVersions(fleet);
   if (vm_changes_ != changes) {
     vm_changes_ = changes;
-    tell_planner_ = true;
+    notify_planner_ = true;
   }
 }
 
@@ -87,20 +89,20 @@
                            time_point now,
                            effects& out) {
   // News don't wait for the interval, but a storm of them does.
-  const duration interval =
-      tell_all_ ? options_.heartbeat_interval / 4 : options_.heartbeat_interval;
+  const duration interval = notify_all_ ? options_.heartbeat_interval / 4
+                                        : options_.heartbeat_interval;
   if (!IsDue(small_sent_at_, interval, now)) {
     return;
   }
   small_sent_at_ = now;
-  if (!tell_all_) {
+  if (!notify_all_) {
     for (const incarnation watcher : ring_.WatchersOf(self_.who)) {
       Send(fleet, watcher, small, out);
     }
     return;
   }
-  tell_all_ = false;
-  told_ = small;
+  notify_all_ = false;
+  last_broadcast_ = small;
   for (const auto& [who, member] : others_) {
     Send(fleet, who, small, out);
   }
@@ -111,26 +113,26 @@
                               time_point now,
                               effects& out) {
   const incarnation planner = fleet.lease.holder;
-  if (tell_planner_ && others_.contains(planner) &&
-      IsDue(planner_told_at_, options_.heartbeat_interval, now)) {
-    planner_told_at_ = now;
-    tell_planner_ = false;
+  if (notify_planner_ && others_.contains(planner) &&
+      IsDue(planner_notified_at_, options_.heartbeat_interval, now)) {
+    planner_notified_at_ = now;
+    notify_planner_ = false;
     Send(fleet, planner, MakeHeartbeat(contents, true), out);
   }
 
-  const duration share =
+  const duration turn_interval =
       options_.complete_interval / static_cast<std::int64_t>(others_.size());
-  if (!IsDue(complete_sent_at_, std::max(share, options_.complete_spacing),
-             now)) {
+  if (!IsDue(complete_sent_at_,
+             std::max(turn_interval, options_.complete_spacing), now)) {
     return;
   }
   complete_sent_at_ = now;
-  auto next = others_.upper_bound(turn_);
+  auto next = others_.upper_bound(last_complete_to_);
   if (next == others_.end()) {
     next = others_.begin();
   }
-  turn_ = next->first;
-  Send(fleet, turn_, MakeHeartbeat(contents, true), out);
+  last_complete_to_ = next->first;
+  Send(fleet, last_complete_to_, MakeHeartbeat(contents, true), out);
 }
 
 void membership::Send(const fleet_state& fleet,
--- a/src/core/membership/membership_judgement.cc
+++ b/src/core/membership/membership_suspicion.cc
@@ -7,23 +7,23 @@
 namespace {
 
 // Withdrawals of a member that comes and goes wait at most 2^5 times as long.
-constexpr int kMostDoublings = 5;
+constexpr int kMaxDoublings = 5;
 
 }  // namespace
 
-void membership::Judge(const fleet_state& fleet,
-                       const heartbeat_contents& contents,
-                       time_point now,
-                       effects& out) {
+void membership::UpdateSuspicions(const fleet_state& fleet,
+                                  const heartbeat_contents& contents,
+                                  time_point now,
+                                  effects& out) {
   CountReports();
-  unheard_.clear();
+  missed_members_.clear();
   for (member_entry& item : others_) {
     known_member& member = item.second;
     const bool silent = IsSilent(item, now);
     // A suspicion ends only by hearing from the member: when the ring changes,
     // its new watchers need their time to miss it, too.
     const bool not_heard_since =
-        member.suspected && member.heard_at <= member.suspected_at;
+        member.suspected && member.last_heard_at <= member.suspected_at;
     member.suspected = silent || not_heard_since;
     if (silent) {
       member.suspected_at = now;
@@ -31,14 +31,14 @@
     // What a watcher has missed itself it goes on telling, also when the ring
     // has changed since; what it has by hearsay it doesn't tell, or a rumour
     // would feed itself.
-    member.missed =
-        member.suspected && (member.missed || IsWatched(member, now));
-    if (member.missed) {
-      unheard_.insert(item.first);
+    member.missed_directly =
+        member.suspected && (member.missed_directly || IsWatched(member, now));
+    if (member.missed_directly) {
+      missed_members_.insert(item.first);
     }
     // With the log out the view is frozen. What is still so when the log is
     // back is said then; the rest would have been wrong.
-    if (contents.log_out) {
+    if (contents.log_unreachable) {
       continue;
     }
     const auto found = fleet.members.find(item.first);
@@ -47,8 +47,8 @@
     if (!accused && member.suspected) {
       Accuse(item, now, out);
     }
-    if (accused && IsTrustedAgain(member, now) &&
-        now - member.withdraw_asked_at >= options_.record_pause) {
+    if (accused && HasRecovered(member, now) &&
+        now - member.withdraw_asked_at >= options_.record_retry_interval) {
       member.withdraw_asked_at = now;
       member.accuse_asked_at = time_point();
       out.Append(withdraw_accusation{self_.who, item.first});
@@ -58,12 +58,13 @@
 
 bool membership::IsSilent(const member_entry& item, time_point now) const {
   const auto& [who, member] = item;
-  if (now - member.heard_at < options_.suspicion_timeout) {
+  if (now - member.last_heard_at < options_.suspicion_timeout) {
     return false;
   }
   const bool watched_long =
       now - member.watched_since >= options_.suspicion_timeout;
-  return (IsWatched(member, now) && watched_long) || MostWatchersSuspect(who);
+  return (IsWatched(member, now) && watched_long) ||
+         MajorityOfWatchersSuspects(who);
 }
 
 bool membership::IsWatched(const known_member& member, time_point now) {
@@ -77,8 +78,8 @@
     if (member.suspected || !member.status) {
       continue;
     }
-    for (const incarnation missed : member.status->last.suspected) {
-      ++reports_[missed];
+    for (const incarnation missed_directly : member.status->last.suspected) {
+      ++reports_[missed_directly];
     }
   }
 }
@@ -86,33 +87,33 @@
 // Reports count also from those who watched before the ring changed: when a
 // zone is lost, the first expulsions change it, and the others' watchers would
 // have to miss them for a whole timeout anew.
-bool membership::MostWatchersSuspect(incarnation who) const {
+bool membership::MajorityOfWatchersSuspects(incarnation who) const {
   const auto reports = reports_.find(who);
   if (reports == reports_.end()) {
     return false;
   }
   const std::vector<incarnation>& watchers = ring_.WatchersOf(who);
-  const auto voices = std::count_if(
+  const auto voters = std::count_if(
       watchers.begin(), watchers.end(),
       [&](incarnation item) { return item == self_.who || !Suspects(item); });
-  return reports->second * 2 > voices;
+  return reports->second * 2 > voters;
 }
 
-bool membership::IsTrustedAgain(const known_member& member,
-                                time_point now) const {
+bool membership::HasRecovered(const known_member& member,
+                              time_point now) const {
   // An entry that freezes again and again would cost a pair of records of each
   // member each time; doubling bounds them.
-  const int doublings = std::clamp(member.accusations - 1, 0, kMostDoublings);
-  return !member.suspected &&
-         now - member.suspected_at >= options_.trust_after * (1 << doublings);
+  const int doublings = std::clamp(member.accusations - 1, 0, kMaxDoublings);
+  return !member.suspected && now - member.suspected_at >=
+                                  options_.withdraw_after * (1 << doublings);
 }
 
 void membership::Accuse(member_entry& item, time_point now, effects& out) {
   known_member& member = item.second;
-  if (now - member.accuse_asked_at < options_.record_pause) {
+  if (now - member.accuse_asked_at < options_.record_retry_interval) {
     return;
   }
-  const duration forget_after = options_.trust_after * (2 << kMostDoublings);
+  const duration forget_after = options_.withdraw_after * (2 << kMaxDoublings);
   if (now - member.accuse_asked_at >= forget_after &&
       member.withdraw_asked_at != time_point() &&
       now - member.withdraw_asked_at >= forget_after) {
--- a/src/core/membership/watch_ring.cc
+++ b/src/core/membership/watch_ring.cc
@@ -6,26 +6,26 @@
 namespace plantainhead::core {
 namespace {
 
-struct ring_place {
+struct ring_position {
   // How many members of the same zone come before this one.
-  std::size_t round = 0;
+  std::size_t zone_rank = 0;
   zone_id zone;
   incarnation who = incarnation::kNone;
 };
 
 // Takes one member of each zone in turn. If a zone is lost as a whole, each of
 // its members still has watchers in other zones.
-std::vector<ring_place> Arrange(const watch_ring::member_map& members) {
+std::vector<ring_position> OrderMembers(const watch_ring::member_map& members) {
   std::map<zone_id, std::size_t> rounds;
-  std::vector<ring_place> places;
-  places.reserve(members.size());
+  std::vector<ring_position> positions;
+  positions.reserve(members.size());
   for (const auto& [who, member] : members) {
-    places.push_back({rounds[member.zone]++, member.zone, who});
+    positions.push_back({rounds[member.zone]++, member.zone, who});
   }
-  std::ranges::sort(places, {}, [](const ring_place& place) {
-    return std::tuple(place.round, place.zone, place.who);
+  std::ranges::sort(positions, {}, [](const ring_position& position) {
+    return std::tuple(position.zone_rank, position.zone, position.who);
   });
-  return places;
+  return positions;
 }
 
 }  // namespace
@@ -34,13 +34,13 @@
   if (members.empty()) {
     return;
   }
-  const std::vector<ring_place> places = Arrange(members);
-  const std::size_t count = std::min(watchers, places.size() - 1);
-  for (std::size_t i = 0; i < places.size(); ++i) {
-    std::vector<incarnation>& list = watchers_[places[i].who];
+  const std::vector<ring_position> positions = OrderMembers(members);
+  const std::size_t count = std::min(watchers, positions.size() - 1);
+  for (std::size_t i = 0; i < positions.size(); ++i) {
+    std::vector<incarnation>& list = watchers_[positions[i].who];
     list.reserve(count);
     for (std::size_t step = 1; step <= count; ++step) {
-      list.push_back(places[(i + step) % places.size()].who);
+      list.push_back(positions[(i + step) % positions.size()].who);
     }
   }
 }
--- a/src/jobs/fault_log.h
+++ b/src/jobs/fault_log.h
@@ -15,13 +15,13 @@
   void Note(const std::string& topic,
             const std::string& key,
             const core::jobs::record_fault& fault);
-  void NoteSound(const std::string& topic, const std::string& key) {
-    ledger_.NoteSound(topic, key);
+  void NoteValid(const std::string& topic, const std::string& key) {
+    ledger_.NoteValid(topic, key);
   }
-  const core::jobs::fault_ledger& ledger() const { return ledger_; }
+  const core::jobs::record_fault_counter& ledger() const { return ledger_; }
 
  private:
-  core::jobs::fault_ledger ledger_;
+  core::jobs::record_fault_counter ledger_;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/fleet_owner.cc
+++ b/src/jobs/fleet_owner.cc
@@ -175,7 +175,7 @@
   for (const core::jobs::wave_action& action : keeper_.Plan(now)) {
     std::visit([this](const auto& kind) { Do(kind); }, action);
   }
-  balancer_.UpdateLeaving(deps_.world->registry().Leaving());
+  balancer_.UpdateLeaving(deps_.world->registry().Draining());
   for (const core::jobs::move_host& move :
        balancer_.Plan(HostsNotToMove(now), now)) {
     queue_.Add(move);
@@ -190,9 +190,9 @@
   }
   figures_at_ = now;
   const std::set<core::jobs::host_id> serviced = keeper_.BusyHosts();
-  const std::set<core::jobs::host_id> held = ledger_.Closed(now);
-  const core::jobs::balance_figures figures =
-      balancer_.Figures(HostsNotToMove(now));
+  const std::set<core::jobs::host_id> held = ledger_.BlockedHosts(now);
+  const core::jobs::balancer_stats figures =
+      balancer_.Stats(HostsNotToMove(now));
   if (figures == figures_) {
     return;
   }
--- a/src/jobs/fleet_owner.h
+++ b/src/jobs/fleet_owner.h
@@ -12,17 +12,17 @@
 #include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
 #include "plantainhead/core/jobs/fleet_balancer.h"
-#include "plantainhead/core/jobs/host_order_ledger.h"
 #include "plantainhead/core/jobs/host_order_queue.h"
+#include "plantainhead/core/jobs/host_order_tracker.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 #include "plantainhead/core/jobs/vacancy_checker.h"
-#include "plantainhead/core/jobs/wave_keeper.h"
 #include "platform/store_client.h"
 
 namespace plantainhead::jobs {
 
 struct fleet_settings {
   std::string address;
-  core::jobs::wave_settings waves;
+  core::jobs::maintenance_settings waves;
   core::jobs::balancer_settings balancer;
   core::jobs::vacancy_settings vacancies;
   writer_settings writer;
@@ -36,7 +36,7 @@
   std::chrono::milliseconds takeover_retry = std::chrono::milliseconds(200);
   core::jobs::order_queue_settings queue;
   /// A store that is slow takes up to 0.5 s for a record.
-  core::jobs::host_order_settings orders{.send_limit =
+  core::jobs::host_order_settings orders{.max_send_delay =
                                              std::chrono::milliseconds(700)};
 };
 
--- a/src/jobs/fleet_owner_impl.h
+++ b/src/jobs/fleet_owner_impl.h
@@ -67,7 +67,7 @@
   void List();
   void ListPage(const std::string& page);
   void TakePage(const adapter::fleet_page& reply);
-  void KeepFaultyHosts();
+  void AddUnreadableHosts();
   void DropOffersOfGoneVms();
 
   // Orders.
@@ -102,10 +102,10 @@
   record_outbox records_;
   record_outbox status_;
   boost::asio::steady_timer timer_;
-  core::jobs::wave_keeper keeper_;
+  core::jobs::maintenance_scheduler keeper_;
   core::jobs::fleet_balancer balancer_;
   core::jobs::vacancy_checker vacancies_;
-  core::jobs::host_order_ledger ledger_;
+  core::jobs::host_order_tracker ledger_;
   /// Pools that have fewer VMs than they want.
   std::set<core::jobs::pool_id> short_pools_;
   std::uint64_t generation_ = 0;
@@ -115,7 +115,7 @@
   bool is_listing_ = false;
   core::time_point listed_at_;
   core::time_point requested_at_;
-  core::jobs::balance_figures figures_;
+  core::jobs::balancer_stats figures_;
   core::time_point figures_at_;
   core::jobs::host_order_queue queue_;
   std::vector<core::jobs::fleet_host> page_hosts_;
--- a/src/jobs/fleet_owner_orders.cc
+++ b/src/jobs/fleet_owner_orders.cc
@@ -22,13 +22,13 @@
       return service_result::kAccepted;
     case duty_outcome::kInvalid:
     case duty_outcome::kNotOfWave:
-      return service_result::kNever;
+      return service_result::kPermanentFailure;
     case duty_outcome::kUnknown:
       return service_result::kUnknown;
     case duty_outcome::kFenced:
     case duty_outcome::kBusy:
     case duty_outcome::kRefused:
-      return service_result::kNotNow;
+      return service_result::kTemporaryFailure;
   }
   return service_result::kUnknown;
 }
@@ -41,7 +41,7 @@
 std::set<core::jobs::host_id> fleet_owner::impl::HostsNotToMove(
     core::time_point now) const {
   std::set<core::jobs::host_id> hosts = keeper_.BusyHosts();
-  hosts.merge(ledger_.Closed(now));
+  hosts.merge(ledger_.BlockedHosts(now));
   return hosts;
 }
 
@@ -85,7 +85,7 @@
     records.push_back(Encode(order_record{HostOf(order), deps_.holder, false}));
     ledger_.NoteOrder(HostOf(order), now);
   }
-  for (const core::jobs::host_id& host : ledger_.TakeOutdated(now)) {
+  for (const core::jobs::host_id& host : ledger_.TakeExpired(now)) {
     records.push_back(Encode(order_record{host, "", true}));
   }
   return records;
@@ -102,7 +102,7 @@
     LogEvent(job_event::kHostOrdersLate,
              {{"orders", std::to_string(batch.size())},
               {"recorded_ms_ago", MillisOf(BootTime() - asked_at)}});
-    queue_.GiveBack(batch);
+    queue_.Requeue(batch);
     return;
   }
   for (const host_order& order : batch) {
@@ -116,7 +116,7 @@
 // wait for one another's connections.
 bool fleet_owner::impl::MaySend(core::time_point recorded_at) const {
   return deps_.is_sure() &&
-         BootTime() - recorded_at <= settings_.orders.send_limit;
+         BootTime() - recorded_at <= settings_.orders.max_send_delay;
 }
 
 std::function<bool()> fleet_owner::impl::SendGate(
@@ -153,7 +153,7 @@
 
 void fleet_owner::impl::TakeMove(const core::jobs::move_host& move,
                                  duty_outcome outcome) {
-  queue_.NoteOver(move);
+  queue_.NoteFinished(move);
   observe::log_fields fields = {
       {"host", move.host},
       {"pool", move.pool},
@@ -168,7 +168,7 @@
 
 void fleet_owner::impl::TakeService(const core::jobs::service_host& action,
                                     duty_outcome outcome) {
-  queue_.NoteOver(action);
+  queue_.NoteFinished(action);
   const bool is_accepted = outcome == duty_outcome::kAccepted;
   LogEvent(is_accepted ? job_event::kHostServiced : job_event::kHostNotServiced,
            {{"host", action.host},
--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -29,8 +29,8 @@
   for (const std::string& key : keys) {
     TakeRecord(key);
   }
-  balancer_.UpdateScarce(!short_pools_.empty());
-  keeper_.UpdateShort(short_pools_);
+  balancer_.UpdateShortage(!short_pools_.empty());
+  keeper_.UpdateUndersized(short_pools_);
   TakeVacancies();
 }
 
@@ -88,7 +88,7 @@
       keeper_.NoteEmpty(change.vm, change.is_confirmed);
     }
   }
-  for (const std::uint32_t partition : vacancies_.TakeReadings()) {
+  for (const std::uint32_t partition : vacancies_.TakePartitionsToRead()) {
     deps_.world->RefreshProgress(
         partition, [self = weak_from_this(), partition](bool is_read) {
           const auto owner = self.lock();
@@ -100,7 +100,8 @@
 }
 
 void fleet_owner::impl::TakeReading(std::uint32_t partition, bool is_read) {
-  vacancies_.EndReading(partition, is_read, deps_.world->VacantVms(partition));
+  vacancies_.OnPartitionRead(partition, is_read,
+                             deps_.world->VacantVms(partition));
   if (is_read) {
     TakeVacancies();
     Work();
@@ -144,7 +145,7 @@
   }
   is_listing_ = false;
   listed_at_ = BootTime();
-  KeepFaultyHosts();
+  AddUnreadableHosts();
   DropOffersOfGoneVms();
   std::set<core::jobs::pool_id> spare;
   for (const core::jobs::pool_settings& pool :
@@ -158,14 +159,14 @@
   Work();
 }
 
-void fleet_owner::impl::KeepFaultyHosts() {
+void fleet_owner::impl::AddUnreadableHosts() {
   std::vector<core::jobs::host_id> faulty;
   for (const adapter::faulty_host& row : page_faults_) {
     deps_.world->faults().Note(kFleetList, row.host, row.fault);
     faulty.push_back(row.host);
   }
-  page_hosts_ =
-      core::jobs::KeepFaultyHosts(std::move(page_hosts_), faulty, known_hosts_);
+  page_hosts_ = core::jobs::AddUnreadableHosts(std::move(page_hosts_), faulty,
+                                               known_hosts_);
   known_hosts_ = page_hosts_;
 }
 
@@ -175,7 +176,7 @@
     present.insert(host.vm);
   }
   for (const core::jobs::vm_id& vm :
-       vacancies_.TakeGoneOffers(present, BootTime())) {
+       vacancies_.TakeStaleOffers(present, BootTime())) {
     records_.Put(DropOfferedVm(vm));
   }
 }
--- a/src/jobs/fleet_records.cc
+++ b/src/jobs/fleet_records.cc
@@ -188,7 +188,7 @@
   } else {
     return record_fault{fault_kind::kUnknownName, "key"};
   }
-  if (!core::jobs::IsSoundName(name)) {
+  if (!core::jobs::IsValidName(name)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   return is_sound ? std::nullopt
--- a/src/jobs/fleet_records.h
+++ b/src/jobs/fleet_records.h
@@ -9,7 +9,7 @@
 #include "plantainhead/core/jobs/maintenance.h"
 #include "plantainhead/core/jobs/record_faults.h"
 #include "plantainhead/core/jobs/vacancy_checker.h"
-#include "plantainhead/core/jobs/vacancy_keeper.h"
+#include "plantainhead/core/jobs/vacancy_manager.h"
 #include "platform/store_client.h"
 
 /// What the fleet's owner and the pools' owners tell each other through the
--- a/src/jobs/job_metrics.cc
+++ b/src/jobs/job_metrics.cc
@@ -8,8 +8,9 @@
 constexpr const char* kRequestsName = "plantain_job_requests_total";
 constexpr const char* kRequestsHelp = "Callers' requests by outcome.";
 
-void CountFaults(const core::jobs::fault_ledger::counts_by_fault& faults,
-                 observe::metrics* registry) {
+void CountFaults(
+    const core::jobs::record_fault_counter::counts_by_fault& faults,
+    observe::metrics* registry) {
   for (const auto& [fault, times] : faults) {
     registry
         ->Counter("plantain_record_faults_total",
@@ -81,7 +82,7 @@
     registry
         .Counter("plantain_task_lapses_total",
                  "Runs given up because their VM was silent.", labels)
-        .Add(counts.lapsed_runs);
+        .Add(counts.lease_expired_runs);
     registry
         .Counter("plantain_task_losses_total",
                  "Runs that were on a VM when it was lost.", labels)
--- a/src/jobs/job_metrics.h
+++ b/src/jobs/job_metrics.h
@@ -24,7 +24,7 @@
   /// See `job_world::WatchedJobCopyAge`; nothing without an owned pool.
   std::optional<core::duration> job_copy_age;
   std::uint64_t configuration_version = 0;
-  core::jobs::fault_ledger::counts_by_fault faults;
+  core::jobs::record_fault_counter::counts_by_fault faults;
   /// Keys that hold a record that can't be used now.
   std::size_t faulty_keys = 0;
 };
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -224,7 +224,8 @@
     };
     listeners.on_announcement =
         [this](const peers::owner_announcement& announcement) {
-          owners_.book().Note(announcement.partition, announcement.owner);
+          owners_.book().NoteAnnouncement(announcement.partition,
+                                          announcement.owner);
           ownership_.OnAnnouncement(announcement);
         };
     listeners.on_store_contact = [this](bool is_answered) {
--- a/src/jobs/job_world.cc
+++ b/src/jobs/job_world.cc
@@ -271,7 +271,7 @@
       faults_.Note(adapter::kOperatorTopic, record.key, wave.fault());
       return;
     }
-    faults_.NoteSound(adapter::kOperatorTopic, record.key);
+    faults_.NoteValid(adapter::kOperatorTopic, record.key);
     if (operators_->IsLoaded()) {
       wave->published_at = BootTime();
     }
@@ -305,7 +305,7 @@
               {"in_force", std::to_string(routes_.configuration().version)}});
     return;
   }
-  faults_.NoteSound(adapter::kOperatorTopic, adapter::kConfigurationKey);
+  faults_.NoteValid(adapter::kOperatorTopic, adapter::kConfigurationKey);
   // Pages and appends may show an older version after a newer one.
   if (decoded->version <= routes_.configuration().version) {
     return;
@@ -331,7 +331,7 @@
     faults_.Note(adapter::kAddressTopic, record.key, decoded.fault());
     return;
   }
-  faults_.NoteSound(adapter::kAddressTopic, record.key);
+  faults_.NoteValid(adapter::kAddressTopic, record.key);
   listeners_.on_announcement(*decoded);
 }
 
--- a/src/jobs/job_world.h
+++ b/src/jobs/job_world.h
@@ -18,7 +18,7 @@
 #include "peers/owner_announcement.h"
 #include "plantainhead/core/jobs/job_directory.h"
 #include "plantainhead/core/jobs/maintenance.h"
-#include "plantainhead/core/jobs/report_ages.h"
+#include "plantainhead/core/jobs/report_validity.h"
 #include "plantainhead/core/jobs/routing.h"
 #include "plantainhead/core/jobs/vm_registry.h"
 #include "plantainhead/core/jobs/vm_reports.h"
@@ -92,7 +92,9 @@
   core::duration RegistryCopyAge() const;
   core::duration FleetCopyAge() const;
   /// Returns how far VMs' entries are trusted; valid as long as the object.
-  const core::jobs::report_ages& report_ages() const { return report_ages_; }
+  const core::jobs::report_validity& report_validity() const {
+    return report_ages_;
+  }
   /// Returns whether the partitions that tell of the queue's jobs are being
   /// read, and have been read once.
   bool KnowsQueue(const core::jobs::queue_route& route) const;
@@ -226,7 +228,7 @@
   core::jobs::routing_table routes_;
   core::jobs::job_directory directory_;
   core::jobs::vm_registry registry_;
-  core::jobs::report_ages report_ages_;
+  core::jobs::report_validity report_ages_;
   fault_log faults_;
   std::map<std::uint64_t, core::jobs::maintenance_wave> waves_;
   std::map<std::string, std::string> fleet_records_;
--- a/src/jobs/job_world_faults.cc
+++ b/src/jobs/job_world_faults.cc
@@ -47,8 +47,8 @@
     case fault_effect::kClaimUnknown:
       owners_[partition].is_unreadable = true;
       return;
-    case fault_effect::kCountsAsUsed:
-      if (!core::jobs::IsSoundName(key.name)) {
+    case fault_effect::kAssumeInUse:
+      if (!core::jobs::IsValidName(key.name)) {
         return;
       }
       if (key.kind == pool_record_kind::kVm) {
@@ -59,8 +59,8 @@
         ordered_hosts_[key.name] = "";
       }
       return;
-    case fault_effect::kEarlierHolds:
-    case fault_effect::kNoNewWork:
+    case fault_effect::kKeepPrevious:
+    case fault_effect::kNoNewTasks:
       return;
   }
 }
@@ -70,7 +70,7 @@
     faults_.Note(kFleetTopic, record.key, *fault);
     return;
   }
-  faults_.NoteSound(kFleetTopic, record.key);
+  faults_.NoteValid(kFleetTopic, record.key);
   if (record.value) {
     fleet_records_[record.key] = *record.value;
   } else {
@@ -85,12 +85,12 @@
   if (is_dropped) {
     report_ages_.Drop(record.key);
     registry_.Drop(record.key);
-    faults_.NoteSound(adapter::kRegistryTopic, record.key);
+    faults_.NoteValid(adapter::kRegistryTopic, record.key);
   } else if (auto vm = DecodeEntry(record)) {
     const bool is_named =
         routes_.configuration().version == 0 || routes_.HasPool(vm->pool);
     if (is_named) {
-      faults_.NoteSound(adapter::kRegistryTopic, record.key);
+      faults_.NoteValid(adapter::kRegistryTopic, record.key);
     } else {
       // A configuration that names it may still come.
       faults_.Note(adapter::kRegistryTopic, record.key,
@@ -108,7 +108,7 @@
     }
   } else {
     faults_.Note(adapter::kRegistryTopic, record.key, vm.fault());
-    if (core::jobs::IsSoundName(record.key)) {
+    if (core::jobs::IsValidName(record.key)) {
       registry_.PutUnreadable(record.key);
     }
   }
--- a/src/jobs/owner_relay.cc
+++ b/src/jobs/owner_relay.cc
@@ -81,7 +81,7 @@
   // An owner that isn't sure any more would only ask itself, until it knows of
   // the one that follows.
   bool HasOwnerElsewhere(std::uint32_t partition) const {
-    return deps_.owners->book().Newest(partition).epoch >
+    return deps_.owners->book().Latest(partition).epoch >
            deps_.epoch_of(partition);
   }
 
--- a/src/jobs/partition_loader.cc
+++ b/src/jobs/partition_loader.cc
@@ -12,11 +12,11 @@
 
 // Begins with few, since nothing is known of the link, and leaves some of the
 // client's connections to calls that can't wait.
-core::jobs::window_settings LoadWindow() {
-  core::jobs::window_settings settings;
-  settings.least = 1;
-  settings.first = 4;
-  settings.most = 12;
+core::jobs::send_window_settings LoadWindow() {
+  core::jobs::send_window_settings settings;
+  settings.min_size = 1;
+  settings.initial_size = 4;
+  settings.max_size = 12;
   return settings;
 }
 
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -38,7 +38,7 @@
     scheduler_->AddJob(job, deps_.world->PolicyOf(job->queue), BootTime(), age);
     const auto size = sizes_.find(job->pool);
     if (size != sizes_.end()) {
-      size->second.arrivals.Note(*job, BootTime(), age);
+      size->second.arrivals.RecordArrival(*job, BootTime(), age);
     }
     // Pages of the newest records may show a cancellation before its job.
     const core::jobs::directory_entry* entry =
@@ -70,11 +70,11 @@
                         PoolPartitionOf(vm->pool) == partition_;
     if (is_own) {
       scheduler_->UpdateVm(*vm, BootTime());
-      if (const auto until = deps_.world->report_ages().TrustedUntil(id)) {
+      if (const auto until = deps_.world->report_validity().TrustedUntil(id)) {
         scheduler_->NoteReport(id, *until);
       }
     } else {
-      scheduler_->UnlistVm(id);
+      scheduler_->UnregisterVm(id);
     }
     SyncClosed(id);
   }
@@ -94,7 +94,7 @@
         return PoolPartitionOf(pool) == partition_;
       });
   scheduler_->UpdateVms(vms, BootTime());
-  scheduler_->NoteReports(deps_.world->report_ages().trusted_until());
+  scheduler_->NoteReports(deps_.world->report_validity().trusted_until());
   Kick();
 }
 
@@ -198,7 +198,7 @@
   const core::jobs::takeover_wait wait = scheduler_->TakeoverWait(now);
   if (!wait.is_over) {
     first_wait_ = first_wait_.value_or(wait);
-    if (wait.listed + wait.unlisted > 0) {
+    if (wait.registered + wait.unregistered > 0) {
       last_wait_ = wait;
     }
     return;
@@ -209,10 +209,10 @@
            {{"partition", std::to_string(partition_)},
             {"epoch", std::to_string(epoch_)},
             {"claimed_ms_ago", MillisOf(now - claimed_at_)},
-            {"first_listed", std::to_string(first.listed)},
-            {"first_unlisted", std::to_string(first.unlisted)},
-            {"last_listed", std::to_string(last_wait_.listed)},
-            {"last_unlisted", std::to_string(last_wait_.unlisted)},
+            {"first_listed", std::to_string(first.registered)},
+            {"first_unlisted", std::to_string(first.unregistered)},
+            {"last_listed", std::to_string(last_wait_.registered)},
+            {"last_unlisted", std::to_string(last_wait_.unregistered)},
             {"last_vm", last_wait_.vm}});
 }
 
@@ -306,7 +306,7 @@
       {"verdict", std::string(core::NameOf(verdict))},
       {"ms", MillisOf(now - job.arrived_at)},
       {"allowed_ms", MillisOf(job.deadline - job.arrived_at)},
-      {"chain_ms", MillisOf(job.chain)},
+      {"chain_ms", MillisOf(job.critical_path)},
       {"repeated_runs", std::to_string(job.repeated_runs)}};
   if (job.started_at) {
     fields.emplace_back("first_start_ms",
--- a/src/jobs/pool_owner.h
+++ b/src/jobs/pool_owner.h
@@ -12,11 +12,11 @@
 #include "jobs/job_meters.h"
 #include "jobs/job_world.h"
 #include "jobs/progress_writer.h"
-#include "plantainhead/core/jobs/arrival_meter.h"
+#include "plantainhead/core/jobs/arrival_rate_monitor.h"
 #include "plantainhead/core/jobs/job_types.h"
 #include "plantainhead/core/jobs/pool_scheduler.h"
 #include "plantainhead/core/jobs/pool_sizer.h"
-#include "plantainhead/core/jobs/vacancy_keeper.h"
+#include "plantainhead/core/jobs/vacancy_manager.h"
 #include "platform/store_client.h"
 
 namespace plantainhead::jobs {
@@ -47,10 +47,10 @@
   /// Time between two looks at what is due.
   std::chrono::milliseconds tick = std::chrono::milliseconds(100);
   core::jobs::sizer_settings sizer;
-  core::jobs::arrival_settings arrivals;
+  core::jobs::arrival_rate_settings arrivals;
   /// Least time between two records of how many VMs a pool wants.
   std::chrono::milliseconds wanted_gap = std::chrono::milliseconds(150);
-  core::jobs::vacancy_keeper_settings vacancies;
+  core::jobs::vacancy_manager_settings vacancies;
   /// Pause before a takeover that failed is tried again.
   std::chrono::milliseconds takeover_retry = std::chrono::milliseconds(150);
   /// Time to live of a member, within which an owner that can't renew it works
@@ -104,7 +104,7 @@
   void OnCancel(const core::jobs::job_id& job);
   /// Entries of these VMs in the registry have changed or gone.
   void OnRegistry(const std::set<core::jobs::vm_id>& changed);
-  /// The VM has reported its capacity; see `report_ages`.
+  /// The VM has reported its capacity; see `report_validity`.
   void OnReport(const core::jobs::vm_id& vm, core::time_point trusted_until);
   void OnConfiguration();
   /// Records of the fleet under these keys have changed or gone.
--- a/src/jobs/pool_owner_impl.h
+++ b/src/jobs/pool_owner_impl.h
@@ -62,10 +62,10 @@
  private:
   struct pool_size {
     pool_size(const core::jobs::sizer_settings& settings,
-              const core::jobs::arrival_settings& arrival_settings)
-        : sizer(settings), arrivals(arrival_settings) {}
+              const core::jobs::arrival_rate_settings& arrival_rate_settings)
+        : sizer(settings), arrivals(arrival_rate_settings) {}
     core::jobs::pool_sizer sizer;
-    core::jobs::arrival_meter arrivals;
+    core::jobs::arrival_rate_monitor arrivals;
     wanted_vms told;
     core::time_point told_at;
   };
@@ -120,14 +120,14 @@
   /// Logs a VM that is heard again, or for the first time in its life.
   void NoteHeard(const core::jobs::vm_id& vm,
                  vm_link* link,
-                 const core::jobs::life_mark& born);
+                 const core::jobs::vm_incarnation& incarnation);
   /// How long to wait before the next hold of a VM that listed this.
   std::chrono::milliseconds GapAfter(
-      const core::jobs::vm_listing& listing) const;
+      const core::jobs::run_listing& listing) const;
   void LogLosses();
   void LogNewEnds(const core::jobs::vm_id& vm,
                   const std::shared_ptr<vm_link>& link,
-                  const core::jobs::vm_listing& listing);
+                  const core::jobs::run_listing& listing);
   void Send(const core::jobs::start_order& order);
   /// Returns what tells whether a start of a task of the job may still be sent.
   std::function<bool()> StartGate(const core::jobs::job_id& job);
@@ -192,7 +192,7 @@
   /// Pools that have fewer VMs than they want.
   std::set<core::jobs::pool_id> short_pools_;
   std::map<core::jobs::pool_id, pool_size> sizes_;
-  core::jobs::vacancy_keeper vacancies_;
+  core::jobs::vacancy_manager vacancies_;
 };
 
 }  // namespace plantainhead::jobs
--- a/src/jobs/pool_owner_takeover.cc
+++ b/src/jobs/pool_owner_takeover.cc
@@ -62,8 +62,9 @@
     return;
   }
   owner_record end{epoch_, "", {}};
-  for (const auto& [vm, lapse_at] : lease_ends_) {
-    end.leases[vm] = std::max(core::duration::zero(), lapse_at - BootTime());
+  for (const auto& [vm, lease_expires_at] : lease_ends_) {
+    end.leases[vm] =
+        std::max(core::duration::zero(), lease_expires_at - BootTime());
   }
   writer_->Write({Encode(end)}, [self = shared_from_this(), on_released](
                                     progress_writer::result /*result*/) {
@@ -220,9 +221,9 @@
   const core::jobs::takeover_bounds bounds = MakeBounds();
   std::map<core::jobs::vm_id, core::time_point> ends;
   for (const auto& [vm, address] : deps_.world->UsedVms(partition_)) {
-    const auto known = bounds.lapsed_at.find(vm);
-    ends[vm] = known == bounds.lapsed_at.end() ? bounds.others_lapsed_at
-                                               : known->second;
+    const auto known = bounds.lease_ends.find(vm);
+    ends[vm] = known == bounds.lease_ends.end() ? bounds.default_lease_end
+                                                : known->second;
   }
   return ends;
 }
@@ -236,10 +237,10 @@
       static_cast<double>(settings_.scheduler.lease.count()) / kSlowestClock));
   const milliseconds acting =
       may_predecessor_act_ ? settings_.time_to_live : milliseconds(0);
-  bounds.fresh_from = claimed_at_ + acting + milliseconds(1);
-  bounds.others_lapsed_at = claimed_at_ + acting + longest_lease;
+  bounds.exclusive_from = claimed_at_ + acting + milliseconds(1);
+  bounds.default_lease_end = claimed_at_ + acting + longest_lease;
   for (const auto& [vm, left] : predecessor_.leases) {
-    bounds.lapsed_at[vm] = claimed_at_ + left;
+    bounds.lease_ends[vm] = claimed_at_ + left;
   }
   return bounds;
 }
--- a/src/jobs/pool_owner_vms.cc
+++ b/src/jobs/pool_owner_vms.cc
@@ -135,7 +135,7 @@
           LogEvent(job_event::kJobsReread,
                    {{"partition", std::to_string(owner->partition_)},
                     {"vm", unknown.vm},
-                    {"listed", unknown.is_listed ? "yes" : "no"},
+                    {"listed", unknown.is_registered ? "yes" : "no"},
                     {"reachable", unknown.is_reachable ? "yes" : "no"},
                     {"ms", MillisOf(BootTime() - began)}});
         }
@@ -150,7 +150,7 @@
   const core::time_point now = BootTime();
   switch (reply.outcome) {
     case hold_outcome::kListed:
-      NoteHeard(vm, link.get(), reply.listing.born);
+      NoteHeard(vm, link.get(), reply.listing.incarnation);
       LogNewEnds(vm, link, reply.listing);
       scheduler_->NoteJobsRead(deps_.world->AllJobsReadAt());
       scheduler_->OnListing(vm, sent_at, reply.listing, now);
@@ -186,9 +186,10 @@
   }
 }
 
-void pool_owner::impl::NoteHeard(const vm_id& vm,
-                                 vm_link* link,
-                                 const core::jobs::life_mark& born) {
+void pool_owner::impl::NoteHeard(
+    const vm_id& vm,
+    vm_link* link,
+    const core::jobs::vm_incarnation& incarnation) {
   if (!link->heard_at) {
     link->heard_at = BootTime();
     observe::log_fields fields = {{"vm", vm},
@@ -196,16 +197,17 @@
     AppendAge("known_ms_ago", link->known_at, &fields);
     LogEvent(job_event::kVmGained, fields);
   }
-  const bool begins_again = core::jobs::AreOtherLives(born, link->born);
+  const bool begins_again =
+      core::jobs::AreDifferentIncarnations(incarnation, link->incarnation);
   if (link->is_lost || begins_again) {
     // Not before the line on its loss.
     LogLines(lines_.TakeAll());
     observe::log_fields fields = {{"vm", vm}};
-    if (born) {
-      fields.emplace_back("born", std::to_string(*born));
+    if (incarnation) {
+      fields.emplace_back("born", std::to_string(*incarnation));
     }
     if (begins_again) {
-      fields.emplace_back("born_before", std::to_string(*link->born));
+      fields.emplace_back("born_before", std::to_string(*link->incarnation));
       fields.emplace_back("ends_logged_before",
                           std::to_string(link->logged_end));
     }
@@ -213,13 +215,13 @@
   }
   link->logged_end = begins_again ? 0 : link->logged_end;
   link->is_lost = false;
-  link->born = born ? born : link->born;
+  link->incarnation = incarnation ? incarnation : link->incarnation;
 }
 
 // Ends that aren't acknowledged would be listed again at once, so the next hold
 // waits for their record to be stored.
 milliseconds pool_owner::impl::GapAfter(
-    const core::jobs::vm_listing& listing) const {
+    const core::jobs::run_listing& listing) const {
   const milliseconds gap =
       listing.ended.empty() ? settings_.hold_gap : settings_.ack_gap;
   const auto delay =
@@ -238,7 +240,7 @@
 
 void pool_owner::impl::LogNewEnds(const vm_id& vm,
                                   const std::shared_ptr<vm_link>& link,
-                                  const core::jobs::vm_listing& listing) {
+                                  const core::jobs::run_listing& listing) {
   for (const core::jobs::ended_task& end : listing.ended) {
     if (end.number <= link->logged_end ||
         end.how == core::jobs::end_kind::kDone) {
@@ -272,7 +274,7 @@
         const bool is_started = result == start_result::kStarted;
         owner->NoteStart(target, result);
         owner->scheduler_->OnStartAnswer(target, result, BootTime());
-        if (!is_started || owner->scheduler_->HoldsStartsBack()) {
+        if (!is_started || owner->scheduler_->IsStartWindowFull()) {
           owner->Kick();
         }
       });
--- a/src/jobs/record_codec.cc
+++ b/src/jobs/record_codec.cc
@@ -56,13 +56,13 @@
   add("sr", step.same_rack, false);
   add("rl", step.required_label, std::string());
   add("pr", step.preferred_rack, std::string());
-  add("mv", step.most_per_vm, 0U);
+  add("mv", step.max_per_vm, 0U);
   add("sp", step.speculative, false);
-  add("la", step.lasting, false);
+  add("la", step.long_running, false);
   add("i", step.image, std::string());
   add("lt", step.latency_target.count(), duration::rep{0});
-  add("f", step.fills, false);
-  add("mm", step.may_miss, 0U);
+  add("f", step.best_effort, false);
+  add("mm", step.max_unavailable, 0U);
   return row;
 }
 
@@ -70,8 +70,8 @@
   json rows = json::array();
   for (const core::jobs::run_loss& loss : losses) {
     json row = json::array({loss.run, core::NameOf(loss.kind), loss.vm});
-    if (loss.born) {
-      row.push_back(*loss.born);
+    if (loss.incarnation) {
+      row.push_back(*loss.incarnation);
     }
     rows.push_back(std::move(row));
   }
@@ -135,13 +135,13 @@
   step.same_rack = OptionalFlag(row.At("sr"));
   step.required_label = OptionalText(row.At("rl"));
   step.preferred_rack = OptionalText(row.At("pr"));
-  step.most_per_vm = OptionalCount(row.At("mv"));
+  step.max_per_vm = OptionalCount(row.At("mv"));
   step.speculative = OptionalFlag(row.At("sp"));
-  step.lasting = OptionalFlag(row.At("la"));
+  step.long_running = OptionalFlag(row.At("la"));
   step.image = OptionalText(row.At("i"));
   step.latency_target = Optional(row.At("lt"), duration::zero(), ReadDuration);
-  step.fills = OptionalFlag(row.At("f"));
-  step.may_miss = OptionalCount(row.At("mm"));
+  step.best_effort = OptionalFlag(row.At("f"));
+  step.max_unavailable = OptionalCount(row.At("mm"));
   return step;
 }
 
@@ -166,7 +166,7 @@
   }
   const value_reader handed_in = record.At("h");
   if (!handed_in.IsMissing()) {
-    spec.handed_in_at = core::time_point(handed_in.Millis());
+    spec.submitted_at = core::time_point(handed_in.Millis());
   }
   return spec;
 }
@@ -208,7 +208,7 @@
 core::jobs::job_progress ReadProgress(const value_reader& record) {
   core::jobs::job_progress progress;
   progress.phase = record.At("s").Named<core::jobs::job_phase>();
-  progress.untold_runs = OptionalCount(record.At("u"));
+  progress.unreported_runs = OptionalCount(record.At("u"));
   const value_reader tasks = record.At("t");
   const std::size_t count = tasks.IsMissing() ? 0 : tasks.Rows();
   for (std::size_t i = 0; i < count; ++i) {
@@ -221,7 +221,7 @@
   owner_record owner;
   owner.epoch =
       static_cast<std::uint64_t>(record.At("epoch").Whole(1, kMostNumber));
-  owner.member = record.At("member").Text(core::jobs::kMostNameBytes);
+  owner.member = record.At("member").Text(core::jobs::kMaxNameBytes);
   const value_reader leases = record.At("leases");
   const auto* fields = leases.IsMissing() ? nullptr : leases.Fields();
   if (fields != nullptr) {
@@ -252,7 +252,7 @@
 // A mark is there or dropped; nothing else is written for it.
 std::optional<record_fault> FaultOfMark(const std::string& name,
                                         const adapter::keyed_record& record) {
-  if (!core::jobs::IsSoundName(name)) {
+  if (!core::jobs::IsValidName(name)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   if (record.value && *record.value != kMark) {
@@ -286,9 +286,9 @@
         json::array({spec.schedule->first_due.time_since_epoch().count(),
                      spec.schedule->interval.count(), spec.schedule->count});
   }
-  if (spec.handed_in_at) {
+  if (spec.submitted_at) {
     value["h"] = std::chrono::duration_cast<std::chrono::milliseconds>(
-                     spec.handed_in_at->time_since_epoch())
+                     spec.submitted_at->time_since_epoch())
                      .count();
   }
   return {spec.id, value.dump()};
@@ -305,8 +305,8 @@
 
 adapter::keyed_record Encode(const progress_record& record) {
   json value = {{"s", core::NameOf(record.progress.phase)}};
-  if (record.progress.untold_runs > 0) {
-    value["u"] = record.progress.untold_runs;
+  if (record.progress.unreported_runs > 0) {
+    value["u"] = record.progress.unreported_runs;
   }
   if (!record.progress.tasks.empty()) {
     json rows = json::array();
@@ -425,7 +425,7 @@
 
 decoded<pool_record> DecodeVmMark(const std::string& vm,
                                   const adapter::keyed_record& record) {
-  if (!core::jobs::IsSoundName(vm)) {
+  if (!core::jobs::IsValidName(vm)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   if (record.value && !net::IsAddress(*record.value)) {
@@ -454,11 +454,11 @@
     }
     return pool_record(order_record{host, "", !record.value.has_value()});
   }
-  if (!core::jobs::IsSoundName(host)) {
+  if (!core::jobs::IsValidName(host)) {
     return record_fault{fault_kind::kUnreadable, "key"};
   }
   const std::string holder = value.substr(kHolderPrefix.size());
-  if (!core::jobs::IsSoundName(holder)) {
+  if (!core::jobs::IsValidName(holder)) {
     return record_fault{fault_kind::kOutOfRange, ""};
   }
   return pool_record(order_record{host, holder, false});
--- a/src/jobs/submissions.cc
+++ b/src/jobs/submissions.cc
@@ -57,9 +57,10 @@
                   : adapter::EncodeFault(net::kNotFound, "no such queue"));
       return;
     }
-    const caller_request asked{*match.route, job_id(match.rest), request,
-                               respond,      GiveUpAt(request),  WallTime(),
-                               false};
+    const caller_request asked{
+        *match.route, job_id(match.path_suffix), request,
+        respond,      GiveUpAt(request),         WallTime(),
+        false};
     const bool asks_for_number =
         asked.id.empty() && request.verb == net::method::kGet;
     if (asks_for_number) {
@@ -197,7 +198,7 @@
     decoded.spec->id = asked.id;
     decoded.spec->queue = asked.route.queue;
     decoded.spec->pool = asked.route.pool;
-    decoded.spec->handed_in_at = asked.came_at;
+    decoded.spec->submitted_at = asked.came_at;
     Store(asked, Encode(submission_record{std::move(*decoded.spec)}),
           record_purpose::kJob);
   }
--- a/src/jobs/vm_link.h
+++ b/src/jobs/vm_link.h
@@ -29,7 +29,7 @@
   std::optional<core::time_point> heard_at;
   bool is_lost = false;
   /// Of the life that was heard last.
-  core::jobs::life_mark born;
+  core::jobs::vm_incarnation incarnation;
   /// The greatest number of an end that was logged.
   std::uint64_t logged_end = 0;
 };
--- a/src/observe/burn.cc
+++ b/src/observe/burn.cc
@@ -82,9 +82,9 @@
     class_report item;
     item.target = target;
     for (const core::duration window : kWindows) {
-      item.windows.push_back({window, ledger.Over(window, now)});
+      item.windows.push_back({window, ledger.SumOver(window, now)});
     }
-    item.windows.push_back({target.window, ledger.Over(target.window, now)});
+    item.windows.push_back({target.window, ledger.SumOver(target.window, now)});
     item.hours = HoursOf(ledger, now);
     report.classes.push_back(std::move(item));
   }
--- a/src/peers/owner_announcement.cc
+++ b/src/peers/owner_announcement.cc
@@ -21,7 +21,7 @@
   owner.epoch = static_cast<std::uint64_t>(
       record.At("epoch").Whole(1, adapter::kMostNumber));
   const value_reader address = record.At("address");
-  owner.address = address.Text(core::jobs::kMostNameBytes);
+  owner.address = address.Text(core::jobs::kMaxNameBytes);
   if (!address.HasFault() && !net::IsAddress(owner.address)) {
     address.Fail(fault_kind::kOutOfRange);
   }
--- a/src/peers/owner_announcement.h
+++ b/src/peers/owner_announcement.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "plantainhead/core/jobs/owner_book.h"
+#include "plantainhead/core/jobs/owner_directory.h"
 #include "plantainhead/core/jobs/record_faults.h"
 #include "platform/store_client.h"
 
--- a/src/peers/owner_links.cc
+++ b/src/peers/owner_links.cc
@@ -23,7 +23,7 @@
   impl(boost::asio::io_context* context, const owner_link_settings& settings)
       : context_(*context), settings_(settings), book_(settings.book) {}
 
-  core::jobs::owner_book& book() { return book_; }
+  core::jobs::owner_directory& book() { return book_; }
   core::time_point answered_at() const { return answered_at_; }
 
   void Pass(std::uint32_t partition,
@@ -137,7 +137,7 @@
 
   boost::asio::io_context& context_;
   owner_link_settings settings_;
-  core::jobs::owner_book book_;
+  core::jobs::owner_directory book_;
   std::map<std::string, link> links_;
   core::time_point answered_at_;
 };
@@ -148,7 +148,7 @@
 
 owner_links::~owner_links() = default;
 
-core::jobs::owner_book& owner_links::book() {
+core::jobs::owner_directory& owner_links::book() {
   return impl_->book();
 }
 
--- a/src/peers/owner_links.h
+++ b/src/peers/owner_links.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "net/http_message.h"
-#include "plantainhead/core/jobs/owner_book.h"
+#include "plantainhead/core/jobs/owner_directory.h"
 #include "plantainhead/core/time.h"
 
 namespace boost::asio {
@@ -19,7 +19,7 @@
 namespace plantainhead::peers {
 
 struct owner_link_settings {
-  core::jobs::owner_book_settings book;
+  core::jobs::owner_directory_settings book;
   /// An owner that answers nobody for this time is taken for lost. One that
   /// waits for a slow store answers questions meanwhile, so that requests that
   /// have reached it aren't repeated elsewhere.
@@ -57,7 +57,7 @@
   ~owner_links();
 
   /// Whom to ask; announcements are noted there.
-  core::jobs::owner_book& book();
+  core::jobs::owner_directory& book();
 
   /// Passes the request on to the owner of the partition. Calls `on_reply` once
   /// within `patience`: at once when there is nobody to ask.
--- a/src/runtime/daemon_options.cc
+++ b/src/runtime/daemon_options.cc
@@ -83,7 +83,7 @@
   options.lease.lease = settings.planner_lease;
   options.lease.margin = settings.planner_lease / kLeaseMarginParts;
   options.lease.take_jitter = settings.planner_lease / kLeaseSpreadParts;
-  options.planner.greatest_deadline = settings.patience;
+  options.planner.max_deadline = settings.patience;
   options.planner.pause_burn_rate = kPauseBurnRate;
   options.planner.resume_burn_rate = kResumeBurnRate;
   options.count_interval = settings.count_interval;
--- a/tests/adapter/codec_test.cc
+++ b/tests/adapter/codec_test.cc
@@ -27,18 +27,18 @@
   CHECK(first.estimate == milliseconds(900));
   CHECK(first.preferred_rack == "r1-3");
   CHECK(first.required_label == "a");
-  CHECK(first.most_per_vm == 2);
+  CHECK(first.max_per_vm == 2);
   const core::jobs::step_spec& second = job.spec->steps[1];
   CHECK(second.depends_on == std::vector<std::uint32_t>{0});
   CHECK(second.checkpoints);
   CHECK(second.gang);
   CHECK(second.same_rack);
   CHECK(second.speculative);
-  CHECK(second.lasting);
+  CHECK(second.long_running);
   CHECK(second.image == "web");
   CHECK(second.latency_target == milliseconds(120));
-  CHECK(second.fills);
-  CHECK(second.may_miss == 1);
+  CHECK(second.best_effort);
+  CHECK(second.max_unavailable == 1);
   REQUIRE(job.spec->schedule);
   CHECK(job.spec->schedule->count == 3);
   CHECK(job.spec->schedule->interval == milliseconds(500));
@@ -89,7 +89,7 @@
   CHECK(listing->running[0].percent == 41);
   CHECK(listing->running[0].reading == 7);
   REQUIRE(listing->ended.size() == 2);
-  CHECK(listing->ended[1].how == core::jobs::end_kind::kLapsed);
+  CHECK(listing->ended[1].how == core::jobs::end_kind::kLeaseExpired);
   CHECK(listing->ended[1].checkpoint == "s");
   CHECK_FALSE(DecodeListing(R"({"running":[]})"));
   CHECK_FALSE(DecodeListing(R"({"clock_ms":1,"running":[["bad",1,"",0]]})"));
@@ -103,7 +103,7 @@
   const auto born_in = [](const std::string& field) {
     const auto listing = DecodeListing(R"({"clock_ms":1)" + field + "}");
     REQUIRE(listing);
-    return listing->born;
+    return listing->incarnation;
   };
   CHECK(born_in(R"(,"born":1790000000123)") == 1'790'000'000'123);
   CHECK(born_in("") == std::nullopt);
@@ -157,7 +157,7 @@
   REQUIRE(wave);
   CHECK(wave->hosts.size() == 2);
   CHECK(wave->time_limit == milliseconds(2500));
-  CHECK(wave->most_at_once == 3);
+  CHECK(wave->max_concurrent == 3);
 
   const auto vm = DecodeVm(
       "i-1",
@@ -166,7 +166,7 @@
           "capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a","r1"],
           "remaining_ms":1500,"born":1790000000123})");
   REQUIRE(vm);
-  CHECK(vm->born == 1'790'000'000'123);
+  CHECK(vm->incarnation == 1'790'000'000'123);
   CHECK(vm->pool == "s");
   CHECK(vm->capacity.cpu_millis == 16000);
   CHECK(vm->draining);
--- a/tests/core/entry/entry_fleet.h
+++ b/tests/core/entry/entry_fleet.h
@@ -63,7 +63,7 @@
   static planner_options FastPlannerOptions() {
     planner_options options;
     options.drain_notice = std::chrono::seconds(2);
-    options.greatest_deadline = std::chrono::seconds(5);
+    options.max_deadline = std::chrono::seconds(5);
     return options;
   }
 
--- a/tests/core/entry/entry_planner_test.cc
+++ b/tests/core/entry/entry_planner_test.cc
@@ -16,10 +16,10 @@
 
 planner_options MovesSoon() {
   planner_options options = entry_fleet::FastPlannerOptions();
-  options.base_lack_patience = seconds(1);
-  options.spare_lack_patience = seconds(1);
-  options.surplus_patience = seconds(1);
-  options.least_dwell = seconds(1);
+  options.demand_shortage_delay = seconds(1);
+  options.spare_shortage_delay = seconds(1);
+  options.surplus_delay = seconds(1);
+  options.min_dwell_time = seconds(1);
   return options;
 }
 
--- a/tests/core/fleet/capacity_test.cc
+++ b/tests/core/fleet/capacity_test.cc
@@ -16,30 +16,30 @@
   }
 
   SECTION("as the fewest that keep the share of late requests") {
-    const std::uint32_t slots = SlotsFor(40.0, 0.01, 9.0);
+    const std::uint32_t slots = RequiredSlots(40.0, 0.01, 9.0);
     const auto late = [](std::uint32_t n) {
       return WaitProbability(40.0, n) * std::exp(-(n - 40.0) * 9.0);
     };
     CHECK(late(slots) <= 0.01);
     CHECK((slots == 41 || late(slots - 1) > 0.01));
-    CHECK(SlotsFor(0.0, 0.01, 1.0) == 0);
+    CHECK(RequiredSlots(0.0, 0.01, 1.0) == 0);
   }
 
   SECTION("with more of them the less patience there is") {
-    CHECK(SlotsFor(40.0, 0.01, 0.1) > SlotsFor(40.0, 0.01, 9.0));
+    CHECK(RequiredSlots(40.0, 0.01, 0.1) > RequiredSlots(40.0, 0.01, 9.0));
   }
 }
 
 TEST_CASE("The least spread survives the loss of a domain") {
-  CHECK(LeastSpread(7, 7, 3) == 11);
-  CHECK(LeastSpread(7, 6, 3) == 9);
-  CHECK(LeastSpread(7, 0, 3) == 7);
-  CHECK(LeastSpread(1, 1, 3) == 2);
-  CHECK(LeastSpread(7, 7, 1) == 7);
+  CHECK(MinEvenSpread(7, 7, 3) == 11);
+  CHECK(MinEvenSpread(7, 6, 3) == 9);
+  CHECK(MinEvenSpread(7, 0, 3) == 7);
+  CHECK(MinEvenSpread(1, 1, 3) == 2);
+  CHECK(MinEvenSpread(7, 7, 1) == 7);
 }
 
 TEST_CASE("A pool's capacity follows its classes") {
-  planner_harness world;
+  planner_harness harness;
   configuration targets;
   targets.pools = {{pool_id("casework"), team_id(), 0}};
   targets.services = {{service_name("intake"), {pool_id("casework")}}};
@@ -48,50 +48,52 @@
   work.service = service_name("intake");
   work.unavailability = 0.001;
   for (int i = 0; i < 9; ++i) {
-    world.AddVm("vm-" + std::to_string(i), "zone-" + std::to_string(i % 3),
-                "rack-" + std::to_string(i), "casework");
+    harness.AddVm("vm-" + std::to_string(i), "zone-" + std::to_string(i % 3),
+                  "rack-" + std::to_string(i), "casework");
   }
-  world.demand[service_name("intake")] = {400, std::chrono::milliseconds(100)};
+  harness.demand[service_name("intake")] = {400,
+                                            std::chrono::milliseconds(100)};
   const auto plan = [&] {
     targets.classes = {work};
-    world.Apply(publish_configuration{targets, world.state.targets_version});
-    world.Step();
-    const planner_inputs inputs = world.Inputs();
-    const phase_watch watch;
+    harness.Apply(
+        publish_configuration{targets, harness.state.targets_version});
+    harness.Step();
+    const planner_inputs inputs = harness.Inputs();
+    const phase_tracker tracker;
     const record_gate gate{std::chrono::seconds(1)};
-    const fleet_view view(inputs, watch, gate, world.now);
+    const fleet_view view(inputs, tracker, gate, harness.now);
     demand_estimator demand(std::chrono::seconds(1), std::chrono::minutes(1));
-    demand.Observe(world.demand, world.now);
+    demand.Observe(harness.demand, harness.now);
     return PlanCapacity(inputs, view, demand, planner_options())
         .at(pool_id("casework"));
   };
   plan();
-  world.StepFor(std::chrono::seconds(5));
+  harness.StepFor(std::chrono::seconds(5));
 
   SECTION("a strict one keeps all of its need through a loss") {
     const pool_capacity strict = plan();
     CHECK(strict.is_known);
     CHECK(strict.need == 6);
-    CHECK(strict.survivors == 6);
+    CHECK(strict.min_after_loss == 6);
   }
 
   SECTION("one that tolerates 20% keeps less") {
     work.unavailability = 0.2;
     const pool_capacity lenient = plan();
-    CHECK(lenient.survivors < lenient.need);
+    CHECK(lenient.min_after_loss < lenient.need);
     CHECK(lenient.floor < lenient.need);
   }
 
   SECTION("one that burns its budget gives nothing to maintenance") {
     work.unavailability = 0.2;
-    world.budgets[work.name] = {0.1, 1.5};
+    harness.budgets[work.name] = {0.1, 1.5};
     const pool_capacity burning = plan();
     CHECK(burning.floor == burning.need);
   }
 
   SECTION("one that can wait keeps no spare for a loss") {
     work.can_wait = true;
-    CHECK(plan().survivors == 0);
+    CHECK(plan().min_after_loss == 0);
   }
 }
 
--- a/tests/core/fleet/error_budget_test.cc
+++ b/tests/core/fleet/error_budget_test.cc
@@ -24,26 +24,26 @@
   class_ledger ledger;
 
   SECTION("not at all while nobody asks") {
-    CHECK(StatusOf(petitions, ledger, kNoon).spent == 0);
+    CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == 0);
   }
 
   SECTION("not by answers that were late but whole") {
     request_counts late = Counts(0, 0);
     late[request_fate::kLate] = 10;
     ledger.Add(kNoon, late);
-    CHECK(StatusOf(petitions, ledger, kNoon).spent == 0);
+    CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == 0);
   }
 
   SECTION("in proportion to the requests that went unserved") {
     ledger.Add(kNoon, Counts(995, 5));
-    CHECK(StatusOf(petitions, ledger, kNoon).spent == Approx(0.5));
+    CHECK(BudgetStatusOf(petitions, ledger, kNoon).spent == Approx(0.5));
   }
 
   SECTION("and what is past the window counts no more") {
     ledger.Add(kNoon, Counts(0, 100));
     ledger.Add(kNoon + std::chrono::hours(24 * 31), Counts(100, 0));
     const budget_status later =
-        StatusOf(petitions, ledger, kNoon + std::chrono::hours(24 * 31));
+        BudgetStatusOf(petitions, ledger, kNoon + std::chrono::hours(24 * 31));
     CHECK(later.spent == 0);
     CHECK(later.counts.Total() == 100);
   }
@@ -51,7 +51,8 @@
   SECTION("and a short window shows what burns now") {
     ledger.Add(kNoon - std::chrono::hours(3), Counts(1000, 0));
     ledger.Add(kNoon, Counts(90, 10));
-    const request_counts recent = ledger.Over(std::chrono::minutes(5), kNoon);
+    const request_counts recent =
+        ledger.SumOver(std::chrono::minutes(5), kNoon);
     CHECK(recent.Total() == 100);
     CHECK(BurnRate(petitions, recent) == Approx(10));
   }
@@ -84,7 +85,7 @@
   CHECK(Apply(state, {3, {record_id("b"), "e1", counts}}).outcome ==
         fold_outcome::kApplied);
   CHECK(state.ledgers.size() == 1);
-  CHECK(state.ledgers.at(known.name).Over(std::chrono::hours(1), kNoon) ==
+  CHECK(state.ledgers.at(known.name).SumOver(std::chrono::hours(1), kNoon) ==
         Counts(5, 0));
 
   counts.who = incarnation{2};
--- a/tests/core/fleet/job_planner_test.cc
+++ b/tests/core/fleet/job_planner_test.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// A pool of workers with 16 processors and 64 GB each, in three zones.
-class job_story : public planner_harness {
+class job_planner_harness : public planner_harness {
  public:
-  explicit job_story(int workers = 6) {
+  explicit job_planner_harness(int workers = 6) {
     configuration targets;
     targets.pools = {{pool_id("lidar"), team_id(), 0}};
     targets.teams = {{team_id("coast"), 0, 4}};
@@ -39,9 +39,9 @@
         state.jobs.begin(), state.jobs.end(),
         [&](const auto& job) { return job.second.state == wanted; }));
   }
-  bool Becomes(const std::string& job,
-               job_status wanted,
-               duration limit = std::chrono::hours(1)) {
+  bool ReachesState(const std::string& job,
+                    job_status wanted,
+                    duration limit = std::chrono::hours(1)) {
     return StepUntil([&] { return Job(job).state == wanted; }, limit);
   }
   void Cancel(const std::string& job) {
@@ -59,74 +59,76 @@
 };
 
 TEST_CASE("A job runs to its end") {
-  job_story world;
-  world.Submit("map");
+  job_planner_harness harness;
+  harness.Submit("map");
 
   SECTION("started once, its lease renewed far beyond its length") {
-    world.run_time = std::chrono::hours(1);
-    REQUIRE(world.Becomes("map", job_status::kFinished, std::chrono::hours(2)));
-    CHECK(world.starts[job_id("map")] == 1);
+    harness.run_time = std::chrono::hours(1);
+    REQUIRE(harness.ReachesState("map", job_status::kFinished,
+                                 std::chrono::hours(2)));
+    CHECK(harness.starts[job_id("map")] == 1);
   }
 
   SECTION("also when its planner is lost before it started it") {
     // The record that places the job is in the log, its planner dies before the
     // start goes out. The next planner sends the start of the record.
-    world.Step();
-    REQUIRE(world.Job("map").state == job_status::kPlaced);
-    REQUIRE(world.starts.empty());
-    world.ReplacePlanner();
-    REQUIRE(world.Becomes("map", job_status::kFinished));
-    CHECK(world.starts[job_id("map")] == 1);
+    harness.Step();
+    REQUIRE(harness.Job("map").state == job_status::kPlaced);
+    REQUIRE(harness.starts.empty());
+    harness.ReplacePlanner();
+    REQUIRE(harness.ReachesState("map", job_status::kFinished));
+    CHECK(harness.starts[job_id("map")] == 1);
   }
 
   SECTION("on another worker when its own is lost, after the lease") {
     // The worker vanishes from the list with the task on it. It may only be cut
     // off, and still run the job; a start elsewhere before the lease has ended
     // would run it twice at once.
-    world.run_time = std::chrono::hours(1);
-    world.StepFor(std::chrono::minutes(1));
-    const vm_id first = world.Job("map").vm;
-    std::erase_if(world.vms, [&](const auto& vm) { return vm.vm == first; });
-    world.tasks.clear();
-    REQUIRE(world.StepUntil([&] { return world.starts[job_id("map")] == 2; },
-                            std::chrono::minutes(10)));
-    CHECK(world.overlaps == 0);
-    CHECK(world.Job("map").vm != first);
+    harness.run_time = std::chrono::hours(1);
+    harness.StepFor(std::chrono::minutes(1));
+    const vm_id first = harness.Job("map").vm;
+    std::erase_if(harness.vms, [&](const auto& vm) { return vm.vm == first; });
+    harness.tasks.clear();
+    REQUIRE(
+        harness.StepUntil([&] { return harness.starts[job_id("map")] == 2; },
+                          std::chrono::minutes(10)));
+    CHECK(harness.overlaps == 0);
+    CHECK(harness.Job("map").vm != first);
   }
 
   SECTION("after a checkpoint when a wave drains its worker") {
-    world.run_time = std::chrono::minutes(30);
-    world.StepFor(std::chrono::minutes(1));
-    const vm_id first = world.Job("map").vm;
+    harness.run_time = std::chrono::minutes(30);
+    harness.StepFor(std::chrono::minutes(1));
+    const vm_id first = harness.Job("map").vm;
     const wave_id wave("kernel");
-    world.Apply(start_wave{wave, {pool_id("lidar")}, {}});
-    REQUIRE(world.StepUntil([&] {
-      return world.state.waves.at(wave).state == wave_state::kFinished;
+    harness.Apply(start_wave{wave, {pool_id("lidar")}, {}});
+    REQUIRE(harness.StepUntil([&] {
+      return harness.state.waves.at(wave).state == wave_state::kFinished;
     }));
-    CHECK(world.reboots.size() == 6);
-    REQUIRE(world.Becomes("map", job_status::kFinished));
+    CHECK(harness.reboots.size() == 6);
+    REQUIRE(harness.ReachesState("map", job_status::kFinished));
     // The second placement prefers workers that the wave has visited.
-    CHECK(world.starts[job_id("map")] == 2);
-    CHECK(world.Job("map").failures == 0);
+    CHECK(harness.starts[job_id("map")] == 2);
+    CHECK(harness.Job("map").failures == 0);
   }
 }
 
 TEST_CASE("A worker fails every task") {
   // The worker with the least room is chosen first, fails at once and has room
   // again: it would eat the whole queue.
-  job_story world;
-  world.bad_workers = {vm_id("w0")};
+  job_planner_harness harness;
+  harness.bad_workers = {vm_id("w0")};
   for (int i = 0; i < 20; ++i) {
-    world.Submit("job-" + std::to_string(i));
+    harness.Submit("job-" + std::to_string(i));
   }
-  REQUIRE(world.StepUntil(
-      [&] { return world.CountJobs(job_status::kFinished) == 20; }));
-  CHECK(world.Vm("w0").quarantined);
-  CHECK(world.CountJobs(job_status::kParked) == 0);
+  REQUIRE(harness.StepUntil(
+      [&] { return harness.CountJobs(job_status::kFinished) == 20; }));
+  CHECK(harness.Vm("w0").quarantined);
+  CHECK(harness.CountJobs(job_status::kParked) == 0);
 
-  world.bad_workers.clear();
-  world.StepFor(std::chrono::hours(2));
-  CHECK_FALSE(world.Vm("w0").quarantined);
+  harness.bad_workers.clear();
+  harness.StepFor(std::chrono::hours(2));
+  CHECK_FALSE(harness.Vm("w0").quarantined);
 }
 
 TEST_CASE("A start is sent again after the job's expected size changed") {
@@ -134,111 +136,112 @@
   // that the team's jobs use far less than they declare. The platform refuses
   // an id that comes with other figures, and a refusal that is believed leaves
   // a task running that nobody counts.
-  job_story world;
-  world.Submit("first");
-  world.StepFor(std::chrono::seconds(5));
-  world.Submit("second");
-  world.StepUntil([&] { return world.starts.contains(job_id("second")); });
-  std::erase_if(world.tasks,
+  job_planner_harness harness;
+  harness.Submit("first");
+  harness.StepFor(std::chrono::seconds(5));
+  harness.Submit("second");
+  harness.StepUntil([&] { return harness.starts.contains(job_id("second")); });
+  std::erase_if(harness.tasks,
                 [](const auto& task) { return task.job == job_id("second"); });
-  for (task_listing& task : world.tasks) {
+  for (task_listing& task : harness.tasks) {
     task.processors_used = 2;
     task.memory_used_mb = 1024;
   }
-  world.ReplacePlanner();
-  world.StepFor(std::chrono::seconds(5));
-  CHECK(world.changed == 0);
+  harness.ReplacePlanner();
+  harness.StepFor(std::chrono::seconds(5));
+  CHECK(harness.changed_operations == 0);
 }
 
 TEST_CASE("All workers refuse a job for a while") {
   // The list shows room that the platform no longer has. Each refusal ends the
   // placement; taken for failures, ten of them within seconds would park a job
   // that is sound.
-  job_story world;
-  for (const vm_listing& vm : world.vms) {
-    world.refusing.insert(vm.vm);
-  }
-  world.Submit("map");
-  world.StepFor(std::chrono::minutes(10));
-  CHECK(world.Job("map").state != job_status::kParked);
-  world.refusing.clear();
-  CHECK(world.Becomes("map", job_status::kFinished));
+  job_planner_harness harness;
+  for (const vm_listing& vm : harness.vms) {
+    harness.refusing.insert(vm.vm);
+  }
+  harness.Submit("map");
+  harness.StepFor(std::chrono::minutes(10));
+  CHECK(harness.Job("map").state != job_status::kParked);
+  harness.refusing.clear();
+  CHECK(harness.ReachesState("map", job_status::kFinished));
 }
 
 TEST_CASE("Some jobs can never run") {
-  job_story world;
+  job_planner_harness harness;
 
   SECTION("one that fails everywhere is parked, its workers are not blamed") {
-    world.bad_jobs = {job_id("broken")};
-    world.Submit("broken");
-    world.Submit("sound");
-    REQUIRE(world.Becomes("broken", job_status::kParked));
-    CHECK(world.Job("broken").reason.starts_with("it failed on 3 workers"));
-    CHECK(world.starts[job_id("broken")] == 3);
-    REQUIRE(world.Becomes("sound", job_status::kFinished));
-    for (const auto& [id, vm] : world.state.vms) {
+    harness.bad_jobs = {job_id("broken")};
+    harness.Submit("broken");
+    harness.Submit("sound");
+    REQUIRE(harness.ReachesState("broken", job_status::kParked));
+    CHECK(harness.Job("broken").reason.starts_with("it failed on 3 workers"));
+    CHECK(harness.starts[job_id("broken")] == 3);
+    REQUIRE(harness.ReachesState("sound", job_status::kFinished));
+    for (const auto& [id, vm] : harness.state.vms) {
       CHECK_FALSE(vm.quarantined);
     }
   }
 
   SECTION("one that no worker could hold is parked, with what it takes") {
-    world.Submit("huge", 64);
-    REQUIRE(world.Becomes("huge", job_status::kParked));
-    CHECK(world.Job("huge").reason.find("64 processors") != std::string::npos);
+    harness.Submit("huge", 64);
+    REQUIRE(harness.ReachesState("huge", job_status::kParked));
+    CHECK(harness.Job("huge").reason.find("64 processors") !=
+          std::string::npos);
   }
 }
 
 TEST_CASE("An urgent job is submitted to a full pool") {
-  job_story world(2);
-  world.run_time = std::chrono::hours(2);
+  job_planner_harness harness(2);
+  harness.run_time = std::chrono::hours(2);
   for (int i = 0; i < 4; ++i) {
-    world.Submit("batch-" + std::to_string(i));
+    harness.Submit("batch-" + std::to_string(i));
   }
-  world.StepFor(std::chrono::minutes(1));
-  REQUIRE(world.CountJobs(job_status::kPlaced) == 4);
-  job_requirements urgent = world.Spec("preview");
+  harness.StepFor(std::chrono::minutes(1));
+  REQUIRE(harness.CountJobs(job_status::kPlaced) == 4);
+  job_requirements urgent = harness.Spec("preview");
   urgent.urgent = true;
-  world.Apply(submit_job{urgent});
-  const time_point asked = world.now;
-
-  REQUIRE(
-      world.StepUntil([&] { return world.starts[job_id("preview")] == 1; }));
-  CHECK(world.now - asked <= std::chrono::milliseconds(2100));
-  world.StepFor(std::chrono::minutes(1));
-  CHECK(world.CountJobs(job_status::kWaiting) == 1);
-  CHECK(world.CountJobs(job_status::kPlaced) == 4);
+  harness.Apply(submit_job{urgent});
+  const time_point asked = harness.now;
+
+  REQUIRE(harness.StepUntil(
+      [&] { return harness.starts[job_id("preview")] == 1; }));
+  CHECK(harness.now - asked <= std::chrono::milliseconds(2100));
+  harness.StepFor(std::chrono::minutes(1));
+  CHECK(harness.CountJobs(job_status::kWaiting) == 1);
+  CHECK(harness.CountJobs(job_status::kPlaced) == 4);
 }
 
 TEST_CASE("A team reaches its quota of accelerators") {
-  job_story world;
-  for (vm_listing& vm : world.vms) {
+  job_planner_harness harness;
+  for (vm_listing& vm : harness.vms) {
     vm.accelerators = 2;
   }
   for (int i = 0; i < 6; ++i) {
-    job_requirements spec = world.Spec("train-" + std::to_string(i), 1);
+    job_requirements spec = harness.Spec("train-" + std::to_string(i), 1);
     spec.accelerators = 1;
-    world.Apply(submit_job{spec});
+    harness.Apply(submit_job{spec});
   }
-  world.StepFor(std::chrono::minutes(1));
-  CHECK(world.CountJobs(job_status::kPlaced) == 4);
-  CHECK(world.Planner().reasons().at("job:train-5") ==
+  harness.StepFor(std::chrono::minutes(1));
+  CHECK(harness.CountJobs(job_status::kPlaced) == 4);
+  CHECK(harness.Planner().reasons().at("job:train-5") ==
         "team coast would hold 5 of its 4 accelerators");
 }
 
 TEST_CASE("Jobs are cancelled in a burst") {
-  job_story world;
-  world.run_time = std::chrono::hours(2);
+  job_planner_harness harness;
+  harness.run_time = std::chrono::hours(2);
   for (int i = 0; i < 500; ++i) {
-    world.Submit("job-" + std::to_string(i));
+    harness.Submit("job-" + std::to_string(i));
   }
-  world.StepFor(std::chrono::minutes(1));
-  REQUIRE(world.Running() == 12);
+  harness.StepFor(std::chrono::minutes(1));
+  REQUIRE(harness.Running() == 12);
   for (int i = 0; i < 500; ++i) {
-    world.Cancel("job-" + std::to_string(i));
+    harness.Cancel("job-" + std::to_string(i));
   }
-  world.Step();
-  world.Step();
-  CHECK(world.Running() == 0);
+  harness.Step();
+  harness.Step();
+  CHECK(harness.Running() == 0);
 }
 
 }  // namespace
--- a/tests/core/fleet/planner_harness.h
+++ b/tests/core/fleet/planner_harness.h
@@ -149,13 +149,13 @@
   std::set<vm_id> bad_workers;
   std::set<job_id> bad_jobs;
   /// Operations whose id came again with another content.
-  int changed = 0;
+  int changed_operations = 0;
   /// VMs that the platform refuses to reboot.
-  std::set<vm_id> unbootable;
+  std::set<vm_id> reboot_refusing;
   /// Workers that refuse every start.
   std::set<vm_id> refusing;
   /// Operations that took effect, and how often those of each kind did.
-  std::set<operation_id> acted;
+  std::set<operation_id> executed;
   std::map<vm_id, int> reboots;
   std::map<job_id, int> starts;
   /// Starts of jobs that may still have run elsewhere.
@@ -184,12 +184,12 @@
                           !std::holds_alternative<reboot_vm>(run.what);
     pending_.push_back({run, is_short ? now : now + operation_time});
     const auto [first, is_new] = contents_.try_emplace(run.operation, run.what);
-    changed += Shown(first->second) == Shown(run.what) ? 0 : 1;
-    if (acted.insert(run.operation).second) {
+    changed_operations += Describe(first->second) == Describe(run.what) ? 0 : 1;
+    if (executed.insert(run.operation).second) {
       std::visit(
           overloaded{
               [&](const reboot_vm& what) {
-                reboots[what.vm] += unbootable.contains(what.vm) ? 0 : 1;
+                reboots[what.vm] += reboot_refusing.contains(what.vm) ? 0 : 1;
               },
               [&](const move_vm& what) { Move(what); },
               [&](const start_task& what) { Start(what, run.operation); },
@@ -208,7 +208,7 @@
     }
   }
 
-  static std::string Shown(const platform_operation& what) {
+  static std::string Describe(const platform_operation& what) {
     if (const auto* start = std::get_if<start_task>(&what)) {
       return std::to_string(start->processors) + " " +
              std::to_string(start->memory_mb);
@@ -290,7 +290,7 @@
       const auto* reboot = std::get_if<reboot_vm>(&item.what.what);
       const bool is_refused =
           (start != nullptr && refusing.contains(start->vm)) ||
-          (reboot != nullptr && unbootable.contains(reboot->vm));
+          (reboot != nullptr && reboot_refusing.contains(reboot->vm));
       planner_.OnOperationFinished(
           {item.what.operation,
            is_refused ? operation_result::kRefused : operation_result::kDone,
