--- a/tests/core/fleet/pool_planner_test.cc
+++ b/tests/core/fleet/pool_planner_test.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// Two services with a pool each, over three zones.
-class pool_story : public planner_harness {
+class pool_planner_harness : public planner_harness {
  public:
-  explicit pool_story(std::uint32_t quota = 0) {
+  explicit pool_planner_harness(std::uint32_t quota = 0) {
     configuration targets;
     targets.teams = {{team_id("care"), quota, 0}};
     targets.pools = {{pool_id("appeals"), team_id("care"), 0},
@@ -30,7 +30,7 @@
       }
     };
   }
-  void Ask(const std::string& service, double busy_slots) {
+  void SetDemand(const std::string& service, double busy_slots) {
     demand[service_name(service)] = {busy_slots * 10,
                                      std::chrono::milliseconds(100)};
   }
@@ -57,55 +57,55 @@
 };
 
 TEST_CASE("New VMs get a pool") {
-  pool_story world;
-  world.Ask("appeals", 40);
-  world.Ask("intake", 40);
+  pool_planner_harness harness;
+  harness.SetDemand("appeals", 40);
+  harness.SetDemand("intake", 40);
 
   SECTION("the platform's, where the configuration knows it") {
-    world.AddVms("intake", 3);
-    world.Step();
-    CHECK(world.CountIn("intake") == 3);
+    harness.AddVms("intake", 3);
+    harness.Step();
+    CHECK(harness.CountIn("intake") == 3);
   }
 
   SECTION("else the one that lacks most") {
-    world.AddVms("intake", 6);
-    world.Step();
-    world.AddVms("somewhere", 6);
-    world.StepFor(std::chrono::seconds(5));
-    CHECK(world.CountIn("appeals") == 6);
-    CHECK(world.vms.back().pool == pool_id("appeals"));
+    harness.AddVms("intake", 6);
+    harness.Step();
+    harness.AddVms("somewhere", 6);
+    harness.StepFor(std::chrono::seconds(5));
+    CHECK(harness.CountIn("appeals") == 6);
+    CHECK(harness.vms.back().pool == pool_id("appeals"));
   }
 }
 
 TEST_CASE("The load of one pool rises while another has VMs to spare") {
-  pool_story world;
-  world.Ask("appeals", 12);
-  world.Ask("intake", 12);
-  world.AddVms("appeals", 5);
-  world.AddVms("intake", 19);
-  world.StepFor(std::chrono::minutes(20));
-  const std::uint64_t before = world.Planner().figures().moves;
+  pool_planner_harness harness;
+  harness.SetDemand("appeals", 12);
+  harness.SetDemand("intake", 12);
+  harness.AddVms("appeals", 5);
+  harness.AddVms("intake", 19);
+  harness.StepFor(std::chrono::minutes(20));
+  const std::uint64_t before = harness.Planner().figures().moves;
   CHECK(before == 0);
 
   SECTION("so the fewest VMs move, drained, spread over the zones") {
-    world.Ask("appeals", 40);
-    REQUIRE(world.StepUntil(
+    harness.SetDemand("appeals", 40);
+    REQUIRE(harness.StepUntil(
         [&] {
-          return world.Planner().figures().lack == 0 &&
-                 world.CountIn("appeals") > 5;
+          return harness.Planner().figures().shortage == 0 &&
+                 harness.CountIn("appeals") > 5;
         },
         std::chrono::minutes(15)));
-    world.StepFor(std::chrono::minutes(30));
+    harness.StepFor(std::chrono::minutes(30));
     // 40 busy slots need six VMs, and nine leave six when a zone is lost.
-    CHECK(world.CountIn("appeals") == 9);
-    CHECK(world.Planner().figures().moves == 4);
-    CHECK(world.drained_moves > 0);
-    for (const auto& [zone, count] : world.ZonesOf("appeals")) {
+    CHECK(harness.CountIn("appeals") == 9);
+    CHECK(harness.Planner().figures().moves == 4);
+    CHECK(harness.drained_moves > 0);
+    for (const auto& [zone, count] : harness.ZonesOf("appeals")) {
       CHECK(count == 3);
     }
     const auto moved = std::find_if(
-        world.vms.begin(), world.vms.end(), [&](const vm_listing& vm) {
-          return world.state.vms.at(vm.vm).pool == pool_id("appeals");
+        harness.vms.begin(), harness.vms.end(), [&](const vm_listing& vm) {
+          return harness.state.vms.at(vm.vm).pool == pool_id("appeals");
         });
     CHECK(moved->pool == pool_id("appeals"));
   }
@@ -113,28 +113,28 @@
   SECTION("and the log is out, so no more are asked for than are lacking") {
     // The planner's records don't come back for minutes. It must not take the
     // silence for a lack and drain one VM after another once the log is back.
-    world.Ask("appeals", 40);
-    world.log_is_out = true;
-    world.StepFor(std::chrono::minutes(5));
-    CHECK(world.CountPhase(vm_phase::kDraining) == 0);
-    world.log_is_out = false;
-    world.StepFor(std::chrono::minutes(30));
-    CHECK(world.CountIn("appeals") == 9);
-    CHECK(world.Planner().figures().moves == 4);
+    harness.SetDemand("appeals", 40);
+    harness.log_is_out = true;
+    harness.StepFor(std::chrono::minutes(5));
+    CHECK(harness.CountPhase(vm_phase::kDraining) == 0);
+    harness.log_is_out = false;
+    harness.StepFor(std::chrono::minutes(30));
+    CHECK(harness.CountIn("appeals") == 9);
+    CHECK(harness.Planner().figures().moves == 4);
   }
 
   SECTION("and a load that swings moves nothing to and fro") {
     for (int i = 0; i < 30; ++i) {
-      world.Ask("appeals", i % 2 == 0 ? 40 : 12);
-      world.StepFor(std::chrono::minutes(1));
+      harness.SetDemand("appeals", i % 2 == 0 ? 40 : 12);
+      harness.StepFor(std::chrono::minutes(1));
     }
-    CHECK(world.Planner().figures().moves <= 4);
+    CHECK(harness.Planner().figures().moves <= 4);
   }
 
   SECTION("but not beyond the quota of its team") {
-    pool_story limited(7);
-    limited.Ask("appeals", 40);
-    limited.Ask("intake", 12);
+    pool_planner_harness limited(7);
+    limited.SetDemand("appeals", 40);
+    limited.SetDemand("intake", 12);
     limited.AddVms("appeals", 5);
     limited.AddVms("intake", 19);
     limited.StepFor(std::chrono::minutes(30));
@@ -146,45 +146,45 @@
   // All VMs of zone-0 vanish. The spare VMs of both pools were held for this
   // and carry the load. Moves now would take from the other pool what it needs,
   // and would have to be undone an hour later.
-  pool_story world;
-  world.Ask("appeals", 40);
-  world.Ask("intake", 40);
-  world.AddVms("appeals", 9);
-  world.AddVms("intake", 9);
-  world.StepFor(std::chrono::minutes(20));
-  const std::vector<vm_listing> all = world.vms;
-  std::erase_if(world.vms,
+  pool_planner_harness harness;
+  harness.SetDemand("appeals", 40);
+  harness.SetDemand("intake", 40);
+  harness.AddVms("appeals", 9);
+  harness.AddVms("intake", 9);
+  harness.StepFor(std::chrono::minutes(20));
+  const std::vector<vm_listing> all = harness.vms;
+  std::erase_if(harness.vms,
                 [](const auto& vm) { return vm.zone == zone_id("zone-0"); });
-  world.StepFor(std::chrono::minutes(30));
-  CHECK(world.state.vms.size() == 12);
-  CHECK(world.Planner().figures().moves == 0);
-  CHECK(world.Planner().figures().lack == 0);
-
-  world.vms = all;
-  world.StepFor(std::chrono::minutes(30));
-  CHECK(world.state.vms.size() == 18);
-  CHECK(world.CountIn("appeals") == 9);
-  CHECK(world.Planner().figures().moves == 0);
+  harness.StepFor(std::chrono::minutes(30));
+  CHECK(harness.state.vms.size() == 12);
+  CHECK(harness.Planner().figures().moves == 0);
+  CHECK(harness.Planner().figures().shortage == 0);
+
+  harness.vms = all;
+  harness.StepFor(std::chrono::minutes(30));
+  CHECK(harness.state.vms.size() == 18);
+  CHECK(harness.CountIn("appeals") == 9);
+  CHECK(harness.Planner().figures().moves == 0);
 }
 
 TEST_CASE("The platform's list can't be read") {
   // The list is as old as the outage of the store. VMs that are missing from an
   // old list are not forgotten, and new ones are not assigned on its word.
-  pool_story world;
-  world.Ask("intake", 12);
-  world.AddVms("intake", 6);
-  world.StepFor(std::chrono::minutes(1));
+  pool_planner_harness harness;
+  harness.SetDemand("intake", 12);
+  harness.AddVms("intake", 6);
+  harness.StepFor(std::chrono::minutes(1));
   planner fresh;
-  const fleet_state state = world.state;
+  const fleet_state state = harness.state;
   const std::vector<vm_listing> none;
-  planner_inputs inputs(state, none, world.tasks);
+  planner_inputs inputs(state, none, harness.tasks);
   inputs.holds_lease = true;
   inputs.epoch = state.lease.epoch;
-  inputs.listed_at = world.now;
+  inputs.listed_at = harness.now;
   effects out;
   for (int i = 0; i < 60; ++i) {
-    world.now += std::chrono::minutes(1);
-    fresh.OnTick(inputs, world.now, out);
+    harness.now += std::chrono::minutes(1);
+    fresh.OnTick(inputs, harness.now, out);
   }
   CHECK(out.records.empty());
 }
--- a/tests/core/fleet/wave_planner_property_test.cc
+++ b/tests/core/fleet/wave_planner_property_test.cc
@@ -13,9 +13,9 @@
 constexpr int kVmsPerPool = 9;
 
 /// Two services with nine VMs each under a wave, and random faults.
-class stormy_world : public planner_harness {
+class faulty_wave_harness : public planner_harness {
  public:
-  explicit stormy_world(std::uint64_t seed) : random_(seed) {
+  explicit faulty_wave_harness(std::uint64_t seed) : random_(seed) {
     configuration targets;
     for (const pool_id& pool : kPools) {
       targets.pools.push_back({pool, team_id(), 0});
@@ -39,8 +39,8 @@
   }
 
   /// One random fault, or the end of one.
-  void Disturb() {
-    switch (Draw(8)) {
+  void InjectFault() {
+    switch (Random(8)) {
       case 0:
         ReplacePlanner();
         break;
@@ -57,17 +57,17 @@
         LoseVm();
         break;
       case 5:
-        budgets[class_name("intake")] = {0.3, Draw(2) == 0 ? 3.0 : 0.2};
+        budgets[class_name("intake")] = {0.3, Random(2) == 0 ? 3.0 : 0.2};
         break;
       case 6:
         reported_offset = state.offset;
         break;
       default:
-        Calm();
+        ClearFaults();
     }
   }
 
-  void Calm() {
+  void ClearFaults() {
     log_is_out = false;
     in_flight.clear();
     stuck.clear();
@@ -77,13 +77,14 @@
     lost_.clear();
   }
 
-  std::uint64_t Draw(std::uint64_t count) { return random_() % count; }
+  std::uint64_t Random(std::uint64_t count) { return random_() % count; }
 
  private:
-  const vm_id& AnyVm() { return vms[Draw(vms.size())].vm; }
+  const vm_id& AnyVm() { return vms[Random(vms.size())].vm; }
 
   void LoseVm() {
-    const auto vm = vms.begin() + static_cast<std::ptrdiff_t>(Draw(vms.size()));
+    const auto vm =
+        vms.begin() + static_cast<std::ptrdiff_t>(Random(vms.size()));
     if (state.vms.contains(vm->vm) &&
         state.vms.at(vm->vm).phase != vm_phase::kServing) {
       return;
@@ -130,18 +131,20 @@
   // rebooted twice; once the faults are over the wave ends.
   const std::uint64_t seed = GENERATE(range(1, 21));
   CAPTURE(seed);
-  stormy_world world(seed);
+  faulty_wave_harness harness(seed);
   for (int i = 0; i < 60; ++i) {
-    world.Disturb();
-    world.StepFor(std::chrono::seconds(5 + world.Draw(60)));
+    harness.InjectFault();
+    harness.StepFor(std::chrono::seconds(5 + harness.Random(60)));
   }
-  world.Calm();
-  REQUIRE(world.StepUntil([&] {
-    return world.state.waves.at(kWave).state == wave_state::kFinished;
+  harness.ClearFaults();
+  REQUIRE(harness.StepUntil([&] {
+    return harness.state.waves.at(kWave).state == wave_state::kFinished;
   }));
   // A VM that was forgotten while it was lost may get its pool after that.
-  CHECK(world.StepUntil(
-      [&] { return world.CountPhase(vm_phase::kServing) == world.vms.size(); },
+  CHECK(harness.StepUntil(
+      [&] {
+        return harness.CountPhase(vm_phase::kServing) == harness.vms.size();
+      },
       std::chrono::minutes(1)));
 }
 
--- a/tests/core/fleet/wave_planner_test.cc
+++ b/tests/core/fleet/wave_planner_test.cc
@@ -13,9 +13,9 @@
 
 /// One service on one pool with four VMs in each of three zones. 40 busy slots
 /// of 96 leave the wave room for some VMs at once.
-class wave_story : public planner_harness {
+class wave_planner_harness : public planner_harness {
  public:
-  wave_story() {
+  wave_planner_harness() {
     configuration targets;
     targets.pools = {{pool_id("casework"), team_id(), 0}};
     targets.services = {{service_name("intake"), {pool_id("casework")}}};
@@ -34,7 +34,7 @@
     }
     StepFor(std::chrono::minutes(2));
     Apply(start_wave{kWave, {pool_id("casework")}, {}});
-    after_step = [this] { Watch(); };
+    after_step = [this] { RecordExtremes(); };
   }
 
   std::size_t Serving() const {
@@ -70,11 +70,11 @@
     lost_.clear();
   }
 
-  std::size_t least_serving = kVms;
-  std::size_t most_zones_down = 0;
+  std::size_t min_serving = kVms;
+  std::size_t max_zones_down = 0;
 
  private:
-  void Watch() {
+  void RecordExtremes() {
     std::set<zone_id> zones;
     for (const vm_listing& vm : vms) {
       if (state.vms.contains(vm.vm) &&
@@ -82,50 +82,50 @@
         zones.insert(vm.zone);
       }
     }
-    most_zones_down = std::max(most_zones_down, zones.size());
-    least_serving = std::min(least_serving, Serving());
+    max_zones_down = std::max(max_zones_down, zones.size());
+    min_serving = std::min(min_serving, Serving());
   }
 
   std::vector<vm_listing> lost_;
 };
 
 TEST_CASE("A wave reboots every VM of a pool") {
-  wave_story world;
+  wave_planner_harness harness;
   // 40 busy slots need seven VMs; see capacity_test.
   constexpr std::size_t kNeeded = 7;
 
   SECTION("each exactly once, one zone at a time, with enough at work") {
-    REQUIRE(world.Finishes());
-    world.CheckEachRebootedOnce();
-    CHECK(world.most_zones_down == 1);
-    CHECK(world.least_serving >= kNeeded);
-    CHECK(world.least_serving <= kVms - 4);
-    CHECK(world.CountPhase(vm_phase::kServing) == kVms);
+    REQUIRE(harness.Finishes());
+    harness.CheckEachRebootedOnce();
+    CHECK(harness.max_zones_down == 1);
+    CHECK(harness.min_serving >= kNeeded);
+    CHECK(harness.min_serving <= kVms - 4);
+    CHECK(harness.CountPhase(vm_phase::kServing) == kVms);
   }
 
   SECTION("but none while a request may be in flight at it") {
     // A caller has a request at goyang-0 when the wave drains that VM. Its
     // entry goes on reporting it. A reboot now would cut the request off.
-    world.in_flight[vm_id("goyang-0")] = 1;
-    world.StepFor(std::chrono::minutes(5));
-    CHECK(world.Vm("goyang-0").phase == vm_phase::kDraining);
-    CHECK_FALSE(world.reboots.contains(vm_id("goyang-0")));
-
-    world.in_flight.clear();
-    REQUIRE(world.Finishes());
-    world.CheckEachRebootedOnce();
+    harness.in_flight[vm_id("goyang-0")] = 1;
+    harness.StepFor(std::chrono::minutes(5));
+    CHECK(harness.Vm("goyang-0").phase == vm_phase::kDraining);
+    CHECK_FALSE(harness.reboots.contains(vm_id("goyang-0")));
+
+    harness.in_flight.clear();
+    REQUIRE(harness.Finishes());
+    harness.CheckEachRebootedOnce();
   }
 
   SECTION("but none while an entry has not applied the drain") {
     // An entry lags behind in the log and still sends to the VM. Its
     // heartbeats show nothing in flight, because it doesn't yet know that the
     // VM drains and that it has to report.
-    world.reported_offset = world.state.offset;
-    world.StepFor(std::chrono::minutes(5));
-    CHECK(world.reboots.empty());
+    harness.reported_offset = harness.state.offset;
+    harness.StepFor(std::chrono::minutes(5));
+    CHECK(harness.reboots.empty());
 
-    world.reported_offset.reset();
-    CHECK(world.Finishes());
+    harness.reported_offset.reset();
+    CHECK(harness.Finishes());
   }
 
   SECTION("but none while a lost entry's requests may still run") {
@@ -135,79 +135,79 @@
     join_entry join;
     join.who = incarnation{2};
     join.name = entry_id("entry-2");
-    world.Apply(join);
-    world.Step();
-    world.Step();
-    world.Apply(leave_entry{incarnation{2}});
-    const time_point lost = world.now;
-    REQUIRE(world.StepUntil([&] { return !world.reboots.empty(); }));
-    CHECK(world.now - lost >= planner_options().greatest_deadline);
+    harness.Apply(join);
+    harness.Step();
+    harness.Step();
+    harness.Apply(leave_entry{incarnation{2}});
+    const time_point lost = harness.now;
+    REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
+    CHECK(harness.now - lost >= planner_options().max_deadline);
   }
 
   SECTION("except one that never drains, which serves on and is reported") {
     // A request hangs at goyang-1 for hours. The wave must neither cut it off
     // nor wait for ever with the rest.
-    world.stuck = {vm_id("goyang-1")};
-    REQUIRE(world.StepUntil([&] { return world.reboots.size() == kVms - 1; }));
-    world.StepFor(std::chrono::minutes(5));
-    CHECK_FALSE(world.reboots.contains(vm_id("goyang-1")));
-    CHECK_FALSE(world.IsFinished());
-    CHECK(world.Planner().reasons().at("vm:goyang-1") ==
+    harness.stuck = {vm_id("goyang-1")};
+    REQUIRE(
+        harness.StepUntil([&] { return harness.reboots.size() == kVms - 1; }));
+    harness.StepFor(std::chrono::minutes(5));
+    CHECK_FALSE(harness.reboots.contains(vm_id("goyang-1")));
+    CHECK_FALSE(harness.IsFinished());
+    CHECK(harness.Planner().reasons().at("vm:goyang-1") ==
           "it did not drain in time and serves again");
 
-    world.stuck.clear();
-    REQUIRE(world.Finishes());
-    world.CheckEachRebootedOnce();
-    CHECK(world.most_zones_down == 1);
+    harness.stuck.clear();
+    REQUIRE(harness.Finishes());
+    harness.CheckEachRebootedOnce();
+    CHECK(harness.max_zones_down == 1);
   }
 }
 
 TEST_CASE("A wave comes while nobody asks for a service") {
   // It is night and the one zone of the pool is idle. A wave that takes all its
   // VMs at once leaves the first caller of the morning with nobody to answer.
-  planner_harness world;
+  planner_harness harness;
   configuration targets;
   targets.pools = {{pool_id("casework"), team_id(), 0}};
   targets.services = {{service_name("intake"), {pool_id("casework")}}};
-  world.Apply(publish_configuration{targets, 0});
-  world.demand[service_name("intake")] = {0, duration()};
+  harness.Apply(publish_configuration{targets, 0});
+  harness.demand[service_name("intake")] = {0, duration()};
   for (int i = 0; i < 5; ++i) {
-    world.AddVm("vm-" + std::to_string(i), "suwon", "rack", "casework");
+    harness.AddVm("vm-" + std::to_string(i), "suwon", "rack", "casework");
   }
-  world.StepFor(std::chrono::minutes(2));
-  world.Apply(start_wave{kWave, {pool_id("casework")}, {}});
-  std::size_t least_serving = 5;
-  world.after_step = [&] {
-    least_serving =
-        std::min(least_serving, world.CountPhase(vm_phase::kServing));
+  harness.StepFor(std::chrono::minutes(2));
+  harness.Apply(start_wave{kWave, {pool_id("casework")}, {}});
+  std::size_t min_serving = 5;
+  harness.after_step = [&] {
+    min_serving = std::min(min_serving, harness.CountPhase(vm_phase::kServing));
   };
-  REQUIRE(world.StepUntil([&] {
-    return world.state.waves.at(kWave).state == wave_state::kFinished;
+  REQUIRE(harness.StepUntil([&] {
+    return harness.state.waves.at(kWave).state == wave_state::kFinished;
   }));
-  CHECK(least_serving == 3);
+  CHECK(min_serving == 3);
 }
 
 TEST_CASE("A failure takes the slack of a wave") {
-  wave_story world;
-  REQUIRE(world.StepUntil([&] { return !world.reboots.empty(); }));
+  wave_planner_harness harness;
+  REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
 
   SECTION("by the loss of another zone") {
     // Goyang is in maintenance when Suwon goes out with all its VMs. Four VMs
     // are at work where seven are needed. Each further drain would make it
     // worse, so the wave lets the drained go back to work and waits.
-    world.LoseZone("suwon");
-    REQUIRE(world.StepUntil(
-        [&] { return world.WaveState() == wave_state::kPaused; },
+    harness.LoseZone("suwon");
+    REQUIRE(harness.StepUntil(
+        [&] { return harness.WaveState() == wave_state::kPaused; },
         std::chrono::seconds(5)));
-    CHECK(IsOwnPause(world.state.waves.at(kWave)));
-    const std::size_t begun = world.reboots.size();
-    world.StepFor(std::chrono::seconds(50));
-    CHECK(world.reboots.size() == begun);
-    CHECK(world.CountPhase(vm_phase::kDraining) == 0);
-
-    world.ReturnZone();
-    REQUIRE(world.Finishes());
-    world.CheckEachRebootedOnce();
+    CHECK(IsAutoPause(harness.state.waves.at(kWave)));
+    const std::size_t begun = harness.reboots.size();
+    harness.StepFor(std::chrono::seconds(50));
+    CHECK(harness.reboots.size() == begun);
+    CHECK(harness.CountPhase(vm_phase::kDraining) == 0);
+
+    harness.ReturnZone();
+    REQUIRE(harness.Finishes());
+    harness.CheckEachRebootedOnce();
   }
 }
 
@@ -215,101 +215,102 @@
   // The VM is drained and will not be rebooted. It must not count as visited,
   // and once the operator gives the wave up it has to work again; its runner
   // still refuses work until it is told otherwise.
-  wave_story world;
-  world.unbootable = {vm_id("goyang-0")};
-  REQUIRE(world.StepUntil([&] { return world.reboots.size() >= kVms - 1; }));
-  world.StepFor(std::chrono::minutes(30));
-  CHECK(world.Vm("goyang-0").phase == vm_phase::kRebooting);
-  CHECK_FALSE(world.IsFinished());
-
-  world.Apply(set_wave_state{0, kWave, world.state.waves.at(kWave).version,
-                             wave_state::kCancelled, ""});
-  REQUIRE(world.StepUntil(
-      [&] { return world.CountPhase(vm_phase::kServing) == kVms; },
+  wave_planner_harness harness;
+  harness.reboot_refusing = {vm_id("goyang-0")};
+  REQUIRE(
+      harness.StepUntil([&] { return harness.reboots.size() >= kVms - 1; }));
+  harness.StepFor(std::chrono::minutes(30));
+  CHECK(harness.Vm("goyang-0").phase == vm_phase::kRebooting);
+  CHECK_FALSE(harness.IsFinished());
+
+  harness.Apply(set_wave_state{0, kWave, harness.state.waves.at(kWave).version,
+                               wave_state::kCancelled, ""});
+  REQUIRE(harness.StepUntil(
+      [&] { return harness.CountPhase(vm_phase::kServing) == kVms; },
       std::chrono::minutes(5)));
-  world.Step();
-  CHECK(world.acted.contains(world.Vm("goyang-0").operation));
+  harness.Step();
+  CHECK(harness.executed.contains(harness.Vm("goyang-0").operation));
 }
 
 TEST_CASE("A budget burns during a wave") {
   // Callers of petitions are refused more often than their budget allows. The
   // wave can't know if it is the cause; it stops taking VMs until that is over.
-  wave_story world;
-  REQUIRE(world.StepUntil([&] { return !world.reboots.empty(); }));
-  world.budgets[class_name("petitions")] = {0.4, 3.0};
-  REQUIRE(
-      world.StepUntil([&] { return world.WaveState() == wave_state::kPaused; },
-                      std::chrono::seconds(5)));
-  world.StepFor(std::chrono::minutes(2));
-  const std::size_t begun = world.reboots.size();
-  world.StepFor(std::chrono::minutes(10));
-  CHECK(world.reboots.size() == begun);
-  CHECK(world.CountPhase(vm_phase::kServing) == kVms);
-
-  world.budgets[class_name("petitions")] = {0.4, 0.5};
-  REQUIRE(world.Finishes());
-  world.CheckEachRebootedOnce();
+  wave_planner_harness harness;
+  REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
+  harness.budgets[class_name("petitions")] = {0.4, 3.0};
+  REQUIRE(harness.StepUntil(
+      [&] { return harness.WaveState() == wave_state::kPaused; },
+      std::chrono::seconds(5)));
+  harness.StepFor(std::chrono::minutes(2));
+  const std::size_t begun = harness.reboots.size();
+  harness.StepFor(std::chrono::minutes(10));
+  CHECK(harness.reboots.size() == begun);
+  CHECK(harness.CountPhase(vm_phase::kServing) == kVms);
+
+  harness.budgets[class_name("petitions")] = {0.4, 0.5};
+  REQUIRE(harness.Finishes());
+  harness.CheckEachRebootedOnce();
 }
 
 TEST_CASE("An operator steers a wave") {
-  wave_story world;
-  REQUIRE(world.StepUntil([&] { return !world.reboots.empty(); }));
+  wave_planner_harness harness;
+  REQUIRE(harness.StepUntil([&] { return !harness.reboots.empty(); }));
   const auto set_state = [&](wave_state to) {
-    return world.Apply(
-        set_wave_state{0, kWave, world.state.waves.at(kWave).version, to, ""});
+    return harness.Apply(set_wave_state{
+        0, kWave, harness.state.waves.at(kWave).version, to, ""});
   };
 
   SECTION("and cancels it midway") {
     set_state(wave_state::kCancelled);
-    REQUIRE(world.StepUntil(
-        [&] { return world.CountPhase(vm_phase::kServing) == kVms; }));
-    const std::size_t begun = world.reboots.size();
-    world.StepFor(std::chrono::minutes(10));
-    CHECK(world.reboots.size() == begun);
+    REQUIRE(harness.StepUntil(
+        [&] { return harness.CountPhase(vm_phase::kServing) == kVms; }));
+    const std::size_t begun = harness.reboots.size();
+    harness.StepFor(std::chrono::minutes(10));
+    CHECK(harness.reboots.size() == begun);
     CHECK(begun < kVms);
   }
 
   SECTION("and pauses it until told otherwise") {
     set_state(wave_state::kPaused);
-    world.StepFor(std::chrono::minutes(10));
-    const std::size_t begun = world.reboots.size();
+    harness.StepFor(std::chrono::minutes(10));
+    const std::size_t begun = harness.reboots.size();
     CHECK(begun < kVms);
-    CHECK(world.CountPhase(vm_phase::kServing) == kVms);
-    world.StepFor(std::chrono::minutes(10));
-    CHECK(world.reboots.size() == begun);
+    CHECK(harness.CountPhase(vm_phase::kServing) == kVms);
+    harness.StepFor(std::chrono::minutes(10));
+    CHECK(harness.reboots.size() == begun);
 
     set_state(wave_state::kRunning);
-    REQUIRE(world.Finishes());
-    world.CheckEachRebootedOnce();
+    REQUIRE(harness.Finishes());
+    harness.CheckEachRebootedOnce();
   }
 }
 
 TEST_CASE("A planner is lost during a wave") {
-  wave_story world;
+  wave_planner_harness harness;
 
   SECTION("again and again, also between a record and its operation") {
     // The planner writes that a VM reboots and dies before it sends the
     // operation, or before it hears the end. The next one has only the fold; it
     // sends the operation of the record again under the same id.
     std::set<operation_id> survived;
-    world.StepUntil([&] {
-      for (const auto& [id, vm] : world.state.vms) {
+    harness.StepUntil([&] {
+      for (const auto& [id, vm] : harness.state.vms) {
         const bool is_written = vm.phase == vm_phase::kRebooting &&
-                                !world.acted.contains(vm.operation);
+                                !harness.executed.contains(vm.operation);
         if (is_written && survived.insert(vm.operation).second) {
-          world.ReplacePlanner();
+          harness.ReplacePlanner();
         } else if (vm.phase == vm_phase::kRebooting &&
                    survived.insert(operation_id("sent " + vm.operation.value()))
                        .second) {
-          world.ReplacePlanner();
+          harness.ReplacePlanner();
         }
       }
-      return world.IsFinished();
+      return harness.IsFinished();
     });
     CHECK(survived.size() >= kVms);
-    REQUIRE(world.IsFinished());
-    world.CheckEachRebootedOnce();
-    CHECK(world.most_zones_down == 1);
+    REQUIRE(harness.IsFinished());
+    harness.CheckEachRebootedOnce();
+    CHECK(harness.max_zones_down == 1);
   }
 
   SECTION("and wakes up after another has taken over") {
@@ -317,13 +318,13 @@
     // the lease is gone. Its records carry the old epoch and must change
     // nothing, or two planners would drain VMs of two zones.
     planner frozen;
-    planner_inputs inputs = world.Inputs();
-    world.ReplacePlanner();
+    planner_inputs inputs = harness.Inputs();
+    harness.ReplacePlanner();
     effects late;
-    frozen.OnTick(inputs, world.now, late);
+    frozen.OnTick(inputs, harness.now, late);
     REQUIRE_FALSE(late.records.empty());
     for (const record_body& body : late.records) {
-      CHECK(world.Apply(body).outcome == fold_outcome::kConflict);
+      CHECK(harness.Apply(body).outcome == fold_outcome::kConflict);
     }
   }
 }
--- a/tests/core/fleet/wave_start_test.cc
+++ b/tests/core/fleet/wave_start_test.cc
@@ -11,22 +11,22 @@
 // pool is still empty. The wave must not be taken for finished: its VMs are
 // listed, and would never be rebooted.
 TEST_CASE("A wave is started before the first VM has a pool") {
-  planner_harness story;
+  planner_harness harness;
   configuration targets;
   targets.pools = {{pool_id("casework"), team_id(), 0}};
-  story.Apply(publish_configuration{targets, 0});
-  story.Apply(start_wave{wave_id("kernel"), {pool_id("casework")}, {}});
+  harness.Apply(publish_configuration{targets, 0});
+  harness.Apply(start_wave{wave_id("kernel"), {pool_id("casework")}, {}});
   for (const std::string zone : {"goyang", "suwon"}) {
-    story.AddVm(zone + "-1", zone, zone + "-rack", "casework");
+    harness.AddVm(zone + "-1", zone, zone + "-rack", "casework");
   }
 
-  const bool finished = story.StepUntil([&] {
-    return story.state.waves.at(wave_id("kernel")).state ==
+  const bool finished = harness.StepUntil([&] {
+    return harness.state.waves.at(wave_id("kernel")).state ==
            wave_state::kFinished;
   });
 
   CHECK(finished);
-  CHECK(story.reboots.size() == 2);
+  CHECK(harness.reboots.size() == 2);
 }
 
 }  // namespace
--- a/tests/core/jobs/arrival_meter_test.cc
+++ b/tests/core/jobs/arrival_rate_monitor_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/arrival_meter.h"
+#include "plantainhead/core/jobs/arrival_rate_monitor.h"
 
 #include <catch2/catch.hpp>
 
@@ -30,26 +30,26 @@
 // job may wait about that long before it is late. What counts is how soon after
 // the first job the pool asks for all that the turn will take.
 TEST_CASE("A queue's turn is noticed by its first jobs") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
   for (int i = 0; i < 5; ++i) {
     now += seconds(3);
-    meter.Note(ShortJob(), now);
-    CHECK(meter.RisingDemand(now) == resources());
+    monitor.RecordArrival(ShortJob(), now);
+    CHECK(monitor.RisingDemand(now) == resources());
   }
   now += seconds(1);
   const time_point began = now;
   const auto pass_turn = [&](milliseconds time) {
     for (; now < began + time; now += milliseconds(33)) {
-      meter.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
   };
 
   SECTION("Within 0.2 s half of what it takes is asked for, in 0.4 s all") {
     pass_turn(milliseconds(200));
-    CHECK(meter.RisingDemand(now).cpu_millis >= 81000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 81000);
     pass_turn(milliseconds(400));
-    CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 155000);
 
     SECTION("where what waits and runs would have asked for a quarter") {
       pool_load load;
@@ -59,7 +59,7 @@
       load.used = {65000, 0, 0};
       const std::uint32_t by_backlog =
           pool_sizer(sizer_settings()).Update(load, false, now);
-      load.rising = meter.RisingDemand(now);
+      load.rising = monitor.RisingDemand(now);
       const std::uint32_t by_rate =
           pool_sizer(sizer_settings()).Update(load, false, now);
       CHECK(by_backlog == 7);
@@ -72,53 +72,53 @@
   SECTION("Where jobs come fast, all is asked for within 0.1 s") {
     for (int i = 1; i <= 20; ++i) {
       now += milliseconds(5);
-      meter.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
-    CHECK(meter.RisingDemand(now).cpu_millis >= 1'000'000);
+    CHECK(monitor.RisingDemand(now).cpu_millis >= 1'000'000);
   }
 
   SECTION("Once it is under way, what waits tells enough") {
     pass_turn(milliseconds(2500));
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("Lasting steps bring no rate") {
-    job_spec lasting = ShortJob();
-    lasting.steps[0].lasting = true;
+    job_spec long_running = ShortJob();
+    long_running.steps[0].long_running = true;
     for (int i = 0; i < 20; ++i) {
-      meter.Note(lasting, now);
+      monitor.RecordArrival(long_running, now);
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 }
 
 // Guards against a turn that isn't noticed: jobs that were handed in seconds
 // before count for the calm before it.
 TEST_CASE("A rise is noticed also after jobs that were read late") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
-  meter.Note(ShortJob(), now);
+  monitor.RecordArrival(ShortJob(), now);
   for (int i = 0; i < 40; ++i) {
-    meter.Note(ShortJob(), now, milliseconds(2500));
+    monitor.RecordArrival(ShortJob(), now, milliseconds(2500));
   }
   now += milliseconds(1500);
   for (int i = 0; i < 12; ++i) {
     now += milliseconds(33);
-    meter.Note(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
   }
-  CHECK(meter.RisingDemand(now).cpu_millis >= 155000);
+  CHECK(monitor.RisingDemand(now).cpu_millis >= 155000);
 }
 
 TEST_CASE("Jobs that come evenly, or two at once, are no rise") {
-  arrival_meter meter{arrival_settings()};
+  arrival_rate_monitor monitor{arrival_rate_settings()};
   time_point now{std::chrono::hours(1)};
 
   SECTION("ten a second, for long") {
     for (int i = 0; i < 60; ++i) {
       now += milliseconds(100);
-      meter.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
       if (i > 30) {
-        CHECK(meter.RisingDemand(now) == resources());
+        CHECK(monitor.RisingDemand(now) == resources());
       }
     }
   }
@@ -131,12 +131,12 @@
     large.steps[0].task_count = 32;
     for (int i = 0; i < 120; ++i) {
       now += milliseconds(50);
-      meter.Note(i % 40 == 39 ? large : ShortJob(), now);
+      monitor.RecordArrival(i % 40 == 39 ? large : ShortJob(), now);
       if (i % 40 == 39) {
-        meter.Note(large, now);
+        monitor.RecordArrival(large, now);
       }
       if (i > 60) {
-        CHECK(meter.RisingDemand(now) == resources());
+        CHECK(monitor.RisingDemand(now) == resources());
       }
     }
   }
@@ -147,26 +147,26 @@
   SECTION("ten a second that are read together") {
     for (int i = 0; i < 40; ++i) {
       now += milliseconds(100);
-      meter.Note(ShortJob(), now);
+      monitor.RecordArrival(ShortJob(), now);
     }
     now += milliseconds(1500);
     for (int i = 0; i < 15; ++i) {
-      meter.Note(ShortJob(), now, i * milliseconds(100));
+      monitor.RecordArrival(ShortJob(), now, i * milliseconds(100));
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("many that are older than what it looks at") {
     for (int i = 0; i < 40; ++i) {
-      meter.Note(ShortJob(), now, seconds(4));
+      monitor.RecordArrival(ShortJob(), now, seconds(4));
     }
-    CHECK(meter.RisingDemand(now) == resources());
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 
   SECTION("two after a calm") {
-    meter.Note(ShortJob(), now);
-    meter.Note(ShortJob(), now);
-    CHECK(meter.RisingDemand(now) == resources());
+    monitor.RecordArrival(ShortJob(), now);
+    monitor.RecordArrival(ShortJob(), now);
+    CHECK(monitor.RisingDemand(now) == resources());
   }
 }
 
--- a/tests/core/jobs/crashing_task_test.cc
+++ b/tests/core/jobs/crashing_task_test.cc
@@ -16,14 +16,14 @@
 using std::chrono::seconds;
 
 // Once three VMs have crashed under a task it may start twice more.
-constexpr std::size_t kMostStarts = 5;
+constexpr std::size_t kMaxStarts = 5;
 constexpr int kRounds = 10;
 constexpr const char* kCrashes = "crashes";
 
 /// One VM that each start of a task crashes, and that comes back every time.
 class crashing_vm {
  public:
-  crashing_vm() { Begin({}, {}); }
+  crashing_vm() { StartOwner({}, {}); }
 
   /// Orders what is due. The VM answers, or is gone before it does.
   std::vector<start_order> Start(bool is_answered) {
@@ -42,7 +42,7 @@
     driver_->Pass(seconds(3));
     driver_->Starts();
     driver_->scheduler.OnReplaced(Id(), driver_->now);
-    BringNextLife();
+    AddNextIncarnation();
   }
 
   /// The owner is replaced after the VM has crashed and before its next life
@@ -50,10 +50,10 @@
   void CrashAndReplaceOwner() {
     driver_->scheduler.OnHoldUnanswered(Id());
     Store();
-    ++life_;
+    ++incarnation_;
     ReplaceOwner();
     driver_->Pass(seconds(6));
-    Bring();
+    Register();
   }
 
   /// The VM falls silent, and its next life comes from somewhere else after
@@ -62,7 +62,7 @@
     driver_->scheduler.OnHoldUnanswered(Id());
     driver_->Pass(seconds(5));
     driver_->Starts();
-    BringNextLife();
+    AddNextIncarnation();
   }
 
   /// Another owner goes on with what is recorded.
@@ -70,9 +70,9 @@
     Store();
     const time_point now = driver_->now + seconds(1);
     takeover_bounds bounds;
-    bounds.fresh_from = now;
-    bounds.others_lapsed_at = now + seconds(5);
-    Begin(bounds, now);
+    bounds.exclusive_from = now;
+    bounds.default_lease_end = now + seconds(5);
+    StartOwner(bounds, now);
   }
 
   job_phase Phase() {
@@ -81,14 +81,14 @@
   }
 
  private:
-  vm_id Id() const { return "vm-" + std::to_string(life_); }
+  vm_id Id() const { return "vm-" + std::to_string(incarnation_); }
 
-  void BringNextLife() {
-    ++life_;
-    Bring();
+  void AddNextIncarnation() {
+    ++incarnation_;
+    Register();
   }
 
-  void Bring() {
+  void Register() {
     driver_->scheduler.UpdateVms({Vm(Id())}, driver_->now);
     driver_->List(Id(), {}, {});
     Store();
@@ -103,19 +103,19 @@
     }
   }
 
-  void Begin(const takeover_bounds& bounds, time_point now) {
+  void StartOwner(const takeover_bounds& bounds, time_point now) {
     driver_ = std::make_unique<scheduler_driver>(bounds);
     if (now != time_point()) {
       driver_->now = now;
     }
     driver_->Add(Job("job", {Step(1)}));
     driver_->scheduler.RestoreJob("job", progress_);
-    Bring();
+    Register();
   }
 
   std::unique_ptr<scheduler_driver> driver_;
   job_progress progress_;
-  int life_ = 1;
+  int incarnation_ = 1;
 };
 
 // Seen by callers of a site under load: of their jobs many were late or not
@@ -168,7 +168,7 @@
     }
   }
 
-  CHECK(starts <= kMostStarts);
+  CHECK(starts <= kMaxStarts);
   CHECK(vm.Phase() == job_phase::kFailed);
 }
 
@@ -188,7 +188,8 @@
 // what another task does to the VM. Returns what went wrong in a pool in which
 // every fifth job has a task that crashes its VMs. Jobs that were given up are
 // right only if VMs crashed under them; the others complete.
-std::vector<std::string> PlayCrashes(std::uint32_t seed, model_faults faults) {
+std::vector<std::string> RunCrashingTasks(std::uint32_t seed,
+                                          model_faults faults) {
   faults.crashing_payload = kCrashes;
   pool_model model(seed, faults, 6);
   model.Run(milliseconds(500));
@@ -198,9 +199,9 @@
     model.Submit(SmallJob(i, i % kEvery == 0), Policy(50));
     model.Run(milliseconds(300));
   }
-  model_faults calm;
-  calm.crashing_payload = kCrashes;
-  model.SetFaults(calm);
+  model_faults no_faults;
+  no_faults.crashing_payload = kCrashes;
+  model.SetFaults(no_faults);
   model.Run(seconds(60));
   std::vector<std::string> violations = model.violations;
   for (int i = 0; i < kJobs; ++i) {
@@ -217,7 +218,7 @@
   SECTION("by one owner") {
     CHECK(rc::check([] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, {}) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, {}) == std::vector<std::string>());
     }));
   }
 
@@ -227,7 +228,7 @@
     faults.silence_every = seconds(3);
     CHECK(rc::check([&] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, faults) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, faults) == std::vector<std::string>());
     }));
   }
 
@@ -236,7 +237,7 @@
     faults.takeover_every = seconds(4);
     CHECK(rc::check([&] {
       const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-      RC_ASSERT(PlayCrashes(seed, faults) == std::vector<std::string>());
+      RC_ASSERT(RunCrashingTasks(seed, faults) == std::vector<std::string>());
     }));
   }
 }
--- a/tests/core/jobs/fleet_size_test.cc
+++ b/tests/core/jobs/fleet_size_test.cc
@@ -24,7 +24,7 @@
 
 TEST_CASE("A pool wants VMs for what runs and what waits") {
   sizer_settings settings;
-  settings.fill = 1.0;
+  settings.fill_ratio = 1.0;
   settings.reserve = 1;
   pool_sizer sizer(settings);
   time_point now{std::chrono::hours(1)};
@@ -62,13 +62,13 @@
 // are on their way to it.
 TEST_CASE("A rise counts until its VMs can be there") {
   sizer_settings settings;
-  settings.fill = 1.0;
+  settings.fill_ratio = 1.0;
   settings.reserve = 1;
   pool_sizer sizer(settings);
   time_point now{std::chrono::hours(1)};
   pool_load load = Load(1000, 2000);
   load.rising.cpu_millis = 60000;
-  load.rising_jobs = settings.least_remembered_jobs;
+  load.rising_jobs = settings.min_held_rise_jobs;
   CHECK(sizer.Update(load, true, now) == 7);
   now += seconds(2);
   CHECK(sizer.Update(Load(1000, 2000), true, now) == 7);
@@ -96,7 +96,7 @@
   const time_point now{std::chrono::hours(1)};
   pool_load load = Load(1000, 2000);
   load.rising.cpu_millis = 60000;
-  load.rising_jobs = sizer_settings().least_remembered_jobs - 1;
+  load.rising_jobs = sizer_settings().min_held_rise_jobs - 1;
   const std::uint32_t risen = sizer.Update(load, true, now);
   CHECK(sizer.Update(Load(1000, 2000), true, now + seconds(2)) < risen);
 }
@@ -271,7 +271,7 @@
   const time_point begin{std::chrono::hours(1)};
   balancer.UpdateHosts({Host("h1", "first", "vm-1")}, {"spare"}, begin);
   balancer.UpdateOffers({"vm-1"});
-  balancer.UpdateScarce(true);
+  balancer.UpdateShortage(true);
   CHECK(balancer.Plan({}, begin).empty());
   CHECK(balancer.Plan({}, begin + milliseconds(2000)).empty());
 
@@ -289,14 +289,14 @@
   }
 
   SECTION("nor when none lacks any more") {
-    balancer.UpdateScarce(false);
+    balancer.UpdateShortage(false);
     CHECK(balancer.Plan({}, begin + milliseconds(2100)).size() == 1);
   }
 }
 
 /// Returns how many hosts are visited when a pool gives one VM away and another
 /// pool gets it, in a fleet with `count` more hosts in each of them.
-std::uint64_t VisitsBeside(int count) {
+std::uint64_t CountVisitedHosts(int count) {
   fleet_balancer balancer{balancer_settings()};
   const time_point now{std::chrono::hours(1)};
   std::vector<fleet_host> hosts = {Host("given", "first", "vm-given")};
@@ -314,16 +314,16 @@
   const auto moves = balancer.Plan({}, now);
   REQUIRE(moves.size() == 1);
   balancer.OnMoveAnswer(moves[0].host, true, true, now);
-  CHECK(balancer.Figures({}).moving == 1);
+  CHECK(balancer.Stats({}).moving == 1);
   return balancer.visited_hosts() - before;
 }
 
 // Guards against an owner of the fleet that looks at all hosts for each one
 // that moves, and has no time left while many do.
 TEST_CASE("A move doesn't make the owner of the fleet look at all hosts") {
-  const std::uint64_t in_small_fleet = VisitsBeside(25);
+  const std::uint64_t in_small_fleet = CountVisitedHosts(25);
   CHECK(in_small_fleet > 0);
-  CHECK(VisitsBeside(550) <= in_small_fleet);
+  CHECK(CountVisitedHosts(550) <= in_small_fleet);
 }
 
 // Guards against a host that counts for its former pool, or as free, after a
@@ -344,16 +344,16 @@
   by_list.UpdateWanted({{"a", 2}, {"b", 2}});
   by_list.UpdateOffers({"vm-a1"});
   by_list.UpdateClosed({"vm-a2"});
-  CHECK(by_one.Figures({}) == by_list.Figures({}));
-  CHECK(by_one.Figures({}).free == 2);
+  CHECK(by_one.Stats({}) == by_list.Stats({}));
+  CHECK(by_one.Stats({}).free == 2);
 
   SECTION("and so does taking them back") {
     by_one.NoteOffer("vm-a1", false);
     by_one.NoteClosed("vm-a2", false);
     by_list.UpdateOffers({});
     by_list.UpdateClosed({});
-    CHECK(by_one.Figures({}) == by_list.Figures({}));
-    CHECK(by_one.Figures({}).missing == 1);
+    CHECK(by_one.Stats({}) == by_list.Stats({}));
+    CHECK(by_one.Stats({}).missing == 1);
   }
 }
 
--- a/tests/core/jobs/host_order_queue_test.cc
+++ b/tests/core/jobs/host_order_queue_test.cc
@@ -23,7 +23,7 @@
 // connections together until they were too old to be sent, and were recorded
 // and given up again and again.
 TEST_CASE("No more orders are recorded than can be sent soon") {
-  host_order_queue queue({.most_moves = 10, .most_services = 4});
+  host_order_queue queue({.max_moves = 10, .max_services = 4});
   for (int i = 0; i < 200; ++i) {
     queue.Add(service_host{7, "s" + std::to_string(i)});
   }
@@ -37,22 +37,22 @@
   CHECK(queue.Take(Always).empty());
 
   SECTION("as many follow of a kind as are over") {
-    queue.NoteOver(first.front());
-    queue.NoteOver(first.back());
+    queue.NoteFinished(first.front());
+    queue.NoteFinished(first.back());
     const std::vector<host_order> next = queue.Take(Always);
     CHECK(next.size() == 2);
     CHECK(CountMoves(next) == 1);
   }
 
   SECTION("those that are given back wait again") {
-    queue.GiveBack(first);
+    queue.Requeue(first);
     CHECK(queue.waiting() == 230);
     CHECK(queue.Take(Always).size() == 14);
   }
 }
 
 TEST_CASE("An order for a host that is held back lets others go first") {
-  host_order_queue queue({.most_moves = 1, .most_services = 1});
+  host_order_queue queue({.max_moves = 1, .max_services = 1});
   queue.Add(move_host{"held", "pool"});
   queue.Add(move_host{"free", "pool"});
   const auto taken =
--- a/tests/core/jobs/job_age_test.cc
+++ b/tests/core/jobs/job_age_test.cc
@@ -16,8 +16,8 @@
 
 takeover_bounds Bounds() {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   return bounds;
 }
 
@@ -31,14 +31,14 @@
   const time_point now{hours(500'000)};
   job_spec job;
   CHECK(AgeOf(job, now) == duration::zero());
-  job.handed_in_at = now - milliseconds(1234);
+  job.submitted_at = now - milliseconds(1234);
   CHECK(AgeOf(job, now) == milliseconds(1234));
-  job.handed_in_at = now + seconds(5);
+  job.submitted_at = now + seconds(5);
   CHECK(AgeOf(job, now) == duration::zero());
-  job.handed_in_at = now - hours(1);
-  CHECK(AgeOf(job, now) == kMostAge);
-  job.handed_in_at = time_point();
-  CHECK(AgeOf(job, now) == kMostAge);
+  job.submitted_at = now - hours(1);
+  CHECK(AgeOf(job, now) == kMaxAge);
+  job.submitted_at = time_point();
+  CHECK(AgeOf(job, now) == kMaxAge);
 }
 
 // Guards against jobs whose deadlines begin anew with each takeover: those that
@@ -107,7 +107,7 @@
 // for, since the time before its owner read it doesn't count.
 TEST_CASE("A job's result counts from when it was handed in") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.scheduler.AddJob(Job("job", {Step(1)}), Policy(), driver.now,
                           milliseconds(1500));
   const time_point handed_in = driver.now - milliseconds(1500);
--- a/tests/core/jobs/job_result_test.cc
+++ b/tests/core/jobs/job_result_test.cc
@@ -18,31 +18,31 @@
   result.arrived_at = begin;
   result.started_at = begin + milliseconds(100);
   result.deadline = begin + seconds(3);
-  result.chain = seconds(2);
+  result.critical_path = seconds(2);
   const time_point late = begin + seconds(4);
   CHECK(VerdictOf(result, result.deadline) == job_verdict::kInTime);
   CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
 
   SECTION("it waited when its first task started later than its work allows") {
     result.started_at = begin + milliseconds(1001);
-    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     result.started_at.reset();
-    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+    CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
   }
 
   SECTION("it waited when later tasks of it did for as long as it was late") {
-    result.waits.Note(wait_cause::kRoom, begin + seconds(1));
+    result.waits.SetCause(wait_cause::kCapacity, begin + seconds(1));
     SECTION("for room") {
-      result.waits.Note(std::nullopt, begin + seconds(2));
-      CHECK(VerdictOf(result, late) == job_verdict::kWaitedForRoom);
+      result.waits.SetCause(std::nullopt, begin + seconds(2));
+      CHECK(VerdictOf(result, late) == job_verdict::kWaitedForCapacity);
     }
     SECTION("mostly for the owner of its pool") {
-      result.waits.Note(wait_cause::kRecovery, begin + milliseconds(1300));
-      result.waits.Note(std::nullopt, begin + seconds(2));
+      result.waits.SetCause(wait_cause::kRecovery, begin + milliseconds(1300));
+      result.waits.SetCause(std::nullopt, begin + seconds(2));
       CHECK(VerdictOf(result, late) == job_verdict::kWaitedForOwner);
     }
     SECTION("but not when it waited for less") {
-      result.waits.Note(std::nullopt, begin + milliseconds(1900));
+      result.waits.SetCause(std::nullopt, begin + milliseconds(1900));
       CHECK(VerdictOf(result, late) == job_verdict::kRanLong);
     }
   }
@@ -70,7 +70,7 @@
   scheduler_driver driver;
   step_spec second = Step(1, 8000);
   second.depends_on = {0};
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("a", {Step(1), second}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.Add(Job("b", {Step(1, 5000)}));
@@ -94,8 +94,8 @@
       std::find_if(results.begin(), results.end(),
                    [](const job_result& result) { return result.id == "a"; });
   REQUIRE(ended != results.end());
-  CHECK(ended->waits.waited(wait_cause::kRoom) == seconds(2));
-  CHECK(VerdictOf(*ended, driver.now) == job_verdict::kWaitedForRoom);
+  CHECK(ended->waits.waited(wait_cause::kCapacity) == seconds(2));
+  CHECK(VerdictOf(*ended, driver.now) == job_verdict::kWaitedForCapacity);
 }
 
 }  // namespace
--- a/tests/core/jobs/late_end_test.cc
+++ b/tests/core/jobs/late_end_test.cc
@@ -14,7 +14,7 @@
 // next one was placed.
 TEST_CASE("An end as done counts whenever a VM tells of it") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
@@ -50,37 +50,37 @@
 
   // Guards against tasks that start after their job was shown as completed.
   SECTION("and not while the next run may yet start") {
-    scheduler_driver unsettled;
-    unsettled.Bring({Vm("vm-1"), Vm("vm-2")});
-    unsettled.Add(Job("job", {Step(1)}));
-    const run_ref run = unsettled.StartAll()[0].target;
+    scheduler_driver unresolved;
+    unresolved.Register({Vm("vm-1"), Vm("vm-2")});
+    unresolved.Add(Job("job", {Step(1)}));
+    const run_ref run = unresolved.StartAll()[0].target;
     const vm_id next = run.vm == "vm-1" ? "vm-2" : "vm-1";
-    unsettled.scheduler.OnHoldUnanswered(run.vm);
-    unsettled.Pass(seconds(5));
-    unsettled.List(next, {}, {});
-    unsettled.Starts();
-    unsettled.Store();
-    REQUIRE(unsettled.Starts().size() == 1);
+    unresolved.scheduler.OnHoldUnanswered(run.vm);
+    unresolved.Pass(seconds(5));
+    unresolved.List(next, {}, {});
+    unresolved.Starts();
+    unresolved.Store();
+    REQUIRE(unresolved.Starts().size() == 1);
     const std::vector<ended_task> done = {
         Ended(1, run.task, run.run, end_kind::kDone)};
-    unsettled.List(run.vm, {}, done);
+    unresolved.List(run.vm, {}, done);
     const run_ref unsure{next, run.task, run.run + 1};
-    unsettled.scheduler.OnStartAnswer(unsure, start_result::kUnknown,
-                                      unsettled.now);
-    CHECK(unsettled.Starts().empty());
-    REQUIRE(unsettled.stops.size() == 1);
-    for (const progress_batch& batch : unsettled.Store()) {
+    unresolved.scheduler.OnStartAnswer(unsure, start_result::kUnknown,
+                                       unresolved.now);
+    CHECK(unresolved.Starts().empty());
+    REQUIRE(unresolved.stops.size() == 1);
+    for (const progress_batch& batch : unresolved.Store()) {
       CHECK(batch.results.empty());
     }
-    CHECK(unsettled.scheduler.NextHold(run.vm, unsettled.now)
+    CHECK(unresolved.scheduler.NextHold(run.vm, unresolved.now)
               .acknowledged_through == 0);
 
     SECTION("but when that is settled") {
-      unsettled.scheduler.OnStopAnswer(unsure, true, unsettled.now);
-      unsettled.Pass(milliseconds(100));
-      unsettled.List(next, {}, {});
-      unsettled.List(run.vm, {}, done);
-      const auto batches = unsettled.Store();
+      unresolved.scheduler.OnStopAnswer(unsure, true, unresolved.now);
+      unresolved.Pass(milliseconds(100));
+      unresolved.List(next, {}, {});
+      unresolved.List(run.vm, {}, done);
+      const auto batches = unresolved.Store();
       REQUIRE_FALSE(batches.empty());
       CHECK(batches.back().jobs[0].second.phase == job_phase::kCompleted);
     }
@@ -110,13 +110,13 @@
 // another: what the earlier one shows is over.
 TEST_CASE("A listing from before the last one that was taken changes nothing") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
   const run_ref target = starts[0].target;
   driver.Pass(milliseconds(100));
-  vm_listing overtaken;
+  run_listing overtaken;
   overtaken.vm_clock = driver.now.time_since_epoch();
   overtaken.running = {Running(target.task, target.run)};
   const time_point sent_at = driver.now;
--- a/tests/core/jobs/lost_run_report_test.cc
+++ b/tests/core/jobs/lost_run_report_test.cc
@@ -13,20 +13,21 @@
 // Guards against logs that name no task of a VM that was lost.
 TEST_CASE("The runs of a lost VM are reported") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(2)}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
-  const run_ref listed = starts[0].target;
-  const run_ref unlisted = starts[1].target;
+  const run_ref reported = starts[0].target;
+  const run_ref unreported = starts[1].target;
   driver.Pass(milliseconds(100));
-  driver.List("vm-1", {Running(listed.task, 1)}, {});
+  driver.List("vm-1", {Running(reported.task, 1)}, {});
   CHECK(driver.scheduler.TakeLosses().empty());
 
   SECTION("as crashes when another life of it answers, once") {
     driver.scheduler.OnReplaced("vm-1", driver.now);
     const std::vector<lost_run> expected = {
-        {listed, loss_kind::kCrashLater}, {unlisted, loss_kind::kCrashAtStart}};
+        {reported, loss_kind::kCrashLater},
+        {unreported, loss_kind::kCrashAtStart}};
     CHECK(driver.scheduler.TakeLosses() == expected);
     CHECK(driver.scheduler.TakeLosses().empty());
     CHECK(driver.scheduler.Counts().lost_runs == 2);
@@ -37,8 +38,8 @@
     driver.Pass(seconds(5));
     driver.Starts();
     const std::vector<lost_run> expected = {
-        {listed, loss_kind::kSilenceLater},
-        {unlisted, loss_kind::kSilenceAtStart}};
+        {reported, loss_kind::kSilenceLater},
+        {unreported, loss_kind::kSilenceAtStart}};
     CHECK(driver.scheduler.TakeLosses() == expected);
 
     SECTION("and not again when another life answers later") {
@@ -48,9 +49,9 @@
   }
 
   SECTION("but for a run that the other life refused") {
-    driver.scheduler.OnStartAnswer(unlisted, start_result::kReplaced,
+    driver.scheduler.OnStartAnswer(unreported, start_result::kReplaced,
                                    driver.now);
-    const std::vector<lost_run> expected = {{listed, loss_kind::kCrashLater}};
+    const std::vector<lost_run> expected = {{reported, loss_kind::kCrashLater}};
     CHECK(driver.scheduler.TakeLosses() == expected);
   }
 }
--- a/tests/core/jobs/wave_keeper_test.cc
+++ b/tests/core/jobs/maintenance_scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/wave_keeper.h"
+#include "plantainhead/core/jobs/maintenance_scheduler.h"
 
 #include <catch2/catch.hpp>
 
@@ -25,7 +25,7 @@
   maintenance_wave wave;
   wave.number = 7;
   wave.hosts = std::move(hosts);
-  wave.most_at_once = at_once;
+  wave.max_concurrent = at_once;
   return wave;
 }
 
@@ -41,79 +41,79 @@
 }
 
 TEST_CASE("A wave empties a host, services it and ends") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1", "h2", "h3"}, 1));
-  CHECK(keeper.Plan(now).empty());
+  scheduler.AddWave(Wave({"h1", "h2", "h3"}, 1));
+  CHECK(scheduler.Plan(now).empty());
   std::vector<fleet_host> hosts = {Host("h1", "p", "a1"), Host("h2", "p", "a2"),
                                    Host("h3", "q", "a3")};
-  keeper.UpdateHosts(hosts, {}, now);
-  const auto closed = Of<close_vm>(keeper.Plan(now));
+  scheduler.UpdateHosts(hosts, {}, now);
+  const auto closed = Of<close_vm>(scheduler.Plan(now));
   REQUIRE(closed.size() == 2);
   CHECK(closed[0].vm == "a1");
   CHECK(closed[1].vm == "a3");
 
   SECTION("a host that still runs something isn't serviced") {
     now += seconds(5);
-    keeper.UpdateHosts(hosts, {}, now);
-    CHECK(Of<service_host>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts(hosts, {}, now);
+    CHECK(Of<service_host>(scheduler.Plan(now)).empty());
   }
 
-  keeper.UpdateEmpty({"a1", "a3"});
-  const auto ordered = Of<service_host>(keeper.Plan(now));
+  scheduler.UpdateEmpty({"a1", "a3"});
+  const auto ordered = Of<service_host>(scheduler.Plan(now));
   REQUIRE(ordered.size() == 1);
   CHECK(ordered[0].host == "h1");
 
   SECTION("an order without an answer counts as down and is sent again") {
-    keeper.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
-    CHECK(Of<service_host>(keeper.Plan(now)).empty());
+    scheduler.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
+    CHECK(Of<service_host>(scheduler.Plan(now)).empty());
     now += seconds(2);
-    const auto again = Of<service_host>(keeper.Plan(now));
+    const auto again = Of<service_host>(scheduler.Plan(now));
     REQUIRE(again.size() == 1);
     CHECK(again[0].host == "h1");
   }
 
   // Guards against a wave that stands still since a VM comes back under its id.
   SECTION("also when its VM begins again under the same id") {
-    keeper.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
+    scheduler.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
     now += milliseconds(100);
     hosts[0].state = host_state::kInService;
-    keeper.UpdateHosts(hosts, {}, now);
-    CHECK(Of<service_host>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts(hosts, {}, now);
+    CHECK(Of<service_host>(scheduler.Plan(now)).empty());
     now += seconds(2);
     hosts[0].state = host_state::kUp;
-    keeper.UpdateHosts(hosts, {}, now);
-    const auto actions = keeper.Plan(now);
+    scheduler.UpdateHosts(hosts, {}, now);
+    const auto actions = scheduler.Plan(now);
     CHECK(Of<release_vm>(actions).size() == 1);
     CHECK(Of<service_host>(actions).size() == 1);
   }
 
   SECTION("the next host goes down when the first is up in another life") {
-    keeper.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
+    scheduler.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
     now += milliseconds(100);
-    keeper.UpdateHosts(hosts, {}, now);
-    CHECK(Of<service_host>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts(hosts, {}, now);
+    CHECK(Of<service_host>(scheduler.Plan(now)).empty());
     now += seconds(2);
     hosts[0].vm = "b1";
-    keeper.UpdateHosts(hosts, {}, now);
-    const auto actions = keeper.Plan(now);
+    scheduler.UpdateHosts(hosts, {}, now);
+    const auto actions = scheduler.Plan(now);
     CHECK(Of<release_vm>(actions).size() == 1);
     REQUIRE(Of<service_host>(actions).size() == 1);
     CHECK(Of<service_host>(actions)[0].host == "h3");
     CHECK(Of<complete_wave>(actions).empty());
 
     SECTION("and the wave is complete when all have been taken down") {
-      keeper.OnServiceAnswer(7, "h3", service_result::kAccepted, now);
+      scheduler.OnServiceAnswer(7, "h3", service_result::kAccepted, now);
       now += seconds(2);
       hosts[2].vm = "b3";
-      keeper.UpdateHosts(hosts, {}, now);
-      keeper.Plan(now);
-      keeper.UpdateEmpty({"a2"});
-      REQUIRE(Of<service_host>(keeper.Plan(now)).size() == 1);
-      CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
-      keeper.OnServiceAnswer(7, "h2", service_result::kAccepted, now);
-      CHECK(Of<complete_wave>(keeper.Plan(now)).size() == 1);
-      CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+      scheduler.UpdateHosts(hosts, {}, now);
+      scheduler.Plan(now);
+      scheduler.UpdateEmpty({"a2"});
+      REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
+      CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
+      scheduler.OnServiceAnswer(7, "h2", service_result::kAccepted, now);
+      CHECK(Of<complete_wave>(scheduler.Plan(now)).size() == 1);
+      CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
     }
   }
 }
@@ -122,37 +122,38 @@
 // and is read after. It shows the host as up, and a host that runs nothing has
 // no life to compare. Taken for back, it would let one too many go down.
 TEST_CASE("A list from before the order doesn't bring a host back") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1", "h2"}, 1));
+  scheduler.AddWave(Wave({"h1", "h2"}, 1));
   const std::vector<fleet_host> hosts = {Host("h1", "spare", ""),
                                          Host("h2", "spare", "")};
-  keeper.UpdateHosts(hosts, {"spare"}, now);
-  keeper.Plan(now);
-  REQUIRE(Of<service_host>(keeper.Plan(now)).size() == 1);
+  scheduler.UpdateHosts(hosts, {"spare"}, now);
+  scheduler.Plan(now);
+  REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
   const time_point asked_at = now + milliseconds(10);
   now += milliseconds(20);
-  keeper.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
-  keeper.UpdateHosts(hosts, {"spare"}, asked_at);
-  CHECK(Of<service_host>(keeper.Plan(now)).empty());
+  scheduler.OnServiceAnswer(7, "h1", service_result::kAccepted, now);
+  scheduler.UpdateHosts(hosts, {"spare"}, asked_at);
+  CHECK(Of<service_host>(scheduler.Plan(now)).empty());
   now += seconds(3);
-  keeper.UpdateHosts(hosts, {"spare"}, now);
-  CHECK(Of<service_host>(keeper.Plan(now)).size() == 1);
+  scheduler.UpdateHosts(hosts, {"spare"}, now);
+  CHECK(Of<service_host>(scheduler.Plan(now)).size() == 1);
 }
 
 TEST_CASE("A new keeper goes on where the earlier one was") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1", "h2"}, 5));
-  keeper.NoteServiced(7, "h1");
-  keeper.UpdateHosts({Host("h1", "p", "a1"), Host("h2", "p", "a2")}, {}, now);
-  const auto closed = Of<close_vm>(keeper.Plan(now));
+  scheduler.AddWave(Wave({"h1", "h2"}, 5));
+  scheduler.NoteServiced(7, "h1");
+  scheduler.UpdateHosts({Host("h1", "p", "a1"), Host("h2", "p", "a2")}, {},
+                        now);
+  const auto closed = Of<close_vm>(scheduler.Plan(now));
   REQUIRE(closed.size() == 1);
   CHECK(closed[0].vm == "a2");
 
   SECTION("and has nothing to do for a wave that is complete") {
-    keeper.NoteCompleted(7);
-    CHECK_FALSE(keeper.HasWork());
+    scheduler.NoteCompleted(7);
+    CHECK_FALSE(scheduler.HasWork());
   }
 }
 
@@ -160,14 +161,14 @@
 // begins with other hosts, and the closed VMs stand idle until their turn
 // comes: lasting tasks of their pool wait, although there is room for them.
 TEST_CASE("A new keeper goes on with the VMs that are closed already") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1", "h2", "h3", "h4"}, 1));
-  keeper.UpdateHosts({Host("h1", "p", "a1"), Host("h2", "p", "a2"),
-                      Host("h3", "p", "a3"), Host("h4", "p", "a4")},
-                     {}, now);
-  keeper.UpdateClosed({"a3", "a4"});
-  const auto closed = Of<close_vm>(keeper.Plan(now));
+  scheduler.AddWave(Wave({"h1", "h2", "h3", "h4"}, 1));
+  scheduler.UpdateHosts({Host("h1", "p", "a1"), Host("h2", "p", "a2"),
+                         Host("h3", "p", "a3"), Host("h4", "p", "a4")},
+                        {}, now);
+  scheduler.UpdateClosed({"a3", "a4"});
+  const auto closed = Of<close_vm>(scheduler.Plan(now));
   REQUIRE(closed.size() == 2);
   CHECK(closed[0].vm == "a3");
   CHECK(closed[1].vm == "a4");
@@ -177,15 +178,15 @@
 // that hosts of the wave were serviced already. It begins with one of them;
 // what it reads then must end that, or the host is serviced a second time.
 TEST_CASE("A service that is read of after its host was begun counts") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   const time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1"}, 1));
-  keeper.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
-  REQUIRE(Of<close_vm>(keeper.Plan(now)).size() == 1);
-  keeper.NoteServiced(7, "h1");
-  keeper.UpdateClosed({"a1"});
-  keeper.UpdateEmpty({"a1"});
-  const auto actions = keeper.Plan(now);
+  scheduler.AddWave(Wave({"h1"}, 1));
+  scheduler.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
+  REQUIRE(Of<close_vm>(scheduler.Plan(now)).size() == 1);
+  scheduler.NoteServiced(7, "h1");
+  scheduler.UpdateClosed({"a1"});
+  scheduler.UpdateEmpty({"a1"});
+  const auto actions = scheduler.Plan(now);
   CHECK(Of<service_host>(actions).empty());
   CHECK(Of<release_vm>(actions).size() == 1);
 }
@@ -194,114 +195,115 @@
 // nobody takes that back, it stands idle for good with room for the tasks of
 // its pool.
 TEST_CASE("A VM that is closed for no wave is released") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1"}, 1));
+  scheduler.AddWave(Wave({"h1"}, 1));
   const std::vector<fleet_host> hosts = {Host("h1", "p", "a1"),
                                          Host("h2", "p", "a2")};
-  keeper.UpdateHosts(hosts, {}, now);
-  keeper.UpdateClosed({"a1"});
-  CHECK(Of<release_vm>(keeper.Plan(now)).empty());
+  scheduler.UpdateHosts(hosts, {}, now);
+  scheduler.UpdateClosed({"a1"});
+  CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
 
   SECTION("when its host proves not to be of the wave") {
-    keeper.UpdateEmpty({"a1"});
-    REQUIRE(Of<service_host>(keeper.Plan(now)).size() == 1);
-    keeper.OnServiceAnswer(7, "h1", service_result::kNever, now);
-    const auto released = Of<release_vm>(keeper.Plan(now));
+    scheduler.UpdateEmpty({"a1"});
+    REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
+    scheduler.OnServiceAnswer(7, "h1", service_result::kPermanentFailure, now);
+    const auto released = Of<release_vm>(scheduler.Plan(now));
     REQUIRE(released.size() == 1);
     CHECK(released[0].vm == "a1");
 
     SECTION("once") {
-      CHECK(Of<release_vm>(keeper.Plan(now)).empty());
+      CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
     }
   }
 
   SECTION("when the wave has ended without its host, which comes back") {
     for (int i = 0; i < 12; ++i) {
       now += seconds(1);
-      keeper.UpdateHosts({hosts[1]}, {}, now);
+      scheduler.UpdateHosts({hosts[1]}, {}, now);
     }
-    const auto actions = keeper.Plan(now);
+    const auto actions = scheduler.Plan(now);
     CHECK(Of<complete_wave>(actions).size() == 1);
     CHECK(Of<release_vm>(actions).size() == 1);
-    keeper.UpdateHosts(hosts, {}, now);
-    keeper.Plan(now);
-    CHECK(keeper.BusyHosts().empty());
+    scheduler.UpdateHosts(hosts, {}, now);
+    scheduler.Plan(now);
+    CHECK(scheduler.BusyHosts().empty());
   }
 
   SECTION("when an earlier keeper closed it and it isn't due any more") {
-    keeper.UpdateClosed({"a1", "a2"});
-    const auto released = Of<release_vm>(keeper.Plan(now));
+    scheduler.UpdateClosed({"a1", "a2"});
+    const auto released = Of<release_vm>(scheduler.Plan(now));
     REQUIRE(released.size() == 1);
     CHECK(released[0].vm == "a2");
   }
 
   SECTION("not while its order may be carried out") {
-    keeper.UpdateEmpty({"a1"});
-    REQUIRE(Of<service_host>(keeper.Plan(now)).size() == 1);
-    keeper.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
+    scheduler.UpdateEmpty({"a1"});
+    REQUIRE(Of<service_host>(scheduler.Plan(now)).size() == 1);
+    scheduler.OnServiceAnswer(7, "h1", service_result::kUnknown, now);
     for (int i = 0; i < 12; ++i) {
       now += seconds(1);
-      keeper.UpdateHosts({hosts[1]}, {}, now);
+      scheduler.UpdateHosts({hosts[1]}, {}, now);
     }
-    CHECK(Of<release_vm>(keeper.Plan(now)).empty());
-    CHECK(keeper.BusyHosts() == std::set<host_id>{"h1"});
+    CHECK(Of<release_vm>(scheduler.Plan(now)).empty());
+    CHECK(scheduler.BusyHosts() == std::set<host_id>{"h1"});
   }
 }
 
 TEST_CASE("A host that has left for good doesn't hold its wave up") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1", "gone"}, 2));
-  keeper.NoteServiced(7, "h1");
-  keeper.UpdateHosts({Host("h1", "p", "a1"), Host("gone", "p", "a2")}, {}, now);
-  keeper.Plan(now);
+  scheduler.AddWave(Wave({"h1", "gone"}, 2));
+  scheduler.NoteServiced(7, "h1");
+  scheduler.UpdateHosts({Host("h1", "p", "a1"), Host("gone", "p", "a2")}, {},
+                        now);
+  scheduler.Plan(now);
   now += seconds(1);
-  keeper.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
-  CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+  scheduler.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
+  CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
   now += seconds(11);
-  keeper.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
-  CHECK(Of<complete_wave>(keeper.Plan(now)).size() == 1);
+  scheduler.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
+  CHECK(Of<complete_wave>(scheduler.Plan(now)).size() == 1);
 }
 
 // The list of the fleet can't be read for a while. No host may pass for gone:
 // operators would be told that a wave is complete whose hosts weren't serviced.
 TEST_CASE("A wave isn't complete because no list can be read") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
-  keeper.AddWave(Wave({"h1"}, 1));
-  keeper.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
-  keeper.Plan(now);
+  scheduler.AddWave(Wave({"h1"}, 1));
+  scheduler.UpdateHosts({Host("h1", "p", "a1")}, {}, now);
+  scheduler.Plan(now);
   now += seconds(60);
-  CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+  CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
 }
 
 // Guards against a wave reported complete after a single list without a host.
 TEST_CASE("One list after a time without lists doesn't tell that a host left") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   time_point now{std::chrono::hours(1)};
   const std::vector<fleet_host> both = {Host("h1", "p", "a1"),
                                         Host("h2", "p", "a2")};
-  keeper.AddWave(Wave({"h1", "h2"}, 2));
-  keeper.NoteServiced(7, "h1");
-  keeper.UpdateHosts(both, {}, now);
-  keeper.Plan(now);
+  scheduler.AddWave(Wave({"h1", "h2"}, 2));
+  scheduler.NoteServiced(7, "h1");
+  scheduler.UpdateHosts(both, {}, now);
+  scheduler.Plan(now);
 
   SECTION("after an outage of 11 s") {
     now += seconds(11);
-    keeper.UpdateHosts({both[0]}, {}, now);
-    CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts({both[0]}, {}, now);
+    CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
     now += seconds(1);
-    keeper.UpdateHosts(both, {}, now);
-    CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts(both, {}, now);
+    CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
   }
 
   SECTION("after an outage of 5 s, when it is absent for 7 s") {
     now += seconds(5);
-    keeper.UpdateHosts({both[0]}, {}, now);
+    scheduler.UpdateHosts({both[0]}, {}, now);
     now += seconds(6);
-    keeper.UpdateHosts({both[0]}, {}, now);
-    CHECK(Of<complete_wave>(keeper.Plan(now)).empty());
+    scheduler.UpdateHosts({both[0]}, {}, now);
+    CHECK(Of<complete_wave>(scheduler.Plan(now)).empty());
   }
 }
 
@@ -311,7 +313,7 @@
 // there are late; spread over the wave's time it is an eighth. Each turn is
 // another pool's, so that most hosts are spare at some time.
 TEST_CASE("A wave takes VMs from pools no faster than its time demands") {
-  wave_keeper keeper{wave_settings()};
+  maintenance_scheduler scheduler{maintenance_settings()};
   const time_point begin{std::chrono::hours(1)};
   std::vector<fleet_host> hosts;
   std::vector<host_id> due;
@@ -325,21 +327,21 @@
 
   SECTION("six of ten, when its time is known") {
     wave.published_at = begin;
-    keeper.AddWave(wave);
-    keeper.UpdateHosts(hosts, {"spare"}, begin);
-    CHECK(Of<close_vm>(keeper.Plan(begin)).size() == 6);
+    scheduler.AddWave(wave);
+    scheduler.UpdateHosts(hosts, {"spare"}, begin);
+    CHECK(Of<close_vm>(scheduler.Plan(begin)).size() == 6);
 
     SECTION("and all that it allows when it gets late") {
       const time_point late = begin + seconds(17);
-      keeper.UpdateHosts(hosts, {"spare"}, late);
-      CHECK(Of<close_vm>(keeper.Plan(late)).size() == 5);
+      scheduler.UpdateHosts(hosts, {"spare"}, late);
+      CHECK(Of<close_vm>(scheduler.Plan(late)).size() == 5);
     }
   }
 
   SECTION("all that it allows, when an earlier owner may have begun it") {
-    keeper.AddWave(wave);
-    keeper.UpdateHosts(hosts, {"spare"}, begin);
-    CHECK(Of<close_vm>(keeper.Plan(begin)).size() == 11);
+    scheduler.AddWave(wave);
+    scheduler.UpdateHosts(hosts, {"spare"}, begin);
+    CHECK(Of<close_vm>(scheduler.Plan(begin)).size() == 11);
   }
 
   SECTION("hosts of the spare pool go first, as many as it allows") {
@@ -348,11 +350,12 @@
       hosts[20 - i].vm = "";
     }
     wave.published_at = begin;
-    keeper.AddWave(wave);
-    keeper.UpdateHosts(hosts, {"spare"}, begin);
-    const auto actions = keeper.Plan(begin);
+    scheduler.AddWave(wave);
+    scheduler.UpdateHosts(hosts, {"spare"}, begin);
+    const auto actions = scheduler.Plan(begin);
     CHECK(Of<close_vm>(actions).size() == 3);
-    CHECK(Of<service_host>(keeper.Plan(begin + milliseconds(1))).size() == 8);
+    CHECK(Of<service_host>(scheduler.Plan(begin + milliseconds(1))).size() ==
+          8);
   }
 
   // Guards against a wave that takes the idle hosts for which a pool waits.
@@ -362,19 +365,20 @@
       hosts[20 - i].vm = "";
     }
     wave.published_at = begin;
-    keeper.AddWave(wave);
-    keeper.UpdateHosts(hosts, {"spare"}, begin);
-    keeper.UpdateShort({"p"});
-    CHECK(Of<close_vm>(keeper.Plan(begin)).empty());
-    CHECK(Of<service_host>(keeper.Plan(begin + milliseconds(1))).size() == 6);
+    scheduler.AddWave(wave);
+    scheduler.UpdateHosts(hosts, {"spare"}, begin);
+    scheduler.UpdateUndersized({"p"});
+    CHECK(Of<close_vm>(scheduler.Plan(begin)).empty());
+    CHECK(Of<service_host>(scheduler.Plan(begin + milliseconds(1))).size() ==
+          6);
   }
 
   SECTION("none of a pool that lacks VMs, while there is time") {
     wave.published_at = begin;
-    keeper.AddWave(wave);
-    keeper.UpdateHosts(hosts, {"spare"}, begin);
-    keeper.UpdateShort({"p"});
-    const auto closed = Of<close_vm>(keeper.Plan(begin));
+    scheduler.AddWave(wave);
+    scheduler.UpdateHosts(hosts, {"spare"}, begin);
+    scheduler.UpdateUndersized({"p"});
+    const auto closed = Of<close_vm>(scheduler.Plan(begin));
     REQUIRE(closed.size() == 6);
     for (const close_vm& close : closed) {
       CHECK(std::stoi(close.vm.substr(4)) % 2 == 1);
--- a/tests/core/jobs/overload_test.cc
+++ b/tests/core/jobs/overload_test.cc
@@ -19,12 +19,12 @@
 }
 
 /// A queue's turn: more jobs at once than the pool has room for.
-void BringBacklog(scheduler_driver* driver, int jobs, step_spec step) {
+void SubmitBacklog(scheduler_driver* driver, int jobs, step_spec step) {
   std::vector<vm_description> vms;
   for (int i = 0; i < kVms; ++i) {
     vms.push_back(Vm(Numbered("vm-", i), kVmCores));
   }
-  driver->Bring(vms);
+  driver->Register(vms);
   for (int i = 0; i < jobs; ++i) {
     driver->Add(Job(Numbered("job-", i), {step}));
   }
@@ -36,7 +36,7 @@
 // nor hold back smaller tasks, or those that need another kind of VM.
 TEST_CASE("A backlog of one size") {
   scheduler_driver driver;
-  BringBacklog(&driver, 100, Step(8, 4400));
+  SubmitBacklog(&driver, 100, Step(8, 4400));
 
   SECTION("fills the pool") {
     // Three tasks of 4.4 cores fit on 16 cores.
@@ -67,7 +67,7 @@
   scheduler_driver driver;
   step_spec gang = Step(3 * kVms + 1, 4400);
   gang.gang = true;
-  BringBacklog(&driver, 1, gang);
+  SubmitBacklog(&driver, 1, gang);
   driver.Add(Job("next", {Step(3 * kVms, 4400)}));
   CHECK(driver.Starts().size() == 3 * kVms);
 }
--- a/tests/core/jobs/owner_work_test.cc
+++ b/tests/core/jobs/owner_work_test.cc
@@ -20,15 +20,15 @@
 }
 
 /// A pool whose VMs have told all; the first few of them run a task each.
-class settled_pool {
+class reconciled_pool {
  public:
-  explicit settled_pool(std::size_t vm_count) {
+  explicit reconciled_pool(std::size_t vm_count) {
     std::vector<vm_description> vms;
     vms.reserve(vm_count);
     for (std::size_t i = 0; i < vm_count; ++i) {
       vms.push_back(Vm(NameOf(i)));
     }
-    driver.Bring(vms);
+    driver.Register(vms);
     driver.Add(Job("older", {Step(4, 6000)}));
     driver.StartAll();
     driver.Store();
@@ -56,7 +56,7 @@
     const std::function<void(scheduler_driver*)>& event) {
   std::vector<std::uint64_t> visits;
   for (const std::size_t size : kPoolSizes) {
-    settled_pool pool(size);
+    reconciled_pool pool(size);
     visits.push_back(pool.VisitsOf(event));
   }
   return visits;
--- a/tests/core/jobs/ownership_model_test.cc
+++ b/tests/core/jobs/ownership_model_test.cc
@@ -28,9 +28,9 @@
 
 constexpr int kVms = 2;
 constexpr int kOwners = 2;
-constexpr int kMostEpochs = 3;
-constexpr int kMostStarts = 3;
-constexpr int kMostOrders = 2;
+constexpr int kMaxEpochs = 3;
+constexpr int kMaxStarts = 3;
+constexpr int kMaxOrders = 2;
 constexpr std::int8_t kNowhere = -1;
 
 enum class owner_phase : std::int8_t { kIdle, kTakingOver, kActive };
@@ -39,8 +39,8 @@
   owner_phase phase = owner_phase::kIdle;
   std::int8_t epoch = 0;
   /// Its membership may not have passed on.
-  std::int8_t is_sure = 0;
-  std::array<std::int8_t, kVms> settled{};
+  std::int8_t is_certain = 0;
+  std::array<std::int8_t, kVms> reconciled{};
   /// VMs that were recorded as of its claim, or that it has recorded itself.
   std::array<std::int8_t, kVms> known{};
   std::int8_t placed = kNowhere;
@@ -65,7 +65,7 @@
   std::int8_t epoch = 0;
 };
 
-struct world_model {
+struct system_state {
   std::int8_t epoch = 0;
   std::int8_t done = 0;
   std::int8_t acknowledged = 0;
@@ -73,132 +73,132 @@
   std::array<std::int8_t, kVms> recorded{};
   std::array<owner_model, kOwners> owners{};
   std::array<vm_model, kVms> vms{};
-  std::array<order_model, kMostOrders> orders{};
+  std::array<order_model, kMaxOrders> orders{};
 };
 
 std::int8_t OtherVm(std::int8_t vm) {
   return vm == kNowhere ? kNowhere : static_cast<std::int8_t>(1 - vm);
 }
 
-world_model SwapVms(world_model world) {
-  std::swap(world.vms[0], world.vms[1]);
-  std::swap(world.recorded[0], world.recorded[1]);
-  for (owner_model& owner : world.owners) {
-    std::swap(owner.settled[0], owner.settled[1]);
+system_state SwapVms(system_state state) {
+  std::swap(state.vms[0], state.vms[1]);
+  std::swap(state.recorded[0], state.recorded[1]);
+  for (owner_model& owner : state.owners) {
+    std::swap(owner.reconciled[0], owner.reconciled[1]);
     std::swap(owner.known[0], owner.known[1]);
     owner.placed = OtherVm(owner.placed);
   }
-  for (order_model& order : world.orders) {
+  for (order_model& order : state.orders) {
     order.vm = OtherVm(order.vm);
   }
-  return world;
+  return state;
 }
 
-std::string BytesOf(world_model world) {
-  std::sort(world.orders.begin(), world.orders.end(),
+std::string BytesOf(system_state state) {
+  std::sort(state.orders.begin(), state.orders.end(),
             [](const order_model& a, const order_model& b) {
               return std::pair(a.vm, a.epoch) < std::pair(b.vm, b.epoch);
             });
   // All members are single bytes, so that there is no padding.
-  return {reinterpret_cast<const char*>(&world), sizeof(world)};
+  return {reinterpret_cast<const char*>(&state), sizeof(state)};
 }
 
 // Worlds that differ only by the names of VMs and owners are one.
-std::string KeyOf(const world_model& world) {
-  world_model other = world;
+std::string KeyOf(const system_state& state) {
+  system_state other = state;
   std::swap(other.owners[0], other.owners[1]);
-  return std::min({BytesOf(world), BytesOf(other), BytesOf(SwapVms(world)),
+  return std::min({BytesOf(state), BytesOf(other), BytesOf(SwapVms(state)),
                    BytesOf(SwapVms(other))});
 }
 
 /// A safeguard that is left out.
-enum class flaw {
+enum class disabled_safeguard {
   kNone,
   kNoFenceAtVms,
   kNoRecordOfVms,
   kNoWaitForSilentVms,
   kNoWaitForOwner,
   kAcknowledgesEarly,
-  kNoRecordOfLapse,
+  kNoRecordOfExpiry,
 };
 
-class search {
+class state_search {
  public:
-  explicit search(flaw left_out) : flaw_(left_out) {}
+  explicit state_search(disabled_safeguard disabled) : disabled_(disabled) {}
 
   /// Returns what went wrong first; empty when nothing can.
   std::string Run() {
-    Visit(world_model());
-    while (!waiting_.empty() && wrong_.empty()) {
-      const world_model world = waiting_.front();
+    Visit(system_state());
+    while (!waiting_.empty() && violation_.empty()) {
+      const system_state state = waiting_.front();
       waiting_.pop_front();
-      Expand(world);
+      Expand(state);
     }
-    return wrong_;
+    return violation_;
   }
   std::size_t states() const { return seen_.size(); }
 
  private:
-  void Visit(const world_model& world) {
-    if (seen_.insert(KeyOf(world)).second) {
-      waiting_.push_back(world);
+  void Visit(const system_state& state) {
+    if (seen_.insert(KeyOf(state)).second) {
+      waiting_.push_back(state);
     }
   }
 
-  void Expand(const world_model& world) {
+  void Expand(const system_state& state) {
     for (int i = 0; i < kOwners; ++i) {
-      Claim(world, i);
-      Begin(world, i);
-      StoreEnd(world, i);
-      StopOrDie(world, i);
+      Claim(state, i);
+      Begin(state, i);
+      StoreEnd(state, i);
+      StopOrCrash(state, i);
       for (int v = 0; v < kVms; ++v) {
-        Hold(world, i, v);
-        SettleByLapse(world, i, v);
-        Record(world, i, v);
-        Start(world, i, v);
-        Acknowledge(world, i, v);
-        NoteLapse(world, i, v);
+        Hold(state, i, v);
+        ReconcileByExpiry(state, i, v);
+        Record(state, i, v);
+        Start(state, i, v);
+        Acknowledge(state, i, v);
+        ExpireLease(state, i, v);
       }
     }
     for (int v = 0; v < kVms; ++v) {
-      LapseOrFinish(world, v);
+      ExpireOrFinish(state, v);
     }
-    for (int m = 0; m < kMostOrders; ++m) {
-      Deliver(world, m);
+    for (int m = 0; m < kMaxOrders; ++m) {
+      Deliver(state, m);
     }
   }
 
-  void Claim(world_model world, int i) {
-    if (world.owners[i].phase != owner_phase::kIdle ||
-        world.epoch >= kMostEpochs) {
+  void Claim(system_state state, int i) {
+    if (state.owners[i].phase != owner_phase::kIdle ||
+        state.epoch >= kMaxEpochs) {
       return;
     }
     owner_model owner;
     owner.phase = owner_phase::kTakingOver;
-    owner.epoch = ++world.epoch;
-    owner.is_sure = 1;
-    owner.known = world.recorded;
-    owner.knows_done = world.done;
-    world.owners[i] = owner;
-    Visit(world);
+    owner.epoch = ++state.epoch;
+    owner.is_certain = 1;
+    owner.known = state.recorded;
+    owner.knows_done = state.done;
+    state.owners[i] = owner;
+    Visit(state);
   }
 
-  void Hold(world_model world, int i, int v) {
-    owner_model& owner = world.owners[i];
-    vm_model& vm = world.vms[v];
-    if (owner.phase == owner_phase::kIdle || owner.is_sure == 0) {
+  void Hold(system_state state, int i, int v) {
+    owner_model& owner = state.owners[i];
+    vm_model& vm = state.vms[v];
+    if (owner.phase == owner_phase::kIdle || owner.is_certain == 0) {
       return;
     }
     if (owner.epoch < vm.fence) {
       owner = owner_model();
-      Visit(world);
+      Visit(state);
       return;
     }
-    if (flaw_ != flaw::kNoFenceAtVms) {
+    if (disabled_ != disabled_safeguard::kNoFenceAtVms) {
       vm.fence = owner.epoch;
     }
     vm.has_lease = 1;
-    owner.settled[v] = 1;
+    owner.reconciled[v] = 1;
     if (vm.is_running != 0) {
       owner.placed = static_cast<std::int8_t>(v);
     }
@@ -206,13 +206,13 @@
     if (vm.has_end != 0 && counts && owner.knows_done == 0) {
       owner.has_unstored_end = 1;
     }
-    Visit(world);
+    Visit(state);
   }
 
-  bool MayEarlierAct(const world_model& world, int i) const {
-    for (const owner_model& other : world.owners) {
-      if (other.epoch != 0 && other.epoch < world.owners[i].epoch &&
-          other.is_sure != 0) {
+  bool MayEarlierAct(const system_state& state, int i) const {
+    for (const owner_model& other : state.owners) {
+      if (other.epoch != 0 && other.epoch < state.owners[i].epoch &&
+          other.is_certain != 0) {
         return true;
       }
     }
@@ -220,121 +220,124 @@
   }
 
   // What was ordered under a lease that is over is refused as late.
-  static void DropOrders(world_model* world, int v) {
-    for (order_model& order : world->orders) {
+  static void DropOrders(system_state* state, int v) {
+    for (order_model& order : state->orders) {
       if (order.vm == v) {
         order = order_model();
       }
     }
   }
 
-  void SettleByLapse(world_model world, int i, int v) {
-    owner_model& owner = world.owners[i];
-    if (owner.phase != owner_phase::kTakingOver || owner.settled[v] != 0) {
+  void ReconcileByExpiry(system_state state, int i, int v) {
+    owner_model& owner = state.owners[i];
+    if (owner.phase != owner_phase::kTakingOver || owner.reconciled[v] != 0) {
       return;
     }
-    const bool waits_for_owner = flaw_ != flaw::kNoWaitForOwner;
-    const bool waits_for_vm = flaw_ != flaw::kNoWaitForSilentVms;
-    if ((waits_for_owner && MayEarlierAct(world, i)) ||
-        (waits_for_vm && world.vms[v].has_lease != 0)) {
+    const bool waits_for_owner =
+        disabled_ != disabled_safeguard::kNoWaitForOwner;
+    const bool waits_for_vm =
+        disabled_ != disabled_safeguard::kNoWaitForSilentVms;
+    if ((waits_for_owner && MayEarlierAct(state, i)) ||
+        (waits_for_vm && state.vms[v].has_lease != 0)) {
       return;
     }
-    if (owner.epoch != world.epoch && flaw_ != flaw::kNoRecordOfLapse) {
+    if (owner.epoch != state.epoch &&
+        disabled_ != disabled_safeguard::kNoRecordOfExpiry) {
       owner = owner_model();
-      Visit(world);
+      Visit(state);
       return;
     }
     if (waits_for_owner && waits_for_vm) {
-      DropOrders(&world, v);
+      DropOrders(&state, v);
     }
-    owner.settled[v] = 1;
-    Visit(world);
+    owner.reconciled[v] = 1;
+    Visit(state);
   }
 
-  void Begin(world_model world, int i) {
-    owner_model& owner = world.owners[i];
+  void Begin(system_state state, int i) {
+    owner_model& owner = state.owners[i];
     if (owner.phase != owner_phase::kTakingOver) {
       return;
     }
     for (int v = 0; v < kVms; ++v) {
-      if (owner.known[v] != 0 && owner.settled[v] == 0) {
+      if (owner.known[v] != 0 && owner.reconciled[v] == 0) {
         return;
       }
     }
     owner.phase = owner_phase::kActive;
-    Visit(world);
+    Visit(state);
   }
 
-  void Record(world_model world, int i, int v) {
-    owner_model& owner = world.owners[i];
+  void Record(system_state state, int i, int v) {
+    owner_model& owner = state.owners[i];
     if (owner.phase != owner_phase::kActive || owner.known[v] != 0) {
       return;
     }
-    if (owner.epoch == world.epoch) {
-      world.recorded[v] = 1;
+    if (owner.epoch == state.epoch) {
+      state.recorded[v] = 1;
       owner.known[v] = 1;
     } else {
       owner = owner_model();
     }
-    Visit(world);
+    Visit(state);
   }
 
-  void Start(world_model world, int i, int v) {
-    owner_model& owner = world.owners[i];
+  void Start(system_state state, int i, int v) {
+    owner_model& owner = state.owners[i];
     const bool is_recorded =
-        owner.known[v] != 0 || flaw_ == flaw::kNoRecordOfVms;
+        owner.known[v] != 0 || disabled_ == disabled_safeguard::kNoRecordOfVms;
     const bool may_start =
-        owner.phase == owner_phase::kActive && owner.is_sure != 0 &&
+        owner.phase == owner_phase::kActive && owner.is_certain != 0 &&
         owner.placed == kNowhere && owner.knows_done == 0 &&
-        owner.has_unstored_end == 0 && owner.settled[v] != 0 && is_recorded &&
-        world.starts < kMostStarts;
+        owner.has_unstored_end == 0 && owner.reconciled[v] != 0 &&
+        is_recorded && state.starts < kMaxStarts;
     if (!may_start) {
       return;
     }
-    for (order_model& order : world.orders) {
+    for (order_model& order : state.orders) {
       if (order.vm == kNowhere) {
         order = {static_cast<std::int8_t>(v), owner.epoch};
         owner.placed = static_cast<std::int8_t>(v);
-        ++world.starts;
-        Visit(world);
+        ++state.starts;
+        Visit(state);
         return;
       }
     }
   }
 
-  void Deliver(world_model world, int m) {
-    const order_model order = world.orders[m];
+  void Deliver(system_state state, int m) {
+    const order_model order = state.orders[m];
     if (order.vm == kNowhere) {
       return;
     }
-    world.orders[m] = order_model();
-    vm_model& vm = world.vms[order.vm];
+    state.orders[m] = order_model();
+    vm_model& vm = state.vms[order.vm];
     if (order.epoch >= vm.fence && vm.is_running == 0) {
-      if (flaw_ != flaw::kNoFenceAtVms) {
+      if (disabled_ != disabled_safeguard::kNoFenceAtVms) {
         vm.fence = order.epoch;
       }
-      if (world.vms[1 - order.vm].is_running != 0) {
-        wrong_ = "two runs at the same time";
+      if (state.vms[1 - order.vm].is_running != 0) {
+        violation_ = "two runs at the same time";
       }
-      if (world.acknowledged != 0) {
-        wrong_ = "a start after the end was acknowledged";
+      if (state.acknowledged != 0) {
+        violation_ = "a start after the end was acknowledged";
       }
       vm.has_lease = 1;
       vm.is_running = 1;
     }
-    Visit(world);
+    Visit(state);
   }
 
-  void LapseOrFinish(const world_model& world, int v) {
-    if (world.vms[v].has_lease != 0) {
-      world_model lapsed = world;
-      lapsed.vms[v].has_lease = 0;
-      lapsed.vms[v].is_running = 0;
-      lapsed.vms[v].is_end_stale = lapsed.vms[v].has_end;
-      Visit(lapsed);
+  void ExpireOrFinish(const system_state& state, int v) {
+    if (state.vms[v].has_lease != 0) {
+      system_state expired = state;
+      expired.vms[v].has_lease = 0;
+      expired.vms[v].is_running = 0;
+      expired.vms[v].is_end_stale = expired.vms[v].has_end;
+      Visit(expired);
     }
-    if (world.vms[v].is_running != 0) {
-      world_model finished = world;
+    if (state.vms[v].is_running != 0) {
+      system_state finished = state;
       finished.vms[v].is_running = 0;
       finished.vms[v].has_end = 1;
       Visit(finished);
@@ -342,95 +345,101 @@
   }
 
   // The owner itself counts how long the lease that it granted runs.
-  void NoteLapse(world_model world, int i, int v) {
-    owner_model& owner = world.owners[i];
-    const bool is_lapsed = owner.phase == owner_phase::kActive &&
-                           owner.placed == v && world.vms[v].has_lease == 0 &&
-                           !MayEarlierAct(world, i);
-    if (!is_lapsed) {
+  void ExpireLease(system_state state, int i, int v) {
+    owner_model& owner = state.owners[i];
+    const bool is_expired = owner.phase == owner_phase::kActive &&
+                            owner.placed == v && state.vms[v].has_lease == 0 &&
+                            !MayEarlierAct(state, i);
+    if (!is_expired) {
       return;
     }
-    if (owner.epoch != world.epoch && flaw_ != flaw::kNoRecordOfLapse) {
+    if (owner.epoch != state.epoch &&
+        disabled_ != disabled_safeguard::kNoRecordOfExpiry) {
       owner = owner_model();
-      Visit(world);
+      Visit(state);
       return;
     }
-    DropOrders(&world, v);
+    DropOrders(&state, v);
     owner.placed = kNowhere;
     // The VM is used again only after it has told all.
-    owner.settled[v] = 0;
-    Visit(world);
+    owner.reconciled[v] = 0;
+    Visit(state);
   }
 
-  void StoreEnd(world_model world, int i) {
-    owner_model& owner = world.owners[i];
+  void StoreEnd(system_state state, int i) {
+    owner_model& owner = state.owners[i];
     if (owner.has_unstored_end == 0) {
       return;
     }
-    if (owner.epoch == world.epoch) {
-      world.done = 1;
+    if (owner.epoch == state.epoch) {
+      state.done = 1;
       owner.knows_done = 1;
       owner.has_unstored_end = 0;
     } else {
       owner = owner_model();
     }
-    Visit(world);
+    Visit(state);
   }
 
-  void Acknowledge(world_model world, int i, int v) {
-    const owner_model& owner = world.owners[i];
-    vm_model& vm = world.vms[v];
+  void Acknowledge(system_state state, int i, int v) {
+    const owner_model& owner = state.owners[i];
+    vm_model& vm = state.vms[v];
     const bool is_stored =
         owner.knows_done != 0 ||
-        (flaw_ == flaw::kAcknowledgesEarly && owner.has_unstored_end != 0);
-    if (owner.phase == owner_phase::kIdle || owner.is_sure == 0 || !is_stored ||
-        owner.settled[v] == 0 || vm.has_end == 0 || owner.epoch < vm.fence) {
+        (disabled_ == disabled_safeguard::kAcknowledgesEarly &&
+         owner.has_unstored_end != 0);
+    if (owner.phase == owner_phase::kIdle || owner.is_certain == 0 ||
+        !is_stored || owner.reconciled[v] == 0 || vm.has_end == 0 ||
+        owner.epoch < vm.fence) {
       return;
     }
     // It goes with a hold.
-    if (flaw_ != flaw::kNoFenceAtVms) {
+    if (disabled_ != disabled_safeguard::kNoFenceAtVms) {
       vm.fence = owner.epoch;
     }
     if (vm.is_end_stale == 0) {
-      world.acknowledged = 1;
+      state.acknowledged = 1;
     }
     vm.has_end = 0;
     vm.is_end_stale = 0;
-    Visit(world);
+    Visit(state);
   }
 
-  void StopOrDie(const world_model& world, int i) {
-    if (world.owners[i].phase == owner_phase::kIdle) {
+  void StopOrCrash(const system_state& state, int i) {
+    if (state.owners[i].phase == owner_phase::kIdle) {
       return;
     }
-    world_model unsure = world;
-    unsure.owners[i].is_sure = 0;
-    Visit(unsure);
-    world_model dead = world;
-    dead.owners[i] = owner_model();
-    Visit(dead);
+    system_state uncertain = state;
+    uncertain.owners[i].is_certain = 0;
+    Visit(uncertain);
+    system_state crashed = state;
+    crashed.owners[i] = owner_model();
+    Visit(crashed);
   }
 
-  flaw flaw_;
+  disabled_safeguard disabled_;
   std::unordered_set<std::string> seen_;
-  std::deque<world_model> waiting_;
-  std::string wrong_;
+  std::deque<system_state> waiting_;
+  std::string violation_;
 };
 
 TEST_CASE("No order of events starts a task twice under two owners") {
-  search whole(flaw::kNone);
-  CHECK(whole.Run().empty());
-  INFO("states: " << whole.states());
-  CHECK(whole.states() > 10000);
+  state_search complete(disabled_safeguard::kNone);
+  CHECK(complete.Run().empty());
+  INFO("states: " << complete.states());
+  CHECK(complete.states() > 10000);
 }
 
 TEST_CASE("Each safeguard of a change of owner is needed") {
-  CHECK_FALSE(search(flaw::kNoFenceAtVms).Run().empty());
-  CHECK_FALSE(search(flaw::kNoRecordOfVms).Run().empty());
-  CHECK_FALSE(search(flaw::kNoWaitForSilentVms).Run().empty());
-  CHECK_FALSE(search(flaw::kNoWaitForOwner).Run().empty());
-  CHECK_FALSE(search(flaw::kAcknowledgesEarly).Run().empty());
-  CHECK_FALSE(search(flaw::kNoRecordOfLapse).Run().empty());
+  CHECK_FALSE(state_search(disabled_safeguard::kNoFenceAtVms).Run().empty());
+  CHECK_FALSE(state_search(disabled_safeguard::kNoRecordOfVms).Run().empty());
+  CHECK_FALSE(
+      state_search(disabled_safeguard::kNoWaitForSilentVms).Run().empty());
+  CHECK_FALSE(state_search(disabled_safeguard::kNoWaitForOwner).Run().empty());
+  CHECK_FALSE(
+      state_search(disabled_safeguard::kAcknowledgesEarly).Run().empty());
+  CHECK_FALSE(
+      state_search(disabled_safeguard::kNoRecordOfExpiry).Run().empty());
 }
 
 }  // namespace
--- a/tests/core/jobs/pool_model.h
+++ b/tests/core/jobs/pool_model.h
@@ -47,7 +47,7 @@
   /// them, within 10 ms. Empty: none.
   std::string crashing_payload;
   /// After that the VM is back in another life, which answers in place of it.
-  duration back_after = std::chrono::seconds(3);
+  duration restart_delay = std::chrono::seconds(3);
   /// Mean time between two changes of the owner; zero: none.
   duration takeover_every = duration::zero();
   /// Owners read a job up to this much after it was stored, each for itself.
@@ -75,9 +75,9 @@
               const queue_policy& policy) {
     submitted_.emplace_back(job, policy);
     submitted_at[job->id] = now;
-    for (const auto& reader : {owner_, zombie_}) {
+    for (const auto& reader : {owner_, earlier_owner_}) {
       if (reader) {
-        LetRead(reader, job, policy);
+        ScheduleRead(reader, job, policy);
       }
     }
   }
@@ -87,16 +87,16 @@
     const time_point end = now + time;
     while (now < end) {
       now += kTick;
-      BringFaults();
+      InjectFaults();
       Deliver();
       EndTasks();
-      for (const auto& owner : {owner_, zombie_}) {
+      for (const auto& owner : {owner_, earlier_owner_}) {
         if (owner) {
           Work(owner);
         }
       }
-      if (zombie_ && now >= zombie_until_) {
-        zombie_.reset();
+      if (earlier_owner_ && now >= earlier_owner_until_) {
+        earlier_owner_.reset();
       }
     }
   }
@@ -116,26 +116,26 @@
   std::map<job_id, time_point> ended_at;
   std::uint64_t starts = 0;
   /// Lives of VMs that ended while the task ran on them.
-  std::map<task_name, int> crashes_under;
+  std::map<task_name, int> crash_counts;
 
  private:
   static constexpr duration kTick = std::chrono::milliseconds(10);
   static constexpr duration kAnswerTimeout = std::chrono::milliseconds(700);
-  static constexpr duration kActing = std::chrono::milliseconds(2400);
+  static constexpr duration kMaxOverlap = std::chrono::milliseconds(2400);
   static constexpr duration kStopTime = std::chrono::milliseconds(100);
-  static constexpr duration kLongestLease = std::chrono::seconds(10);
-  static constexpr int kMostCrashes = 3;
+  static constexpr duration kMaxLease = std::chrono::seconds(10);
+  static constexpr int kMaxCrashes = 3;
   static constexpr std::int64_t kVmCores = 8000;
 
   struct vm_run {
     std::uint32_t run = 0;
-    resources room;
+    resources demand;
     time_point ends_at;
     bool fails = false;
     bool is_stopping = false;
     time_point sent_at;
     /// The VM's capacity when the order to start it was sent.
-    resources told;
+    resources known_capacity;
   };
 
   struct vm {
@@ -145,14 +145,14 @@
     std::vector<ended_task> ended;
     std::uint64_t last_end = 0;
     /// Ends up to this one are from before the lease last ran out.
-    std::uint64_t lapsed_end = 0;
+    std::uint64_t last_expired_end = 0;
     std::uint64_t fence = 0;
     /// A task ends this life then.
     time_point crashes_at = time_point::max();
     time_point lease_until;
-    time_point silent_until;
+    time_point unresponsive_until;
     /// Under its id, in which it knows nothing of before.
-    time_point begins_again_at = time_point::max();
+    time_point restarts_at = time_point::max();
     time_point unreadable_until;
     time_point shrunk_until;
     /// The clock runs up to 2% slow, from its own zero.
@@ -173,12 +173,12 @@
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   // Draws nothing for a fault that is left out, so that a seed brings about the
   // same without it.
-  bool Happens(double share) { return share > 0.0 && Chance() < share; }
+  bool Occurs(double share) { return share > 0.0 && Chance() < share; }
   duration Between(duration least, duration most) {
     return duration(std::uniform_int_distribution<std::int64_t>(
         least.count(), most.count())(random_));
   }
-  bool Comes(duration every) {
+  bool OccursInTick(duration every) {
     return every > duration::zero() &&
            Chance() < static_cast<double>(kTick.count()) /
                           static_cast<double>(every.count());
@@ -188,7 +188,7 @@
     const vm_id id = "vm-" + std::to_string(++last_vm_);
     vm& added = vms_[id];
     added.description = Vm(id, kVmCores);
-    added.description.born = ++last_born_;
+    added.description.incarnation = ++last_incarnation_;
     added.speed = 0.98 + 0.02 * Chance();
     added.zero = Between(std::chrono::seconds(0), std::chrono::seconds(1000));
   }
@@ -215,9 +215,9 @@
 
   // Before an owner begins it reads all that is stored by then; see
   // `BeginOwner`.
-  void LetRead(const owner_ptr& reader,
-               const std::shared_ptr<const job_spec>& job,
-               const queue_policy& policy) {
+  void ScheduleRead(const owner_ptr& reader,
+                    const std::shared_ptr<const job_spec>& job,
+                    const queue_policy& policy) {
     const auto read = [this, reader, job, policy] {
       reader->scheduler->AddJob(job, policy, now);
     };
@@ -254,13 +254,13 @@
     owner_->scheduler->UpdateVms(Registry(), now);
   }
 
-  void BringUnreadableEntries() {
+  void InjectUnreadableEntries() {
     bool is_changed = false;
     for (const auto& [id, machine] : vms_) {
       const time_point until = machine.unreadable_until;
       is_changed = is_changed || (until <= now && until > now - kTick);
     }
-    if (Comes(faults_.unreadable_every) && !vms_.empty()) {
+    if (OccursInTick(faults_.unreadable_every) && !vms_.empty()) {
       auto it =
           std::next(vms_.begin(), static_cast<long>(random_() % vms_.size()));
       it->second.unreadable_until =
@@ -282,7 +282,7 @@
         is_changed = true;
       }
     }
-    if (Comes(faults_.shrink_every) && !vms_.empty()) {
+    if (OccursInTick(faults_.shrink_every) && !vms_.empty()) {
       vm& shrunk =
           std::next(vms_.begin(), static_cast<long>(random_() % vms_.size()))
               ->second;
@@ -296,7 +296,7 @@
       is_changed = true;
     }
     if (is_changed) {
-      for (const auto& reader : {owner_, zombie_}) {
+      for (const auto& reader : {owner_, earlier_owner_}) {
         if (reader) {
           reader->scheduler->UpdateVms(Registry(), now);
         }
@@ -310,43 +310,43 @@
 
   void NoteCrash(const vm& machine) {
     for (const auto& [task, held] : machine.runs) {
-      ++crashes_under[task];
+      ++crash_counts[task];
     }
   }
 
   // Its clock may be ahead of that of the former life or behind it.
-  void BeginAgain(vm* machine) {
+  void Restart(vm* machine) {
     machine->runs.clear();
     machine->highest.clear();
     machine->ended.clear();
     machine->last_end = 0;
-    machine->lapsed_end = 0;
+    machine->last_expired_end = 0;
     machine->fence = 0;
     machine->crashes_at = time_point::max();
     machine->lease_until = {};
-    machine->silent_until = {};
-    machine->begins_again_at = time_point::max();
+    machine->unresponsive_until = {};
+    machine->restarts_at = time_point::max();
     machine->zero =
         Between(std::chrono::seconds(0), std::chrono::seconds(1000));
-    machine->description.born = ++last_born_;
+    machine->description.incarnation = ++last_incarnation_;
     owner_->scheduler->UpdateVms(Registry(), now);
   }
 
-  void BeginAgainDue() {
+  void RestartDueVms() {
     for (auto& [id, machine] : vms_) {
-      if (now >= machine.begins_again_at) {
-        BeginAgain(&machine);
+      if (now >= machine.restarts_at) {
+        Restart(&machine);
       }
     }
   }
 
-  void EndLifeUnderItsId(vm* machine, duration back_after) {
+  void CrashUnderSameId(vm* machine, duration restart_delay) {
     NoteCrash(*machine);
     machine->runs.clear();
     machine->ended.clear();
     machine->crashes_at = time_point::max();
-    machine->begins_again_at = now + back_after;
-    machine->silent_until = machine->begins_again_at;
+    machine->restarts_at = now + restart_delay;
+    machine->unresponsive_until = machine->restarts_at;
   }
 
   // The registry lists the VM until its next life is there.
@@ -356,8 +356,8 @@
         ++it;
         continue;
       }
-      if (Happens(faults_.same_id_share)) {
-        EndLifeUnderItsId(&it->second, faults_.back_after);
+      if (Occurs(faults_.same_id_share)) {
+        CrashUnderSameId(&it->second, faults_.restart_delay);
         ++it;
         continue;
       }
@@ -365,7 +365,7 @@
       const vm_id id = it->first;
       crashed_.emplace(id, it->second.description);
       it = vms_.erase(it);
-      Later(faults_.back_after, [this, id] {
+      Later(faults_.restart_delay, [this, id] {
         crashed_.erase(id);
         replaced_.insert(id);
         AddVm();
@@ -374,19 +374,19 @@
     }
   }
 
-  void BringFaults() {
-    if (Comes(faults_.silence_every) && !vms_.empty()) {
+  void InjectFaults() {
+    if (OccursInTick(faults_.silence_every) && !vms_.empty()) {
       auto it =
           std::next(vms_.begin(), static_cast<long>(random_() % vms_.size()));
-      it->second.silent_until =
+      it->second.unresponsive_until =
           now + Between(std::chrono::seconds(1), std::chrono::seconds(8));
     }
-    if (Comes(faults_.crash_every) && !vms_.empty()) {
+    if (OccursInTick(faults_.crash_every) && !vms_.empty()) {
       const auto lost =
           std::next(vms_.begin(), static_cast<long>(random_() % vms_.size()));
-      if (Happens(faults_.same_id_share)) {
-        EndLifeUnderItsId(&lost->second, Between(std::chrono::milliseconds(10),
-                                                 std::chrono::seconds(6)));
+      if (Occurs(faults_.same_id_share)) {
+        CrashUnderSameId(&lost->second, Between(std::chrono::milliseconds(10),
+                                                std::chrono::seconds(6)));
       } else {
         NoteCrash(lost->second);
         vms_.erase(lost);
@@ -395,19 +395,20 @@
       }
     }
     CrashVms();
-    BeginAgainDue();
-    BringUnreadableEntries();
+    RestartDueVms();
+    InjectUnreadableEntries();
     ShrinkVms();
-    if (Comes(faults_.takeover_every)) {
+    if (OccursInTick(faults_.takeover_every)) {
       // The earlier owner goes on for a while, as one that was suspended does.
-      zombie_ = owner_;
-      zombie_until_ = now + Between(duration::zero(), kActing);
+      earlier_owner_ = owner_;
+      earlier_owner_until_ = now + Between(duration::zero(), kMaxOverlap);
       takeover_bounds bounds;
-      bounds.fresh_from = now + kActing + std::chrono::milliseconds(1);
+      bounds.exclusive_from = now + kMaxOverlap + std::chrono::milliseconds(1);
       const auto lease =
           static_cast<double>(scheduler_settings().lease.count());
-      bounds.others_lapsed_at =
-          now + kActing + duration(static_cast<std::int64_t>(lease / 0.975));
+      bounds.default_lease_end =
+          now + kMaxOverlap +
+          duration(static_cast<std::int64_t>(lease / 0.975));
       BeginOwner(bounds);
     }
   }
@@ -424,9 +425,10 @@
     }
   }
 
-  life_mark BornOf(const vm_id& id) const {
+  vm_incarnation IncarnationOf(const vm_id& id) const {
     const auto found = vms_.find(id);
-    return found == vms_.end() ? std::nullopt : found->second.description.born;
+    return found == vms_.end() ? std::nullopt
+                               : found->second.description.incarnation;
   }
 
   duration Delay() {
@@ -441,7 +443,7 @@
             bool is_order,
             const std::function<std::function<void()>(vm*)>& at_vm,
             const std::function<void()>& unanswered) {
-    if (is_order && Happens(faults_.lost_orders)) {
+    if (is_order && Occurs(faults_.lost_orders)) {
       Later(kAnswerTimeout, unanswered);
       return;
     }
@@ -451,17 +453,17 @@
         is_late ? Between(std::chrono::seconds(2), std::chrono::seconds(12))
                 : Delay();
     const time_point sent_at = now;
-    const life_mark meant = BornOf(id);
+    const vm_incarnation meant = IncarnationOf(id);
     Later(delay, [=, this] {
       if (replaced_.count(id) != 0) {
         worker->scheduler->OnReplaced(id, now);
         return;
       }
       const auto found = vms_.find(id);
-      const bool is_over =
-          is_late && BornOf(id) != meant && !faults_.late_orders_outlive_vms;
-      const bool is_reached =
-          found != vms_.end() && !is_over && now >= found->second.silent_until;
+      const bool is_over = is_late && IncarnationOf(id) != meant &&
+                           !faults_.late_orders_outlive_vms;
+      const bool is_reached = found != vms_.end() && !is_over &&
+                              now >= found->second.unresponsive_until;
       const auto answer = is_reached ? at_vm(&found->second) : nullptr;
       if (answer && !is_lost) {
         Later(Delay(), answer);
@@ -524,16 +526,16 @@
     if (progress.phase == job_phase::kFailed && !MayBeGivenUp(id)) {
       violations.push_back("given up after less than two crashes: " + id);
     }
-    const bool is_said_to_have_begun = progress.phase == job_phase::kRunning ||
-                                       progress.phase == job_phase::kCompleted;
-    if (is_said_to_have_begun && taken_.count(id) == 0) {
+    const bool is_recorded_as_started = progress.phase == job_phase::kRunning ||
+                                        progress.phase == job_phase::kCompleted;
+    if (is_recorded_as_started && accepted_.count(id) == 0) {
       violations.push_back("said to have begun, and no VM took a task: " + id);
     }
   }
 
   // A task under which two VMs have crashed may be given up.
   bool MayBeGivenUp(const job_id& id) const {
-    return std::any_of(crashes_under.begin(), crashes_under.end(),
+    return std::any_of(crash_counts.begin(), crash_counts.end(),
                        [&id](const auto& entry) {
                          return entry.first.job == id && entry.second >= 2;
                        });
@@ -561,8 +563,8 @@
           }
           Extend(machine, hold.lease_until);
           Acknowledge(machine, hold.acknowledged_through);
-          vm_listing listing;
-          listing.born = machine->description.born;
+          run_listing listing;
+          listing.incarnation = machine->description.incarnation;
           listing.vm_clock = ClockOf(*machine);
           for (const auto& [task, held] : machine->runs) {
             listing.running.push_back(
@@ -588,7 +590,7 @@
   void Acknowledge(vm* machine, std::uint64_t through) {
     for (const ended_task& end : machine->ended) {
       if (end.number <= through && end.how == end_kind::kDone &&
-          end.number > machine->lapsed_end) {
+          end.number > machine->last_expired_end) {
         acked_done_.insert(end.task);
       }
     }
@@ -604,7 +606,7 @@
       const auto asked =
           duration(static_cast<std::int64_t>(left / machine->speed));
       machine->lease_until =
-          std::max(machine->lease_until, now + std::min(asked, kLongestLease));
+          std::max(machine->lease_until, now + std::min(asked, kMaxLease));
     }
   }
 
@@ -616,14 +618,14 @@
       violations.push_back(target.vm + " was chosen by an unreadable entry");
     }
     const time_point sent_at = now;
-    const resources told = chosen == vms_.end()
-                               ? resources()
-                               : chosen->second.description.capacity;
+    const resources known_capacity = chosen == vms_.end()
+                                         ? resources()
+                                         : chosen->second.description.capacity;
     Call(
         worker, target.vm, true,
         [=, this](vm* machine) -> std::function<void()> {
           const start_result result =
-              Start(machine, worker, order, sent_at, told);
+              Start(machine, worker, order, sent_at, known_capacity);
           return [=, this] {
             worker->scheduler->OnStartAnswer(target, result, now);
           };
@@ -633,36 +635,37 @@
         });
   }
 
-  // `told` is the VM's capacity when the order was sent, at `sent_at`.
+  // `known_capacity` is the VM's capacity when the order was sent, at
+  // `sent_at`.
   start_result Start(vm* machine,
                      const owner_ptr& worker,
                      const start_order& order,
                      time_point sent_at,
-                     const resources& told) {
+                     const resources& known_capacity) {
     if (!Fence(machine, worker)) {
       return start_result::kFenced;
     }
     const task_name& task = order.target.task;
     if (order.target.run <= machine->highest[task]) {
-      return start_result::kOldRun;
+      return start_result::kStaleRun;
     }
     if (order.lease_until <= ClockOf(*machine)) {
-      return start_result::kLate;
+      return start_result::kOrderExpired;
     }
     Extend(machine, order.lease_until);
-    if (Happens(faults_.refused_orders)) {
-      return start_result::kNoRoom;
+    if (Occurs(faults_.refused_orders)) {
+      return start_result::kNoCapacity;
     }
-    taken_.insert(task.job);
+    accepted_.insert(task.job);
     machine->highest[task] = order.target.run;
     vm_run started;
     started.run = order.target.run;
-    started.room = order.job->steps[task.step].need;
+    started.demand = order.job->steps[task.step].need;
     started.ends_at = now + order.job->steps[task.step].estimate +
                       Between(duration::zero(), std::chrono::milliseconds(300));
     started.fails = Chance() < faults_.failing_runs;
     started.sent_at = sent_at;
-    started.told = told;
+    started.known_capacity = known_capacity;
     CheckStart(*machine, task, started);
     const bool crashes = !faults_.crashing_payload.empty() &&
                          order.job->payload == faults_.crashing_payload;
@@ -680,8 +683,8 @@
   // After three VMs have crashed under a task that crashes them it may start
   // twice more.
   void CheckBudget(const task_name& task) {
-    if (crashes_under[task] >= kMostCrashes &&
-        ++starts_after_crashes_[task] == kMostCrashes) {
+    if (crash_counts[task] >= kMaxCrashes &&
+        ++starts_after_crashes_[task] == kMaxCrashes) {
       violations.push_back("started three times more after three crashes: " +
                            task.job);
     }
@@ -693,12 +696,12 @@
     // The order that was sent last counts with all the others. The capacity may
     // have changed since.
     const vm_run* last = &run;
-    resources used = run.room;
+    resources used = run.demand;
     for (const auto& [other, held] : machine.runs) {
-      used = used + held.room;
+      used = used + held.demand;
       last = held.sent_at > last->sent_at ? &held : last;
     }
-    if (!Fits(used, last->told)) {
+    if (!Fits(used, last->known_capacity)) {
       violations.push_back("over capacity: " + name);
     }
     for (const auto& [id, other] : vms_) {
@@ -742,18 +745,18 @@
 
   void EndTasks() {
     for (auto& [id, machine] : vms_) {
-      const bool is_lapsed = now >= machine.lease_until;
-      if (is_lapsed) {
-        machine.lapsed_end = machine.last_end;
+      const bool is_expired = now >= machine.lease_until;
+      if (is_expired) {
+        machine.last_expired_end = machine.last_end;
       }
       for (auto it = machine.runs.begin(); it != machine.runs.end();) {
-        if (!is_lapsed && now < it->second.ends_at) {
+        if (!is_expired && now < it->second.ends_at) {
           ++it;
           continue;
         }
         end_kind how = end_kind::kDone;
         if (now < it->second.ends_at) {
-          how = end_kind::kLapsed;
+          how = end_kind::kLeaseExpired;
         } else if (it->second.is_stopping) {
           how = end_kind::kStopped;
         } else if (it->second.fails) {
@@ -770,15 +773,15 @@
   model_faults faults_;
   std::map<vm_id, vm> vms_;
   int last_vm_ = 0;
-  std::int64_t last_born_ = 0;
+  std::int64_t last_incarnation_ = 0;
   /// Lives that are over, until the next one is there, and after that.
   std::map<vm_id, vm_description> crashed_;
   std::set<vm_id> replaced_;
   std::map<task_name, int> starts_after_crashes_;
   std::uint64_t last_epoch_ = 0;
   owner_ptr owner_;
-  owner_ptr zombie_;
-  time_point zombie_until_;
+  owner_ptr earlier_owner_;
+  time_point earlier_owner_until_;
   std::multimap<time_point, std::function<void()>> network_;
   std::vector<std::pair<std::shared_ptr<const job_spec>, queue_policy>>
       submitted_;
@@ -786,7 +789,7 @@
   std::map<vm_id, std::string> used_;
   std::set<task_name> acked_done_;
   /// Jobs of which some VM took a task.
-  std::set<job_id> taken_;
+  std::set<job_id> accepted_;
 };
 
 }  // namespace plantainhead::core::jobs
--- a/tests/core/jobs/pool_model_test.cc
+++ b/tests/core/jobs/pool_model_test.cc
@@ -26,7 +26,7 @@
       step.depends_on = {i - 1};
     }
     if ((*random)() % 4 == 0) {
-      step.most_per_vm = 2;
+      step.max_per_vm = 2;
     }
     steps.push_back(step);
   }
@@ -34,7 +34,8 @@
 }
 
 // Runs a pool under faults, then without, and returns what went wrong.
-std::vector<std::string> Play(std::uint32_t seed, const model_faults& faults) {
+std::vector<std::string> RunModel(std::uint32_t seed,
+                                  const model_faults& faults) {
   std::mt19937 random(seed);
   pool_model model(seed, faults, 5);
   model.Run(milliseconds(500));
@@ -56,10 +57,10 @@
 }
 
 // Plays with seeds that the test's own seed gives.
-bool KeepsPromises(const model_faults& faults) {
+bool HoldsInvariants(const model_faults& faults) {
   return rc::check([&] {
     const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-    RC_ASSERT(Play(seed, faults) == std::vector<std::string>());
+    RC_ASSERT(RunModel(seed, faults) == std::vector<std::string>());
   });
 }
 
@@ -79,7 +80,7 @@
     model_faults faults;
     faults.late_orders = 0.2;
     faults.lost_answers = 0.1;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // A caller asked how many jobs wait and was told 0: the first tasks of all
@@ -89,20 +90,20 @@
     model_faults faults;
     faults.lost_orders = 0.2;
     faults.refused_orders = 0.3;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("VMs that fall silent or crash") {
     model_faults faults;
     faults.silence_every = seconds(2);
     faults.crash_every = seconds(3);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("owners that replace one another while the earlier one goes on") {
     model_faults faults;
     faults.takeover_every = seconds(2);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // A task ran twice: the owner before had read its job sooner than the new
@@ -112,14 +113,14 @@
     faults.takeover_every = seconds(2);
     faults.read_delay = kLatestRead;
     faults.takeover_time = kLongestTakeover;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // Their tasks run on, and none starts there or, on that ground, elsewhere.
   SECTION("VMs whose entries can't be read, with all else") {
     model_faults faults = AllFaults();
     faults.unreadable_every = seconds(2);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   // Guards against starts, and against tasks that are lost or run twice, by a
@@ -127,17 +128,17 @@
   SECTION("VMs whose capacity shrinks and grows") {
     model_faults faults;
     faults.shrink_every = milliseconds(700);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("VMs whose capacity shrinks and grows, with all else") {
     model_faults faults = AllFaults();
     faults.shrink_every = milliseconds(700);
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 
   SECTION("all of it together") {
-    CHECK(KeepsPromises(AllFaults()));
+    CHECK(HoldsInvariants(AllFaults()));
   }
 
   SECTION("all of it together, with lost or refused orders and late reads") {
@@ -146,7 +147,7 @@
     faults.refused_orders = 0.1;
     faults.read_delay = kLatestRead;
     faults.takeover_time = kLongestTakeover;
-    CHECK(KeepsPromises(faults));
+    CHECK(HoldsInvariants(faults));
   }
 }
 
@@ -168,14 +169,14 @@
     faults.takeover_every = seconds(3);
   }
 
-  CHECK(KeepsPromises(faults));
+  CHECK(HoldsInvariants(faults));
 }
 
 // Seeds that failed once.
 TEST_CASE("A pool keeps its promises in the cases that it once broke them") {
   const std::uint32_t seed = GENERATE(130U);
   CAPTURE(seed);
-  CHECK(Play(seed, AllFaults()) == std::vector<std::string>());
+  CHECK(RunModel(seed, AllFaults()) == std::vector<std::string>());
 }
 
 // A queue in its turn asks for twice what its pool holds, for four seconds;
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -12,7 +12,7 @@
 
 TEST_CASE("A pool's scheduler runs the steps of a job in order") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
 
   SECTION("when the second step depends on the first") {
     step_spec second = Step(1);
@@ -78,7 +78,7 @@
 
   SECTION("a limit of tasks of a step on one VM holds") {
     step_spec step = Step(3);
-    step.most_per_vm = 1;
+    step.max_per_vm = 1;
     driver.Add(Job("job", {step}));
     CHECK(driver.StartAll().size() == 2);
   }
@@ -95,7 +95,7 @@
     gang.gang = true;
     driver.Add(Job("job", {gang}));
     CHECK(driver.Starts().empty());
-    driver.Bring({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
+    driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 3);
     CHECK(starts[0].target.run == starts[2].target.run);
@@ -129,7 +129,7 @@
 // first task was only ordered still waits.
 TEST_CASE("A job runs once a VM has taken one of its tasks") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -156,7 +156,7 @@
   }
 
   SECTION("and not when it has no room") {
-    driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoRoom,
+    driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoCapacity,
                                    driver.now);
     CHECK(phase() == job_phase::kQueued);
   }
@@ -164,7 +164,7 @@
 
 TEST_CASE("Failed runs use up a task's attempts") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(2));
   const auto first = driver.StartAll();
   REQUIRE(first.size() == 1);
@@ -200,10 +200,10 @@
 // for good, with room for it.
 TEST_CASE("A failed task goes back to its VM when no other may take it") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
-  step.lasting = true;
-  step.most_per_vm = 1;
+  step.long_running = true;
+  step.max_per_vm = 1;
   driver.Add(Job("job", {step}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
@@ -222,7 +222,7 @@
 
 TEST_CASE("An end is acknowledged only after its record is stored") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   driver.Store();
@@ -252,7 +252,7 @@
 // then shown that it doesn't have it.
 TEST_CASE("A start without an answer is settled before the task starts again") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -306,15 +306,15 @@
 // starts elsewhere only then; the VM's clock may be slow.
 TEST_CASE("The tasks of a silent VM start elsewhere when its lease is over") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(1));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
-  const vm_id silent = starts[0].target.vm;
-  const vm_id other = silent == "vm-1" ? "vm-2" : "vm-1";
+  const vm_id unresponsive = starts[0].target.vm;
+  const vm_id other = unresponsive == "vm-1" ? "vm-2" : "vm-1";
   const duration lease = scheduler_settings().lease;
-  driver.scheduler.OnHoldUnanswered(silent);
-  CHECK_FALSE(driver.scheduler.NextHold(silent, driver.now).lease_until);
+  driver.scheduler.OnHoldUnanswered(unresponsive);
+  CHECK_FALSE(driver.scheduler.NextHold(unresponsive, driver.now).lease_until);
 
   driver.Pass(lease);
   driver.List(other, {}, {});
@@ -331,21 +331,21 @@
 
   SECTION("a failure that the VM lists later counts as an attempt") {
     driver.Store();
-    driver.List(silent, {},
+    driver.List(unresponsive, {},
                 {Ended(1, starts[0].target.task, 1, end_kind::kFailed)});
     CHECK(driver.Store().back().jobs[0].second.phase == job_phase::kFailed);
   }
 
   SECTION("a run that it still has is stopped") {
-    driver.List(silent, {Running(starts[0].target.task, 1)}, {});
+    driver.List(unresponsive, {Running(starts[0].target.task, 1)}, {});
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     CHECK(driver.stops[0].target.run == 1);
   }
 
   SECTION("another life of it ends the wait at once") {
-    driver.scheduler.OnReplaced(silent, driver.now);
-    driver.Bring({Vm(other)});
+    driver.scheduler.OnReplaced(unresponsive, driver.now);
+    driver.Register({Vm(other)});
     CHECK(driver.scheduler.Vms().size() == 1);
   }
 }
@@ -358,7 +358,7 @@
   for (int i = 0; i < 4; ++i) {
     vms.push_back(Vm("vm-" + std::to_string(i), 1000));
   }
-  driver.Bring(vms);
+  driver.Register(vms);
   const auto fail = [&](const std::string& job, std::uint64_t number) {
     driver.List("vm-0", {},
                 {Ended(number, {job, 0, 0, 0}, 1, end_kind::kFailed)});
@@ -389,7 +389,7 @@
 
 TEST_CASE("A task without progress is stopped and goes to another VM") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.StartAll();
   const run_ref target = starts[0].target;
@@ -414,12 +414,12 @@
 
 TEST_CASE("A VM that is emptied keeps what may not be disturbed") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
-  step_spec lasting = Step(2);
-  lasting.lasting = true;
-  lasting.most_per_vm = 1;
-  lasting.may_miss = 1;
-  driver.Add(Job("job", {lasting}));
+  driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
+  step_spec long_running = Step(2);
+  long_running.long_running = true;
+  long_running.max_per_vm = 1;
+  long_running.max_unavailable = 1;
+  driver.Add(Job("job", {long_running}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
   const run_ref moved = starts[0].target;
@@ -453,14 +453,14 @@
 
 TEST_CASE("Tasks that only fill are slowed before they hurt those that serve") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
-  step_spec serving = Step(1);
-  serving.lasting = true;
-  serving.latency_target = milliseconds(100);
-  step_spec filling = Step(1, 50000);
-  filling.fills = true;
-  filling.lasting = true;
-  driver.Add(Job("job", {serving, filling}));
+  driver.Register({Vm("vm-1")});
+  step_spec latency_sensitive = Step(1);
+  latency_sensitive.long_running = true;
+  latency_sensitive.latency_target = milliseconds(100);
+  step_spec background = Step(1, 50000);
+  background.best_effort = true;
+  background.long_running = true;
+  driver.Add(Job("job", {latency_sensitive, background}));
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 2);
   const auto listing = [&](std::int64_t tail_ms) {
@@ -490,7 +490,7 @@
 // callers were told seconds ago that they are cancelled.
 TEST_CASE("Nothing starts while it isn't known what was cancelled") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   const time_point read_at = driver.now;
   driver.scheduler.NoteCancellationsRead(read_at);
   driver.Add(Job("job", {Step(1)}));
@@ -517,7 +517,7 @@
 
 TEST_CASE("A cancelled job starts nothing and its tasks are stopped") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1", 1000)});
+  driver.Register({Vm("vm-1", 1000)});
   driver.Add(Job("job", {Step(3)}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.scheduler.CancelJob("job");
--- a/tests/core/jobs/record_faults_test.cc
+++ b/tests/core/jobs/record_faults_test.cc
@@ -19,55 +19,55 @@
 }
 
 TEST_CASE("A fault is counted each time and told once a key") {
-  fault_ledger ledger;
-  CHECK(ledger.Note("t", "a", kFault));
-  CHECK_FALSE(ledger.Note("t", "a", kFault));
-  CHECK(ledger.Note("t", "b", kFault));
-  CHECK(ledger.Note("u", "a", {fault_kind::kNotJson, ""}));
-  CHECK(ledger.counts().at({"t", fault_kind::kWrongType}) == 3);
-  CHECK(ledger.counts().at({"u", fault_kind::kNotJson}) == 1);
-  CHECK(ledger.FaultyKeys() == 3);
+  record_fault_counter counter;
+  CHECK(counter.Note("t", "a", kFault));
+  CHECK_FALSE(counter.Note("t", "a", kFault));
+  CHECK(counter.Note("t", "b", kFault));
+  CHECK(counter.Note("u", "a", {fault_kind::kNotJson, ""}));
+  CHECK(counter.counts().at({"t", fault_kind::kWrongType}) == 3);
+  CHECK(counter.counts().at({"u", fault_kind::kNotJson}) == 1);
+  CHECK(counter.FaultyKeys() == 3);
 
   SECTION("and again after a sound record of the key") {
-    ledger.NoteSound("t", "a");
-    CHECK(ledger.FaultyKeys() == 2);
-    CHECK(ledger.Note("t", "a", kFault));
+    counter.NoteValid("t", "a");
+    CHECK(counter.FaultyKeys() == 2);
+    CHECK(counter.Note("t", "a", kFault));
   }
 
   SECTION("of keys without end some are told, and all are counted") {
     constexpr int kKeys = 5000;
-    int told = 0;
+    int reported = 0;
     for (int i = 0; i < kKeys; ++i) {
-      told += ledger.Note("v", std::to_string(i), kFault) ? 1 : 0;
+      reported += counter.Note("v", std::to_string(i), kFault) ? 1 : 0;
     }
-    CHECK(told < kKeys);
-    CHECK(ledger.FaultyKeys() == 1000);
-    CHECK(ledger.counts().at({"v", fault_kind::kWrongType}) == kKeys);
+    CHECK(reported < kKeys);
+    CHECK(counter.FaultyKeys() == 1000);
+    CHECK(counter.counts().at({"v", fault_kind::kWrongType}) == kKeys);
   }
 }
 
 TEST_CASE("A fault does what harms least, whoever wrote the record") {
-  CHECK(EffectOf(record_use::kConfiguration) == fault_effect::kEarlierHolds);
-  CHECK(EffectOf(record_use::kWave) == fault_effect::kEarlierHolds);
-  CHECK(EffectOf(record_use::kVmEntry) == fault_effect::kNoNewWork);
-  CHECK(EffectOf(record_use::kJob) == fault_effect::kEarlierHolds);
-  CHECK(EffectOf(record_use::kProgress) == fault_effect::kEarlierHolds);
+  CHECK(EffectOf(record_use::kConfiguration) == fault_effect::kKeepPrevious);
+  CHECK(EffectOf(record_use::kWave) == fault_effect::kKeepPrevious);
+  CHECK(EffectOf(record_use::kVmEntry) == fault_effect::kNoNewTasks);
+  CHECK(EffectOf(record_use::kJob) == fault_effect::kKeepPrevious);
+  CHECK(EffectOf(record_use::kProgress) == fault_effect::kKeepPrevious);
   CHECK(EffectOf(record_use::kOwnerClaim) == fault_effect::kClaimUnknown);
-  CHECK(EffectOf(record_use::kUsedVm) == fault_effect::kCountsAsUsed);
-  CHECK(EffectOf(record_use::kVacancy) == fault_effect::kEarlierHolds);
-  CHECK(EffectOf(record_use::kHostOrder) == fault_effect::kCountsAsUsed);
-  CHECK(EffectOf(record_use::kFleetNote) == fault_effect::kEarlierHolds);
+  CHECK(EffectOf(record_use::kUsedVm) == fault_effect::kAssumeInUse);
+  CHECK(EffectOf(record_use::kVacancy) == fault_effect::kKeepPrevious);
+  CHECK(EffectOf(record_use::kHostOrder) == fault_effect::kAssumeInUse);
+  CHECK(EffectOf(record_use::kFleetNote) == fault_effect::kKeepPrevious);
 }
 
 TEST_CASE("Names that become parts of keys and headers") {
-  CHECK(IsSoundName("i-7f3a91c2"));
-  CHECK_FALSE(IsSoundName(""));
-  CHECK_FALSE(IsSoundName("a b"));
-  CHECK_FALSE(IsSoundName("a\r\nb"));
-  CHECK_FALSE(IsSoundName("\xc3\xa9"));
-  CHECK_FALSE(IsSoundName(std::string(1, '\0')));
-  CHECK(IsSoundName(std::string(kMostNameBytes, 'a')));
-  CHECK_FALSE(IsSoundName(std::string(kMostNameBytes + 1, 'a')));
+  CHECK(IsValidName("i-7f3a91c2"));
+  CHECK_FALSE(IsValidName(""));
+  CHECK_FALSE(IsValidName("a b"));
+  CHECK_FALSE(IsValidName("a\r\nb"));
+  CHECK_FALSE(IsValidName("\xc3\xa9"));
+  CHECK_FALSE(IsValidName(std::string(1, '\0')));
+  CHECK(IsValidName(std::string(kMaxNameBytes, 'a')));
+  CHECK_FALSE(IsValidName(std::string(kMaxNameBytes + 1, 'a')));
 }
 
 TEST_CASE("A VM whose record can't be read takes no work and isn't gone") {
@@ -94,9 +94,9 @@
     vm_description leaving = VmOf("b", "pool");
     leaving.draining = true;
     registry.Put(leaving);
-    CHECK(registry.Leaving() == std::set<vm_id>{"b"});
+    CHECK(registry.Draining() == std::set<vm_id>{"b"});
     registry.PutUnreadable("b");
-    CHECK(registry.Leaving().empty());
+    CHECK(registry.Draining().empty());
   }
 
   SECTION("until its key is dropped") {
@@ -128,7 +128,7 @@
   other.host = "b";
   const std::vector<fleet_host> before = {up, other};
 
-  const auto kept = KeepFaultyHosts({up}, {"b"}, before);
+  const auto kept = AddUnreadableHosts({up}, {"b"}, before);
   REQUIRE(kept.size() == 2);
   CHECK(kept[0].state == host_state::kUp);
   CHECK(kept[1].host == "b");
@@ -136,18 +136,18 @@
   CHECK(kept[1].vm.empty());
 
   SECTION("a row without a name may be any host of before") {
-    const auto all = KeepFaultyHosts({up}, {""}, before);
+    const auto all = AddUnreadableHosts({up}, {""}, before);
     REQUIRE(all.size() == 2);
     CHECK(all[1].host == "b");
     CHECK(all[1].state == host_state::kDown);
   }
 
   SECTION("a host that has a sound row, too, has just that") {
-    CHECK(KeepFaultyHosts({up}, {"a"}, before).size() == 1);
+    CHECK(AddUnreadableHosts({up}, {"a"}, before).size() == 1);
   }
 
   SECTION("without faults a host that isn't listed has left") {
-    CHECK(KeepFaultyHosts({up}, {}, before).size() == 1);
+    CHECK(AddUnreadableHosts({up}, {}, before).size() == 1);
   }
 }
 
--- a/tests/core/jobs/report_ages_test.cc
+++ b/tests/core/jobs/report_validity_test.cc
@@ -1,4 +1,4 @@
-#include "plantainhead/core/jobs/report_ages.h"
+#include "plantainhead/core/jobs/report_validity.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
 // Guards against starts by a capacity that a VM had before its reports stopped,
 // and against pools that start nothing since their VMs report rarely.
 TEST_CASE("How long a VM's report is trusted follows how often it reports") {
-  report_ages ages;
+  report_validity ages;
   const time_point first(seconds(100));
   ages.Note("vm", first);
   CHECK(ages.trusted_until().empty());
--- a/tests/core/jobs/routing_test.cc
+++ b/tests/core/jobs/routing_test.cc
@@ -24,7 +24,7 @@
   const routing_table table(configuration);
 
   CHECK(table.Find("a.example", "/x/y/id").route->queue == "long");
-  CHECK(table.Find("a.example", "/x/y/id").rest == "id");
+  CHECK(table.Find("a.example", "/x/y/id").path_suffix == "id");
   CHECK(table.Find("a.example", "/x/z").route->queue == "short");
   CHECK(table.Find("b.example", "/x/y/id").route->queue == "other");
   CHECK(table.Find("a.example", "/").route == nullptr);
--- a/tests/core/jobs/scheduler_driver.h
+++ b/tests/core/jobs/scheduler_driver.h
@@ -60,7 +60,7 @@
 
   /// Lists the VMs, stores the record of them and lets each tell that it is
   /// idle.
-  void Bring(const std::vector<vm_description>& vms) {
+  void Register(const std::vector<vm_description>& vms) {
     scheduler.UpdateVms(vms, now);
     for (const vm_description& vm : vms) {
       List(vm.id, {}, {});
@@ -84,7 +84,7 @@
                   time_point sent_at,
                   std::vector<running_task> running,
                   std::vector<ended_task> ended) {
-    vm_listing listing;
+    run_listing listing;
     listing.vm_clock = now.time_since_epoch();
     listing.running = std::move(running);
     listing.ended = std::move(ended);
--- a/tests/core/jobs/send_window_test.cc
+++ b/tests/core/jobs/send_window_test.cc
@@ -18,7 +18,7 @@
 constexpr milliseconds kTimeout(700);
 constexpr int kRounds = 60'000;
 
-struct link_figures {
+struct link_counts {
   int answered = 0;
   int timed_out = 0;
 };
@@ -26,21 +26,21 @@
 // An owner with more to start than it may, over a link that passes an order
 // each `spacing`, in turn. Orders that wait past the timeout are given up, and
 // take their time on the link all the same.
-link_figures Play(duration spacing, bool has_window) {
+link_counts Simulate(duration spacing, bool has_window) {
   send_window window;
   std::deque<time_point> waiting;
-  link_figures figures;
+  link_counts counts;
   time_point now(seconds(1));
   time_point free_at = now;
   std::size_t given_up = 0;
   for (int i = 0; i < kRounds; ++i, now += kTick) {
-    const std::size_t most = has_window ? window.size() : 512;
-    while (waiting.size() - given_up < most) {
+    const std::size_t max_in_flight = has_window ? window.size() : 512;
+    while (waiting.size() - given_up < max_in_flight) {
       waiting.push_back(now);
     }
     while (given_up < waiting.size() && now - waiting[given_up] >= kTimeout) {
       ++given_up;
-      ++figures.timed_out;
+      ++counts.timed_out;
       window.NoteResult(kTimeout, now);
     }
     while (free_at <= now && !waiting.empty()) {
@@ -51,29 +51,29 @@
         --given_up;
         continue;
       }
-      ++figures.answered;
+      ++counts.answered;
       window.NoteResult(took, now);
     }
   }
-  return figures;
+  return counts;
 }
 
 // Guards against an owner whose link is full, and which sends more starts than
 // are answered in time: it must stop what it can't know, and starts it again.
 TEST_CASE("The starts under way follow what a link carries") {
   SECTION("few time out on a link that carries 200 a second") {
-    const link_figures figures = Play(milliseconds(5), true);
-    CHECK(figures.timed_out * 10 < figures.answered);
+    const link_counts counts = Simulate(milliseconds(5), true);
+    CHECK(counts.timed_out * 10 < counts.answered);
 
     SECTION("which is used all the same") {
       constexpr int kCarried = 200 * 60;
-      CHECK(figures.answered * 10 > kCarried * 8);
+      CHECK(counts.answered * 10 > kCarried * 8);
     }
   }
 
   SECTION("most do without a window") {
-    const link_figures figures = Play(milliseconds(5), false);
-    CHECK(figures.timed_out > figures.answered);
+    const link_counts counts = Simulate(milliseconds(5), false);
+    CHECK(counts.timed_out > counts.answered);
   }
 
   SECTION("a link that carries all isn't held back") {
@@ -113,11 +113,11 @@
   for (int i = 0; i < kVms; ++i) {
     vms.push_back(Vm("vm-" + std::to_string(i)));
   }
-  driver.Bring(vms);
+  driver.Register(vms);
   driver.Add(Job("job", {Step(700)}));
   const auto starts = driver.Starts();
   CHECK(starts.size() == 512);
-  CHECK(driver.scheduler.HoldsStartsBack());
+  CHECK(driver.scheduler.IsStartWindowFull());
   CHECK(driver.Starts().empty());
 
   SECTION("and goes on when VMs have answered") {
@@ -126,7 +126,7 @@
                                      driver.now);
     }
     CHECK(driver.Starts().size() == 188);
-    CHECK_FALSE(driver.scheduler.HoldsStartsBack());
+    CHECK_FALSE(driver.scheduler.IsStartWindowFull());
   }
 
   SECTION("and has half as many under way once answers are missing") {
--- a/tests/core/jobs/shrunk_vm_test.cc
+++ b/tests/core/jobs/shrunk_vm_test.cc
@@ -31,10 +31,10 @@
   return vm;
 }
 
-step_spec Lasting(std::uint32_t tasks) {
+step_spec LongRunningStep(std::uint32_t tasks) {
   step_spec step = Step(tasks, 2000);
-  step.lasting = true;
-  step.may_miss = 1;
+  step.long_running = true;
+  step.max_unavailable = 1;
   return step;
 }
 
@@ -42,7 +42,7 @@
 // against ending those tasks for it.
 TEST_CASE("A VM that shrinks below what runs on it") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(4, 2000)}));
   REQUIRE(driver.StartAll().size() == 4);
   driver.List("vm-1", AllRunning(4, 10), {});
@@ -94,7 +94,7 @@
 
   SECTION("has no room for tasks that take no processor time of their own") {
     step_spec filling = Step(1, 500);
-    filling.fills = true;
+    filling.best_effort = true;
     driver.Add(Job("filling", {filling}));
     driver.scheduler.UpdateVms({ShortOfMemory()}, driver.now);
     CHECK(driver.Starts().empty());
@@ -118,7 +118,7 @@
 // took no room.
 TEST_CASE("A VM that shrinks while a start is on its way") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1", 4000), Vm("vm-2", 4000)});
+  driver.Register({Vm("vm-1", 4000), Vm("vm-2", 4000)});
   driver.Add(Job("job", {Step(1, 3000)}), Policy(1));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
@@ -137,7 +137,8 @@
   }
 
   SECTION("refuses it, and the task starts elsewhere without a lost attempt") {
-    driver.scheduler.OnStartAnswer(target, start_result::kNoRoom, driver.now);
+    driver.scheduler.OnStartAnswer(target, start_result::kNoCapacity,
+                                   driver.now);
     const auto again = driver.StartAll();
     REQUIRE(again.size() == 1);
     CHECK(again[0].target.vm == other);
@@ -152,8 +153,8 @@
 // against moves of several at once when that VM is emptied.
 TEST_CASE("Lasting tasks on a VM that shrinks stay at work") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
-  driver.Add(Job("job", {Lasting(3)}));
+  driver.Register({Vm("vm-1")});
+  driver.Add(Job("job", {LongRunningStep(3)}));
   REQUIRE(driver.StartAll().size() == 3);
   driver.List("vm-1", AllRunning(3, 100), {});
   driver.scheduler.UpdateVms({Vm("vm-1", 3000), Vm("vm-2")}, driver.now);
@@ -196,8 +197,8 @@
 // when it begins on a VM that has shrunk.
 TEST_CASE("An owner that begins after a VM has shrunk") {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   scheduler_driver driver(bounds);
   driver.now = kClaimed;
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -242,7 +243,7 @@
 // it can't report a smaller one meanwhile.
 TEST_CASE("A VM whose report of its capacity is old") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const duration left = milliseconds(3000);
   driver.scheduler.NoteReports({{"vm-1", driver.now + left}});
@@ -268,7 +269,7 @@
 // Guards against a gang of which a part starts, as one of its VMs has shrunk.
 TEST_CASE("A gang that a shrunk VM has no room for waits as a whole") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec gang = Step(2, 6000);
   gang.gang = true;
   driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2", 5000)}, driver.now);
@@ -281,7 +282,7 @@
 // Guards against a pool that draws no VMs as it counts room that is gone.
 TEST_CASE("A pool whose VMs have shrunk wants more of them") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(8, 2000)}));
   REQUIRE(driver.StartAll().size() == 8);
   const pool_load before = driver.scheduler.Load("pool", driver.now);
@@ -292,7 +293,7 @@
   CHECK(after.vm_capacity.cpu_millis == 6000);
 
   sizer_settings settings;
-  settings.fill = 1.0;
+  settings.fill_ratio = 1.0;
   settings.reserve = 0;
   CHECK(pool_sizer(settings).Update(before, false, driver.now) == 2);
   CHECK(pool_sizer(settings).Update(after, false, driver.now) == 3);
--- a/tests/core/jobs/suspected_task_test.cc
+++ b/tests/core/jobs/suspected_task_test.cc
@@ -20,12 +20,12 @@
 class suspected_task {
  public:
   explicit suspected_task(const step_spec& step) {
-    driver.Bring({Vm("vm-0")});
+    driver.Register({Vm("vm-0")});
     driver.Add(Job("suspect", {step}));
     REQUIRE(driver.StartAll().size() == 1);
     driver.Pass(seconds(3));
     driver.scheduler.OnReplaced("vm-0", driver.now);
-    driver.Bring({Vm("vm-1"), Vm("vm-2")});
+    driver.Register({Vm("vm-1"), Vm("vm-2")});
   }
 
   job_phase Phase() {
@@ -142,13 +142,13 @@
     progress.tasks[0].losses = {{2, loss_kind::kSilenceAtStart, "vm-1"},
                                 {1, loss_kind::kCrashAtStart, "vm-0"}};
     next.scheduler.RestoreJob("suspect", progress);
-    next.Bring({Vm("vm-1")});
+    next.Register({Vm("vm-1")});
     next.StartAll();
     next.scheduler.OnReplaced("vm-1", next.now);
     std::vector<run_loss> losses;
     for (const progress_batch& batch : next.Store()) {
-      for (const auto& [id, told] : batch.jobs) {
-        losses = told.tasks.empty() ? losses : told.tasks[0].losses;
+      for (const auto& [id, recorded] : batch.jobs) {
+        losses = recorded.tasks.empty() ? losses : recorded.tasks[0].losses;
       }
     }
     CHECK(std::none_of(losses.begin(), losses.end(),
@@ -165,17 +165,17 @@
   scheduler_driver driver;
   driver.Add(Job("bystander", {Step(1)}));
   const task_name bystander{"bystander", 0, 0, 0};
-  std::map<job_id, job_progress> told;
+  std::map<job_id, job_progress> recorded;
   const auto store = [&] {
     for (const progress_batch& batch : driver.Store()) {
       for (const auto& [id, progress] : batch.jobs) {
-        told[id] = progress;
+        recorded[id] = progress;
       }
     }
   };
   for (int i = 0; i < kRounds; ++i) {
     const vm_id vm = "vm-" + std::to_string(i);
-    driver.Bring({Vm(vm)});
+    driver.Register({Vm(vm)});
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 1);
     CHECK(starts[0].target.task == bystander);
@@ -197,17 +197,17 @@
     driver.Pass(milliseconds(10));
     driver.scheduler.OnReplaced(vm, driver.now);
     store();
-    CHECK(told[id].phase == job_phase::kFailed);
-    REQUIRE(told["bystander"].phase == job_phase::kRunning);
+    CHECK(recorded[id].phase == job_phase::kFailed);
+    REQUIRE(recorded["bystander"].phase == job_phase::kRunning);
   }
-  CHECK(told["bystander"].tasks.at(0).losses.empty());
+  CHECK(recorded["bystander"].tasks.at(0).losses.empty());
 }
 
 // Guards against lasting jobs that are given up after they have outlived a few
 // VMs: what counts are crashes at starts in a row.
 TEST_CASE("A lasting task that was at work has nothing against it") {
   step_spec step = Step(1);
-  step.lasting = true;
+  step.long_running = true;
   suspected_task play(step);
   scheduler_driver& driver = play.driver;
   const auto starts = driver.StartAll();
@@ -218,7 +218,7 @@
     driver.Pass(seconds(1));
     driver.List(target.vm, {Running(target.task, target.run, 100)}, {});
     play.Crash(target.vm);
-    driver.Bring({Vm("vm-3"), Vm("vm-4")});
+    driver.Register({Vm("vm-3"), Vm("vm-4")});
     const auto again = driver.StartAll();
     REQUIRE(again.size() == 1);
     play.Crash(again[0].target.vm);
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -13,8 +13,8 @@
 
 takeover_bounds Bounds() {
   takeover_bounds bounds;
-  bounds.fresh_from = kClaimed + seconds(2);
-  bounds.others_lapsed_at = kClaimed + seconds(7);
+  bounds.exclusive_from = kClaimed + seconds(2);
+  bounds.default_lease_end = kClaimed + seconds(7);
   return bounds;
 }
 
@@ -77,7 +77,7 @@
 // one after the other, on VMs that were vacant.
 TEST_CASE("The end of a vacant VM's lease holds up no takeover") {
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-2"] = kClaimed;
+  bounds.lease_ends["vm-2"] = kClaimed;
   scheduler_driver driver(bounds);
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -93,7 +93,7 @@
 // known: the next owner doesn't ask it, and would start its task again.
 TEST_CASE("A VM that tells an end of an unknown job isn't empty") {
   scheduler_driver driver(Bounds());
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   CHECK(driver.scheduler.IsEmpty("vm-1"));
   driver.List("vm-1", {}, {Ended(1, {"unknown", 0, 0, 0}, 1, end_kind::kDone)});
   CHECK_FALSE(driver.scheduler.IsEmpty("vm-1"));
@@ -170,7 +170,7 @@
 
   SECTION("a known end of a VM's lease goes before the general bound") {
     takeover_bounds bounds = Bounds();
-    bounds.lapsed_at["vm-2"] = kClaimed + seconds(1);
+    bounds.lease_ends["vm-2"] = kClaimed + seconds(1);
     scheduler_driver informed(bounds);
     informed.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
     informed.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -194,7 +194,7 @@
 TEST_CASE("A job that is read after a VM has told of it isn't started again") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
 
   SECTION("when the VM has told that its task runs") {
@@ -205,7 +205,7 @@
     CHECK(driver.stops.empty());
 
     SECTION("and when that run is over, the next one has a higher number") {
-      driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+      driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
       const auto starts = driver.Starts();
       REQUIRE(starts.size() == 1);
       CHECK(starts[0].target.run == 2);
@@ -258,36 +258,36 @@
     "The end of a run that nobody has heard doesn't pass for a newer one") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-1"] = kClaimed;
-  const known_vm silent{"vm-1", "10.0.0.1:80"};
+  bounds.lease_ends["vm-1"] = kClaimed;
+  const known_vm unresponsive{"vm-1", "10.0.0.1:80"};
 
   // Brings the silent VM back while the task's new run is on vm-2.
   const auto bring_back = [&](scheduler_driver* driver, std::uint32_t run) {
     driver->Pass(milliseconds(500));
     driver->scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver->now);
     driver->List("vm-2", {Running(task, run)}, {});
-    driver->List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+    driver->List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
     driver->Store();
   };
 
-  scheduler_driver heir(bounds);
-  heir.scheduler.AddKnownVm(silent);
-  heir.Add(Job("job", {Step(1)}));
+  scheduler_driver successor(bounds);
+  successor.scheduler.AddKnownVm(unresponsive);
+  successor.Add(Job("job", {Step(1)}));
 
   SECTION("under the heir that dropped the VM's record") {
-    heir.Starts();
-    heir.Bring({Vm("vm-2")});
-    const auto starts = heir.StartAll();
+    successor.Starts();
+    successor.Register({Vm("vm-2")});
+    const auto starts = successor.StartAll();
     REQUIRE(starts.size() == 1);
-    bring_back(&heir, starts[0].target.run);
-    CHECK(heir.Starts().empty());
+    bring_back(&successor, starts[0].target.run);
+    CHECK(successor.Starts().empty());
   }
 
   SECTION("under an owner that replaces the heir before it has started any") {
-    heir.Starts();
+    successor.Starts();
     job_progress recorded;
     bool is_vm_recorded = true;
-    for (const progress_batch& batch : heir.Store()) {
+    for (const progress_batch& batch : successor.Store()) {
       for (const auto& [id, progress] : batch.jobs) {
         recorded = progress;
       }
@@ -298,10 +298,10 @@
     next.Add(Job("job", {Step(1)}));
     next.scheduler.RestoreJob("job", recorded);
     if (is_vm_recorded) {
-      next.scheduler.AddKnownVm(silent);
+      next.scheduler.AddKnownVm(unresponsive);
     }
     next.Starts();
-    next.Bring({Vm("vm-2")});
+    next.Register({Vm("vm-2")});
     const auto starts = next.StartAll();
     REQUIRE(starts.size() == 1);
     bring_back(&next, starts[0].target.run);
@@ -317,23 +317,23 @@
 TEST_CASE("A number that was given before a record of it is not given again") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
-  bounds.lapsed_at["vm-1"] = kClaimed;
-  scheduler_driver heir(bounds);
+  bounds.lease_ends["vm-1"] = kClaimed;
+  scheduler_driver successor(bounds);
   std::vector<start_order> given;
 
   SECTION("to a job that is read after the silent VM's record was dropped") {
-    heir.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
-    heir.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
-    heir.Starts();
-    heir.Bring({Vm("vm-2")});
-    heir.Pass(seconds(1));
-    heir.List("vm-2", {}, {});
-    heir.Add(Job("job", {Step(1)}));
-    given = heir.StartAll();
+    successor.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
+    successor.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
+    successor.Starts();
+    successor.Register({Vm("vm-2")});
+    successor.Pass(seconds(1));
+    successor.List("vm-2", {}, {});
+    successor.Add(Job("job", {Step(1)}));
+    given = successor.StartAll();
   }
 
   SECTION("because of a VM of which no record was kept") {
-    bounds.lapsed_at["vm-1"] = kClaimed + milliseconds(100);
+    bounds.lease_ends["vm-1"] = kClaimed + milliseconds(100);
     scheduler_driver other(bounds);
     other.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
     other.Add(Job("job", {Step(1)}));
@@ -354,13 +354,13 @@
   REQUIRE(given[0].target.vm == "vm-2");
 
   takeover_bounds later = Bounds();
-  later.lapsed_at["vm-2"] = kClaimed;
+  later.lease_ends["vm-2"] = kClaimed;
   scheduler_driver next(later);
   next.Add(Job("job", {Step(1)}));
   next.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
   next.Starts();
   next.Store();
-  next.Bring({Vm("vm-3")});
+  next.Register({Vm("vm-3")});
   const auto starts = next.StartAll();
   REQUIRE(starts.size() == 1);
   CHECK(starts[0].target.run != given[0].target.run);
@@ -368,7 +368,7 @@
   next.scheduler.UpdateVms({Vm("vm-2"), Vm("vm-3")}, next.now);
   next.List("vm-3", {Running(task, starts[0].target.run)}, {});
   next.List("vm-2", {},
-            {Ended(1, task, given[0].target.run, end_kind::kLapsed)});
+            {Ended(1, task, given[0].target.run, end_kind::kLeaseExpired)});
   next.Store();
   CHECK(next.Starts().empty());
 }
@@ -380,7 +380,7 @@
 TEST_CASE("A job that is read late isn't started again after its end") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
   const ended_task end = Ended(1, task, 1, end_kind::kDone);
   for (int i = 0; i < 35; ++i) {
@@ -402,7 +402,7 @@
 TEST_CASE("A run that was told before its job was read keeps its number") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
   const auto start_after_read = [&] {
     driver.Pass(seconds(8));
@@ -422,7 +422,7 @@
   SECTION("one that ran") {
     driver.List("vm-1", {Running(task, 1)}, {});
     start_after_read();
-    driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLapsed)});
+    driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
     driver.Starts();
     driver.Store();
     CHECK(driver.Starts().empty());
@@ -449,7 +449,7 @@
   progress.tasks.push_back({0, 0, 1, 2, {2}, false, "saved", false});
   driver.scheduler.RestoreJob("job", progress);
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   const auto starts = driver.StartAll();
   REQUIRE(starts.size() == 1);
   CHECK(starts[0].target.task.index == 1);
--- a/tests/core/jobs/unanswered_start_test.cc
+++ b/tests/core/jobs/unanswered_start_test.cc
@@ -15,11 +15,11 @@
 // settled by a stop.
 TEST_CASE("A lasting task whose start had no answer") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1"), Vm("vm-2")});
+  driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
-  step.lasting = true;
-  step.most_per_vm = 1;
-  step.may_miss = 1;
+  step.long_running = true;
+  step.max_per_vm = 1;
+  step.max_unavailable = 1;
   driver.Add(Job("job", {step}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 2);
@@ -60,7 +60,7 @@
 // The order was sent once, so that nothing of it can come any more.
 TEST_CASE("A run that a VM has shown needs no answer to its start") {
   scheduler_driver driver;
-  driver.Bring({Vm("vm-1")});
+  driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
   const auto starts = driver.Starts();
   REQUIRE(starts.size() == 1);
--- a/tests/core/jobs/vacancy_checker_test.cc
+++ b/tests/core/jobs/vacancy_checker_test.cc
@@ -24,51 +24,55 @@
 
   SECTION("An offer counts for nothing before its partition was read") {
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
-    CHECK(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
+    CHECK(checker.TakePartitionsToRead() ==
+          std::set<std::uint32_t>{kPartition});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
 
     SECTION("and then when the record was there") {
-      checker.EndReading(kPartition, true, {"vm-1"});
+      checker.OnPartitionRead(kPartition, true, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
             std::set<vm_id>{"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kForService).empty());
-      CHECK(checker.TakeReadings().empty());
+      CHECK(checker.TakePartitionsToRead().empty());
     }
 
     SECTION("but not when the record wasn't, and it isn't asked for again") {
-      checker.EndReading(kPartition, true, {"vm-2"});
+      checker.OnPartitionRead(kPartition, true, {"vm-2"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
-      CHECK(checker.TakeReadings().empty());
+      CHECK(checker.TakePartitionsToRead().empty());
 
       SECTION("until an owner of a later epoch offers the VM too") {
         checker.UpdateHints({Offer("vm-1", kEpoch + 1)});
-        CHECK(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
-        checker.EndReading(kPartition, true, {"vm-1"});
+        CHECK(checker.TakePartitionsToRead() ==
+              std::set<std::uint32_t>{kPartition});
+        checker.OnPartitionRead(kPartition, true, {"vm-1"});
         CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
               std::set<vm_id>{"vm-1"});
       }
     }
 
     SECTION("and is asked for again when the reading failed") {
-      checker.EndReading(kPartition, false, {"vm-1"});
+      checker.OnPartitionRead(kPartition, false, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
-      CHECK(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
+      CHECK(checker.TakePartitionsToRead() ==
+            std::set<std::uint32_t>{kPartition});
     }
   }
 
   SECTION("A reading that began before the offer was read says nothing of it") {
-    REQUIRE(checker.TakeReadings().size() == 1);
+    REQUIRE(checker.TakePartitionsToRead().size() == 1);
     checker.UpdateHints({Offer("vm-1"), Offer("vm-2")});
-    CHECK(checker.TakeReadings().empty());
-    checker.EndReading(kPartition, true, {"vm-1", "vm-2"});
+    CHECK(checker.TakePartitionsToRead().empty());
+    checker.OnPartitionRead(kPartition, true, {"vm-1", "vm-2"});
     CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
           std::set<vm_id>{"vm-1"});
-    CHECK(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
+    CHECK(checker.TakePartitionsToRead() ==
+          std::set<std::uint32_t>{kPartition});
   }
 
   SECTION("A hint that was taken back counts no more") {
-    checker.TakeReadings();
-    checker.EndReading(kPartition, true, {"vm-1"});
+    checker.TakePartitionsToRead();
+    checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateHints({});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
   }
@@ -82,11 +86,12 @@
 TEST_CASE("An offer counts no longer than its record is there") {
   vacancy_checker checker{vacancy_settings()};
   checker.UpdateHints({Offer("vm-1")});
-  checker.TakeReadings();
-  checker.EndReading(kPartition, true, {"vm-1"});
+  checker.TakePartitionsToRead();
+  checker.OnPartitionRead(kPartition, true, {"vm-1"});
   checker.UpdateHints({Offer("vm-1"), Offer("vm-2")});
-  REQUIRE(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
-  checker.EndReading(kPartition, true, {"vm-2"});
+  REQUIRE(checker.TakePartitionsToRead() ==
+          std::set<std::uint32_t>{kPartition});
+  checker.OnPartitionRead(kPartition, true, {"vm-2"});
   CHECK(checker.Confirmed(vacancy_reason::kOffered) == std::set<vm_id>{"vm-2"});
 }
 
@@ -97,7 +102,7 @@
 TEST_CASE("An offer ends with its record and counts again with the next one") {
   vacancy_checker checker{vacancy_settings()};
   checker.UpdateHints({Offer("vm-1")});
-  checker.TakeReadings();
+  checker.TakePartitionsToRead();
 
   SECTION("A copy says nothing of an offer whose reading is under way") {
     checker.UpdateVacant(kPartition, {"vm-1"});
@@ -105,33 +110,34 @@
   }
 
   SECTION("The copy of another partition doesn't end it") {
-    checker.EndReading(kPartition, true, {"vm-1"});
+    checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateVacant(kPartition + 1, {});
     CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
           std::set<vm_id>{"vm-1"});
   }
 
   SECTION("A copy of its partition without the record ends it") {
-    checker.EndReading(kPartition, true, {"vm-1"});
+    checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateVacant(kPartition, {});
     CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
-    CHECK(checker.TakeReadings().empty());
+    CHECK(checker.TakePartitionsToRead().empty());
 
     SECTION("and one with the record has the partition read again") {
       checker.UpdateVacant(kPartition, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered).empty());
-      CHECK(checker.TakeReadings() == std::set<std::uint32_t>{kPartition});
-      checker.EndReading(kPartition, true, {"vm-1"});
+      CHECK(checker.TakePartitionsToRead() ==
+            std::set<std::uint32_t>{kPartition});
+      checker.OnPartitionRead(kPartition, true, {"vm-1"});
       CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
             std::set<vm_id>{"vm-1"});
     }
   }
 
   SECTION("A reading that failed doesn't end an offer that was confirmed") {
-    checker.EndReading(kPartition, true, {"vm-1"});
+    checker.OnPartitionRead(kPartition, true, {"vm-1"});
     checker.UpdateHints({Offer("vm-1"), Offer("vm-2")});
-    checker.TakeReadings();
-    checker.EndReading(kPartition, false, {});
+    checker.TakePartitionsToRead();
+    checker.OnPartitionRead(kPartition, false, {});
     CHECK(checker.Confirmed(vacancy_reason::kOffered) ==
           std::set<vm_id>{"vm-1"});
   }
@@ -147,19 +153,19 @@
   vacancy_checker checker{vacancy_settings()};
   time_point now{std::chrono::hours(1)};
   checker.UpdateHints({Offer("vm-1")});
-  checker.TakeReadings();
-  checker.EndReading(kPartition, true, {"vm-1"});
-  CHECK(checker.TakeGoneOffers({}, now).empty());
+  checker.TakePartitionsToRead();
+  checker.OnPartitionRead(kPartition, true, {"vm-1"});
+  CHECK(checker.TakeStaleOffers({}, now).empty());
   now += std::chrono::seconds(2);
-  CHECK(checker.TakeGoneOffers({}, now).empty());
-  CHECK(checker.TakeGoneOffers({"vm-1"}, now).empty());
+  CHECK(checker.TakeStaleOffers({}, now).empty());
+  CHECK(checker.TakeStaleOffers({"vm-1"}, now).empty());
 
   SECTION("and is dropped, once, some time after it was moved") {
     now += std::chrono::seconds(9);
-    CHECK(checker.TakeGoneOffers({}, now).empty());
+    CHECK(checker.TakeStaleOffers({}, now).empty());
     now += std::chrono::seconds(11);
-    CHECK(checker.TakeGoneOffers({}, now) == std::vector<vm_id>{"vm-1"});
-    CHECK(checker.TakeGoneOffers({}, now).empty());
+    CHECK(checker.TakeStaleOffers({}, now) == std::vector<vm_id>{"vm-1"});
+    CHECK(checker.TakeStaleOffers({}, now).empty());
   }
 }
 
@@ -169,8 +175,8 @@
   vacancy_checker checker{vacancy_settings()};
   checker.NoteHint(Offer("vm-1"));
   CHECK(checker.TakeChanges().empty());
-  REQUIRE(checker.TakeReadings().size() == 1);
-  checker.EndReading(kPartition, true, {"vm-1"});
+  REQUIRE(checker.TakePartitionsToRead().size() == 1);
+  checker.OnPartitionRead(kPartition, true, {"vm-1"});
   auto changes = checker.TakeChanges();
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].vm == "vm-1");
--- a/tests/core/jobs/vm_index_test.cc
+++ b/tests/core/jobs/vm_index_test.cc
@@ -24,9 +24,9 @@
   indexed_vms() {
     for (std::size_t i = 0; i < kVms; ++i) {
       vms_.push_back(table_.Add(Vm("vm-" + std::to_string(i))).first);
-      vms_.back()->is_settled = true;
+      vms_.back()->is_reconciled = true;
       vms_.back()->is_recorded = true;
-      vms_.back()->Hear(duration(1), now_);
+      vms_.back()->RecordAnswer(duration(1), now_);
       index_.Update(vms_.back(), now_);
     }
   }
@@ -43,16 +43,16 @@
         vm->is_recorded = !vm->is_recorded;
         break;
       case 2:
-        vm->is_listed = !vm->is_listed;
+        vm->is_registered = !vm->is_registered;
         break;
       case 3:
         vm->NoteUnanswered();
         break;
       case 4:
-        vm->Hear(vm->last_clock() + duration(1), now_);
+        vm->RecordAnswer(vm->last_clock() + duration(1), now_);
         break;
       case 5:
-        vm->Add(task, RunOf(lasting_));
+        vm->Add(task, RunOf(long_running_));
         break;
       case 6:
         vm->Add(task, RunOf(short_));
@@ -72,9 +72,9 @@
     std::size_t idle = 0;
     std::size_t starts = 0;
     resources used;
-    std::map<std::string, std::size_t> takers;
+    std::map<std::string, std::size_t> available;
     for (const vm_state* vm : vms_) {
-      const bool is_idle = vm->IsUsable() && !vm->HasLasting();
+      const bool is_idle = vm->IsUsable() && !vm->HasLongRunning();
       usable += vm->IsUsable() ? 1 : 0;
       idle += is_idle ? 1 : 0;
       used = vm->IsUsable() ? used + (vm->description().capacity - vm->Free())
@@ -85,16 +85,18 @@
         const bool has_label =
             label.empty() ||
             std::find(labels.begin(), labels.end(), label) != labels.end();
-        takers[label] += has_label && vm->IsUsable() && vm->is_recorded ? 1 : 0;
+        available[label] +=
+            has_label && vm->IsUsable() && vm->is_recorded ? 1 : 0;
       }
     }
-    const pool_figures* figures = index_.Find("pool");
-    RC_ASSERT(figures->usable_vms == usable);
-    RC_ASSERT(figures->idle.size() == idle);
-    RC_ASSERT(figures->used == used);
-    RC_ASSERT(index_.starts_under_way() == starts);
+    const pool_vm_index* entry = index_.Find("pool");
+    RC_ASSERT(entry->usable_vms == usable);
+    RC_ASSERT(entry->idle.size() == idle);
+    RC_ASSERT(entry->used == used);
+    RC_ASSERT(index_.starts_in_flight() == starts);
     for (const std::string& label : kLabels) {
-      RC_ASSERT(index_.TakersWith("pool", label)->size() == takers[label]);
+      RC_ASSERT(index_.AvailableWith("pool", label)->size() ==
+                available[label]);
     }
   }
 
@@ -103,7 +105,7 @@
     run_state run;
     run.run = 1;
     run.step = &step;
-    run.room = step.need;
+    run.demand = step.need;
     run.is_start_in_flight = true;
     return run;
   }
@@ -116,9 +118,9 @@
 
   time_point now_{std::chrono::hours(1)};
   step_spec short_ = Step(1);
-  step_spec lasting_ = [] {
+  step_spec long_running_ = [] {
     step_spec step = Step(1, 2000);
-    step.lasting = true;
+    step.long_running = true;
     return step;
   }();
   vm_table table_;
--- a/tests/core/jobs/vm_restart_test.cc
+++ b/tests/core/jobs/vm_restart_test.cc
@@ -10,40 +10,43 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::int64_t kFirstLife = 1'790'000'000'000;
-constexpr std::int64_t kNextLife = kFirstLife + 7000;
+constexpr std::int64_t kFirstIncarnation = 1'790'000'000'000;
+constexpr std::int64_t kNextIncarnation = kFirstIncarnation + 7000;
 
 /// A pool of two VMs, one of which begins again under its id.
 class restarted_vm {
  public:
-  restarted_vm() { driver.Bring({Described(kFirstLife), Vm("vm-2", 1000)}); }
+  restarted_vm() {
+    driver.Register({Described(kFirstIncarnation), Vm("vm-2", 1000)});
+  }
 
-  static vm_description Described(std::int64_t born) {
+  static vm_description Described(std::int64_t incarnation) {
     vm_description vm = Vm("vm-1");
-    vm.born = born;
+    vm.incarnation = incarnation;
     return vm;
   }
 
   /// Lists the VM's entry as its next life writes it.
   void Register() {
-    driver.scheduler.UpdateVms({Described(kNextLife), Vm("vm-2", 1000)},
+    driver.scheduler.UpdateVms({Described(kNextIncarnation), Vm("vm-2", 1000)},
                                driver.now);
   }
 
-  void List(std::int64_t born,
+  void List(std::int64_t incarnation,
             duration clock,
             std::vector<running_task> running = {},
             std::vector<ended_task> ended = {}) {
-    ListSentAt(driver.now, born, clock, std::move(running), std::move(ended));
+    ListSentAt(driver.now, incarnation, clock, std::move(running),
+               std::move(ended));
   }
 
   void ListSentAt(time_point sent_at,
-                  std::int64_t born,
+                  std::int64_t incarnation,
                   duration clock,
                   std::vector<running_task> running = {},
                   std::vector<ended_task> ended = {}) {
-    vm_listing listing;
-    listing.born = born;
+    run_listing listing;
+    listing.incarnation = incarnation;
     listing.vm_clock = clock;
     listing.running = std::move(running);
     listing.ended = std::move(ended);
@@ -53,14 +56,14 @@
   duration FirstClock() const { return driver.now.time_since_epoch(); }
 
   /// Lets a job with this many tasks end as done on the first life.
-  void EndTasksOfFirstLife(std::uint32_t count) {
+  void EndTasksOfFirstIncarnation(std::uint32_t count) {
     driver.Add(Job("before", {Step(count, 1500)}));
     driver.StartAll();
     std::vector<ended_task> ended;
     for (std::uint32_t i = 0; i < count; ++i) {
       ended.push_back(Ended(i + 1, {"before", 0, 0, i}, 1, end_kind::kDone));
     }
-    List(kFirstLife, FirstClock(), {}, ended);
+    List(kFirstIncarnation, FirstClock(), {}, ended);
     driver.Store();
   }
 
@@ -73,7 +76,7 @@
 TEST_CASE("Ends of a VM's next life are taken from the first one on") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
-  vm.EndTasksOfFirstLife(3);
+  vm.EndTasksOfFirstIncarnation(3);
   CHECK(driver.scheduler.NextHold("vm-1", driver.now).acknowledged_through ==
         3);
   driver.scheduler.OnHoldUnanswered("vm-1");
@@ -82,12 +85,12 @@
   driver.Pass(seconds(2));
 
   const auto clock = GENERATE(as<duration>(), seconds(1), seconds(9'000'000));
-  vm.List(kNextLife, clock);
+  vm.List(kNextIncarnation, clock);
   vm.Register();
   driver.Add(Job("job", {Step(1, 2000)}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.Pass(milliseconds(500));
-  vm.List(kNextLife, clock + milliseconds(500), {},
+  vm.List(kNextIncarnation, clock + milliseconds(500), {},
           {Ended(1, vm.task, 1, end_kind::kDone)});
   const auto batches = driver.Store();
   REQUIRE(batches.size() == 1);
@@ -104,11 +107,11 @@
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
   REQUIRE(driver.StartAll().size() == 1);
-  vm.List(kFirstLife, vm.FirstClock(), {Running(vm.task, 1)});
+  vm.List(kFirstIncarnation, vm.FirstClock(), {Running(vm.task, 1)});
   driver.Pass(seconds(1));
 
   SECTION("by its listing") {
-    vm.List(kNextLife, seconds(1));
+    vm.List(kNextIncarnation, seconds(1));
     driver.Store();
     CHECK(driver.StartAll().empty());
 
@@ -122,10 +125,10 @@
     SECTION("and a late answer of the former life changes nothing") {
       vm.Register();
       REQUIRE(driver.StartAll().size() == 1);
-      vm.ListSentAt(driver.now - seconds(1), kFirstLife, vm.FirstClock(), {},
-                    {Ended(1, vm.task, 1, end_kind::kStopped)});
+      vm.ListSentAt(driver.now - seconds(1), kFirstIncarnation, vm.FirstClock(),
+                    {}, {Ended(1, vm.task, 1, end_kind::kStopped)});
       driver.Pass(milliseconds(500));
-      vm.List(kNextLife, milliseconds(1500), {},
+      vm.List(kNextIncarnation, milliseconds(1500), {},
               {Ended(1, vm.task, 2, end_kind::kDone)});
       driver.Store();
       CHECK(driver.StartAll().empty());
@@ -139,7 +142,7 @@
     vm.Register();
     driver.Store();
     CHECK(driver.StartAll().empty());
-    vm.List(kNextLife, seconds(1));
+    vm.List(kNextIncarnation, seconds(1));
     driver.Store();
     CHECK(driver.StartAll().size() == 1);
   }
@@ -154,10 +157,10 @@
   REQUIRE(driver.StartAll().size() == 1);
   driver.scheduler.OnHoldUnanswered("vm-1");
   driver.Pass(seconds(2));
-  vm.List(kNextLife, seconds(1));
+  vm.List(kNextIncarnation, seconds(1));
   vm.Register();
   driver.Starts();
-  vm.List(kNextLife, seconds(1));
+  vm.List(kNextIncarnation, seconds(1));
   const auto losses = driver.scheduler.TakeLosses();
   REQUIRE(losses.size() == 1);
   CHECK(losses[0].kind == loss_kind::kCrashAtStart);
@@ -170,17 +173,17 @@
 
 // Guards against the same where another owner has recorded the loss.
 TEST_CASE("A loss in a VM's former life isn't withdrawn by its next one") {
-  const auto born = GENERATE(kFirstLife, kNextLife);
+  const auto incarnation = GENERATE(kFirstIncarnation, kNextIncarnation);
   scheduler_driver driver;
   driver.Add(Job("job", {Step(1, 2000)}));
   task_record record;
   record.ended_run = 1;
   record.is_presumed = true;
-  record.losses = {{1, loss_kind::kSilenceAtStart, "vm-1", kFirstLife}};
+  record.losses = {{1, loss_kind::kSilenceAtStart, "vm-1", kFirstIncarnation}};
   driver.scheduler.RestoreJob("job", {job_phase::kRunning, {record}});
-  driver.Bring({restarted_vm::Described(born)});
-  vm_listing listing;
-  listing.born = born;
+  driver.Register({restarted_vm::Described(incarnation)});
+  run_listing listing;
+  listing.incarnation = incarnation;
   listing.vm_clock = driver.now.time_since_epoch();
   driver.scheduler.OnHoldUnanswered("vm-1");
   driver.scheduler.OnListing("vm-1", driver.now, listing, driver.now);
@@ -191,7 +194,7 @@
   REQUIRE_FALSE(batches.empty());
   const job_progress& progress = batches.back().jobs.back().second;
   REQUIRE(progress.tasks.size() == 1);
-  CHECK(progress.tasks[0].losses.empty() == (born == kFirstLife));
+  CHECK(progress.tasks[0].losses.empty() == (incarnation == kFirstIncarnation));
 }
 
 // Guards against a start of the former life that the next one carries out late,
@@ -210,11 +213,11 @@
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     driver.Pass(seconds(2));
-    vm.List(kNextLife, seconds(1));
+    vm.List(kNextIncarnation, seconds(1));
     vm.Register();
     // Whichever life confirmed this stop, it may have been the former one.
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
-    vm.List(kNextLife, seconds(1));
+    vm.List(kNextIncarnation, seconds(1));
     driver.Store();
     CHECK(driver.Starts().empty());
   }
@@ -222,10 +225,10 @@
   SECTION("when the former life had confirmed the stop") {
     driver.Starts();
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
-    vm.List(kFirstLife, vm.FirstClock() + milliseconds(1));
+    vm.List(kFirstIncarnation, vm.FirstClock() + milliseconds(1));
     driver.Store();
     driver.Pass(milliseconds(1));
-    vm.List(kNextLife, seconds(1));
+    vm.List(kNextIncarnation, seconds(1));
     vm.Register();
     driver.Starts();
   }
@@ -233,7 +236,7 @@
   CHECK(driver.stops[0].target.run == 1);
   driver.scheduler.OnStopAnswer(driver.stops[0].target, true, driver.now);
   driver.Pass(milliseconds(10));
-  vm.List(kNextLife, milliseconds(1010));
+  vm.List(kNextIncarnation, milliseconds(1010));
   driver.Store();
   const auto again = driver.Starts();
   REQUIRE(again.size() == 1);
--- a/tests/core/jobs/vm_table_test.cc
+++ b/tests/core/jobs/vm_table_test.cc
@@ -31,37 +31,37 @@
     CHECK(table.TakeDue().empty());
 
     SECTION("those that are taken for a change, once") {
-      CHECK(table.Change("vm-1") == first);
-      CHECK(table.Change("vm-1") == first);
+      CHECK(table.FindForChange("vm-1") == first);
+      CHECK(table.FindForChange("vm-1") == first);
       CHECK(table.TakeChanged() == std::vector<vm_state*>{first});
     }
 
     SECTION("not those that are only looked at") {
       CHECK(table.Find("vm-1") == first);
-      CHECK(table.FindUntouched("vm-1") == first);
+      CHECK(table.FindUnmarked("vm-1") == first);
       CHECK(table.TakeDue().empty());
     }
 
     SECTION("those whose date has come") {
-      table.WakeAt(first, now + seconds(2));
-      table.WakeAt(second, now + seconds(1));
-      table.WakeDue(now + seconds(1));
+      table.ScheduleCheck(first, now + seconds(2));
+      table.ScheduleCheck(second, now + seconds(1));
+      table.MarkDueChecks(now + seconds(1));
       CHECK(table.TakeDue() == std::vector<vm_state*>{second});
 
       SECTION("by the date that was set last") {
-        table.WakeAt(first, now + seconds(5));
-        table.WakeDue(now + seconds(4));
+        table.ScheduleCheck(first, now + seconds(5));
+        table.MarkDueChecks(now + seconds(4));
         CHECK(table.TakeDue().empty());
-        table.WakeDue(now + seconds(5));
+        table.MarkDueChecks(now + seconds(5));
         CHECK(table.TakeDue() == std::vector<vm_state*>{first});
       }
     }
   }
 
   SECTION("not one that was forgotten") {
-    table.WakeAt(first, now);
+    table.ScheduleCheck(first, now);
     table.Erase(first);
-    table.WakeDue(now);
+    table.MarkDueChecks(now);
     CHECK(table.Find("vm-1") == nullptr);
     CHECK(table.TakeDue() == std::vector<vm_state*>{second});
     CHECK(table.TakeChanged() == std::vector<vm_state*>{second});
--- a/tests/core/membership/membership_test.cc
+++ b/tests/core/membership/membership_test.cc
@@ -55,18 +55,18 @@
       });
 }
 
-membership_options Watchers(std::size_t count) {
+membership_options OptionsWithWatchers(std::size_t count) {
   membership_options options;
   options.watchers = count;
   return options;
 }
 
 // One entry's membership with a fold that the test writes by hand.
-struct lone_entry {
-  explicit lone_entry(std::size_t watchers = 99)
-      : self(Member(1), Watchers(watchers)) {}
+struct membership_harness {
+  explicit membership_harness(std::size_t watchers = 99)
+      : self(Member(1), OptionsWithWatchers(watchers)) {}
 
-  void Hold(const numbers& members) {
+  void SetMembers(const numbers& members) {
     std::map<incarnation, entry_member> kept;
     for (const std::uint64_t number : members) {
       const incarnation who{number};
@@ -77,7 +77,8 @@
     fleet.view = ++fleet.offset;
   }
 
-  void Hear(std::uint64_t number, std::vector<incarnation> suspected = {}) {
+  void ReceiveHeartbeat(std::uint64_t number,
+                        std::vector<incarnation> suspected = {}) {
     heartbeat beat;
     beat.sequence = ++sequence;
     beat.complete = false;
@@ -92,7 +93,7 @@
     while (now < end) {
       now += kTickInterval;
       for (const std::uint64_t number : heard) {
-        Hear(number);
+        ReceiveHeartbeat(number);
       }
       self.OnTick(fleet, contents, now, out);
     }
@@ -107,7 +108,7 @@
 };
 
 TEST_CASE("An entry joins") {
-  lone_entry entry;
+  membership_harness entry;
 
   SECTION("once while its record is on its way") {
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(4))).size() == 1);
@@ -126,20 +127,20 @@
     entry.contents.stopping = true;
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).empty());
     entry.contents.stopping = false;
-    entry.contents.log_out = true;
+    entry.contents.log_unreachable = true;
     CHECK(RecordsOf<join_entry>(entry.Run(seconds(6))).empty());
   }
 
   SECTION("and leaves, asking again until the fold has it") {
     entry.Run(seconds(1));
-    entry.Hold({1, 2});
+    entry.SetMembers({1, 2});
     entry.Run(seconds(1), {2});
     effects out;
     entry.self.Leave(entry.fleet, out);
     entry.self.Leave(entry.fleet, out);
     CHECK(RecordsOf<leave_entry>(out).size() == 1);
     CHECK(RecordsOf<leave_entry>(entry.Run(seconds(6), {2})).size() == 1);
-    entry.Hold({2});
+    entry.SetMembers({2});
     out = entry.Run(seconds(6));
     CHECK(out.records.empty());
     CHECK_FALSE(entry.self.expelled());
@@ -147,9 +148,9 @@
 }
 
 TEST_CASE("An entry tells the others how it is") {
-  lone_entry entry(2);
+  membership_harness entry(2);
   entry.contents.load = {{service_name("intake"), 8, 1, 0}};
-  entry.Hold({1, 2, 3, 4, 5, 6});
+  entry.SetMembers({1, 2, 3, 4, 5, 6});
   const numbers others{2, 3, 4, 5, 6};
   entry.Run(seconds(2), others);
 
@@ -198,8 +199,8 @@
 }
 
 TEST_CASE("An entry remembers what the others say") {
-  lone_entry entry;
-  entry.Hold({1, 2, 3});
+  membership_harness entry;
+  entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
   heartbeat beat;
   beat.sequence = 1000;
@@ -234,25 +235,25 @@
   SECTION("and nothing of those who aren't members") {
     entry.self.OnFrame({incarnation{77}, 1, beat}, entry.now);
     CHECK(entry.self.StatusOf(incarnation{77}) == nullptr);
-    CHECK(StandingOf(entry.fleet, {incarnation{77}, 1, beat}) ==
-          frame_standing::kNotMember);
+    CHECK(FrameStatusOf(entry.fleet, {incarnation{77}, 1, beat}) ==
+          frame_status::kNotMember);
   }
 
   SECTION("with the standing of its view") {
-    entry.Hold({1, 2, 3, 4});
+    entry.SetMembers({1, 2, 3, 4});
     const log_offset view = entry.fleet.view;
-    CHECK(StandingOf(entry.fleet, {incarnation{2}, view - 1, beat}) ==
-          frame_standing::kOlderView);
-    CHECK(StandingOf(entry.fleet, {incarnation{2}, view, beat}) ==
-          frame_standing::kCurrent);
-    CHECK(StandingOf(entry.fleet, {incarnation{2}, view + 1, beat}) ==
-          frame_standing::kNewerView);
+    CHECK(FrameStatusOf(entry.fleet, {incarnation{2}, view - 1, beat}) ==
+          frame_status::kOlderView);
+    CHECK(FrameStatusOf(entry.fleet, {incarnation{2}, view, beat}) ==
+          frame_status::kCurrent);
+    CHECK(FrameStatusOf(entry.fleet, {incarnation{2}, view + 1, beat}) ==
+          frame_status::kNewerView);
   }
 }
 
 TEST_CASE("An entry accuses a member that it doesn't hear") {
-  lone_entry entry;
-  entry.Hold({1, 2, 3});
+  membership_harness entry;
+  entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
   const incarnation silent{3};
 
@@ -289,16 +290,16 @@
   // view can't change. When the log is back it is accused if it is still gone,
   // and not if it has come back in the meantime.
   SECTION("when the log is back, if it was out") {
-    entry.contents.log_out = true;
+    entry.contents.log_unreachable = true;
     CHECK(entry.Run(seconds(20), {2}).records.empty());
     CHECK(entry.self.Suspects(silent));
     SECTION("and the member is still gone") {
-      entry.contents.log_out = false;
+      entry.contents.log_unreachable = false;
       CHECK(RecordsOf<accuse_entry>(entry.Run(seconds(1), {2})).size() == 1);
     }
     SECTION("and the member is back") {
       entry.Run(seconds(2), {2, 3});
-      entry.contents.log_out = false;
+      entry.contents.log_unreachable = false;
       CHECK(entry.Run(seconds(1), {2, 3}).records.empty());
     }
   }
@@ -309,8 +310,8 @@
 // it believed that, it would accuse the whole fleet; it was the one that stood
 // still.
 TEST_CASE("An entry that was frozen accuses nobody when it wakes") {
-  lone_entry entry;
-  entry.Hold({1, 2, 3});
+  membership_harness entry;
+  entry.SetMembers({1, 2, 3});
   entry.Run(seconds(1), {2, 3});
   entry.now += seconds(3);
 
@@ -327,7 +328,7 @@
   }
 
   SECTION("and knows that it was expelled, once it reads so") {
-    entry.Hold({2, 3});
+    entry.SetMembers({2, 3});
     const effects out = entry.Run(seconds(10), {2, 3});
     CHECK(entry.self.expelled());
     CHECK(out.records.empty());
@@ -338,8 +339,8 @@
 // On the ring an entry hears most others seldom. The watchers of a member miss
 // it first and say so; the others follow when most of its watchers agree.
 TEST_CASE("An entry follows the watchers of a member it doesn't watch") {
-  lone_entry entry(3);
-  entry.Hold({1, 2, 3, 4, 5, 6, 7, 8, 9});
+  membership_harness entry(3);
+  entry.SetMembers({1, 2, 3, 4, 5, 6, 7, 8, 9});
   const watch_ring ring(entry.fleet.members, 3);
   incarnation gone = incarnation::kNone;
   for (const auto& [who, member] : entry.fleet.members) {
@@ -364,8 +365,8 @@
         const auto end = watchers.begin() + static_cast<std::ptrdiff_t>(count);
         const bool speaks =
             std::find(watchers.begin(), end, incarnation{number}) != end;
-        entry.Hear(number,
-                   speaks ? std::vector{gone} : std::vector<incarnation>());
+        entry.ReceiveHeartbeat(
+            number, speaks ? std::vector{gone} : std::vector<incarnation>());
       }
       entry.self.OnTick(entry.fleet, entry.contents, entry.now, out);
     }
@@ -419,8 +420,8 @@
 
 // Who of the others entry 1 watches among these members.
 std::set<std::uint64_t> WatchedBy1(const numbers& members) {
-  lone_entry entry;
-  entry.Hold(members);
+  membership_harness entry;
+  entry.SetMembers(members);
   const watch_ring ring(entry.fleet.members, 3);
   std::set<std::uint64_t> watched;
   for (const std::uint64_t number : members) {
@@ -456,8 +457,8 @@
     "A change of the ring doesn't start the wait for a dead member anew") {
   const numbers before{1, 2, 3, 4, 5, 6, 7, 8, 9};
   numbers after{1, 3, 4, 5, 6, 7, 8, 9};
-  lone_entry entry(3);
-  entry.Hold(before);
+  membership_harness entry(3);
+  entry.SetMembers(before);
   entry.Run(seconds(1), {2, 3, 4, 5, 6, 7, 8, 9});
   const auto heard_without = [&](std::uint64_t dead) {
     numbers heard = after;
@@ -468,7 +469,7 @@
   SECTION("for one who watched it before") {
     const std::uint64_t dead = FindMember(before, after, true, false);
     entry.Run(milliseconds(700), heard_without(dead));
-    entry.Hold(after);
+    entry.SetMembers(after);
     const effects out = entry.Run(milliseconds(400), heard_without(dead));
     const auto tells = [&](const action& item) {
       const auto* sent = std::get_if<send_frame>(&item);
@@ -482,9 +483,9 @@
   SECTION("for one who learns of it from others and now is its watcher") {
     const std::uint64_t dead = FindMember(before, after, false, true);
     entry.Run(milliseconds(980), heard_without(dead));
-    entry.Hold(after);
+    entry.SetMembers(after);
     for (const std::uint64_t number : heard_without(dead)) {
-      entry.Hear(number, {incarnation{dead}});
+      entry.ReceiveHeartbeat(number, {incarnation{dead}});
     }
     const effects out = entry.Run(milliseconds(100));
     CHECK(RecordsOf<accuse_entry>(out).size() == 1);
@@ -492,7 +493,7 @@
 
   SECTION("and misses nobody who lives") {
     for (int i = 0; i < 10; ++i) {
-      entry.Hold(i % 2 == 0 ? after : before);
+      entry.SetMembers(i % 2 == 0 ? after : before);
       // Not a watcher any more, it hears the others seldom.
       CHECK(entry.Run(milliseconds(600), {3}).records.empty());
       entry.Run(kTickInterval, before);
--- a/tests/core/membership/watch_ring_test.cc
+++ b/tests/core/membership/watch_ring_test.cc
@@ -22,16 +22,16 @@
   SECTION("each with as many watchers as asked for, never itself") {
     const auto members = Members(9, 3);
     const watch_ring ring(members, 3);
-    std::map<incarnation, int> duties;
+    std::map<incarnation, int> watch_counts;
     for (const auto& [who, member] : members) {
       CHECK(ring.WatchersOf(who).size() == 3);
       CHECK_FALSE(ring.Watches(who, who));
       for (const incarnation watcher : ring.WatchersOf(who)) {
         CHECK(ring.Watches(watcher, who));
-        ++duties[watcher];
+        ++watch_counts[watcher];
       }
     }
-    for (const auto& [who, count] : duties) {
+    for (const auto& [who, count] : watch_counts) {
       CHECK(count == 3);
     }
   }
--- a/tests/jobs/foreign_records_test.cc
+++ b/tests/jobs/foreign_records_test.cc
@@ -33,7 +33,7 @@
   step.estimate = std::chrono::milliseconds(900);
   step.depends_on = {0};
   step.checkpoints = true;
-  step.may_miss = 2;
+  step.max_unavailable = 2;
   step.required_label = "label";
   step.latency_target = std::chrono::milliseconds(120);
   record.spec.steps = {core::jobs::step_spec(), step};
@@ -46,7 +46,7 @@
 progress_record SampleProgress() {
   core::jobs::job_progress progress;
   progress.phase = core::jobs::job_phase::kRunning;
-  progress.untold_runs = 3;
+  progress.unreported_runs = 3;
   progress.tasks.push_back({0, 1, 2, 3, {1, 2}, false, "saved", true});
   return {kId, progress};
 }
@@ -92,7 +92,7 @@
 
   SECTION("a time of handing in that makes no sense") {
     submission_record record = SampleSubmission();
-    record.spec.handed_in_at =
+    record.spec.submitted_at =
         core::time_point(std::chrono::milliseconds(1790000000123));
     CheckMutations(Encode(record),
                    {"h: missing", "r: missing", "s[1].cp: missing",
--- a/tests/jobs/job_age_test.cc
+++ b/tests/jobs/job_age_test.cc
@@ -21,7 +21,7 @@
   record.spec.steps.resize(1);
   record.spec.steps[0].need = {1000, 10, 0};
   record.spec.steps[0].estimate = seconds(5);
-  record.spec.handed_in_at = WallTime() - age;
+  record.spec.submitted_at = WallTime() - age;
   const adapter::keyed_record encoded = Encode(record);
   site->store.Put(kJobTopicName, encoded.key, encoded.value,
                   JobPartitionOf(record.spec.queue, id));
@@ -39,9 +39,9 @@
   const auto decoded = DecodeJobRecord({kId, *value});
   REQUIRE(decoded);
   const auto& spec = std::get<submission_record>(*decoded).spec;
-  REQUIRE(spec.handed_in_at);
-  CHECK(*spec.handed_in_at >= began);
-  CHECK(*spec.handed_in_at <= WallTime());
+  REQUIRE(spec.submitted_at);
+  CHECK(*spec.submitted_at >= began);
+  CHECK(*spec.submitted_at <= WallTime());
 }
 
 // Guards against deadlines that begin anew when a pool is taken over, or when
--- a/tests/jobs/record_codec_test.cc
+++ b/tests/jobs/record_codec_test.cc
@@ -21,10 +21,10 @@
   step.estimate = milliseconds(900);
   step.depends_on = {0};
   step.checkpoints = true;
-  step.lasting = true;
-  step.fills = true;
-  step.may_miss = 2;
-  step.most_per_vm = 1;
+  step.long_running = true;
+  step.best_effort = true;
+  step.max_unavailable = 2;
+  step.max_per_vm = 1;
   step.required_label = "label";
   step.preferred_rack = "rack";
   step.image = "image";
@@ -42,11 +42,11 @@
   CHECK(read.steps[1].need == step.need);
   CHECK(read.steps[1].depends_on == step.depends_on);
   CHECK(read.steps[1].checkpoints);
-  CHECK(read.steps[1].lasting);
-  CHECK(read.steps[1].fills);
+  CHECK(read.steps[1].long_running);
+  CHECK(read.steps[1].best_effort);
   CHECK_FALSE(read.steps[1].gang);
-  CHECK(read.steps[1].may_miss == 2);
-  CHECK(read.steps[1].most_per_vm == 1);
+  CHECK(read.steps[1].max_unavailable == 2);
+  CHECK(read.steps[1].max_per_vm == 1);
   CHECK(read.steps[1].required_label == "label");
   CHECK(read.steps[1].preferred_rack == "rack");
   CHECK(read.steps[1].image == "image");
@@ -66,13 +66,13 @@
   const auto read_back = [](const submission_record& written) {
     const auto decoded = DecodeJobRecord(Encode(written));
     REQUIRE(decoded);
-    return std::get<submission_record>(*decoded).spec.handed_in_at;
+    return std::get<submission_record>(*decoded).spec.submitted_at;
   };
   // Records of earlier versions don't have it.
   CHECK(Encode(record).value->find("\"h\"") == std::string::npos);
   CHECK_FALSE(read_back(record));
-  record.spec.handed_in_at = core::time_point(milliseconds(1790000000123));
-  CHECK(read_back(record) == record.spec.handed_in_at);
+  record.spec.submitted_at = core::time_point(milliseconds(1790000000123));
+  CHECK(read_back(record) == record.spec.submitted_at);
 }
 
 TEST_CASE("The short record of a job that has ended is read back") {
@@ -109,7 +109,7 @@
        false,
        {{7, loss_kind::kCrashAtStart, "vm-1"},
         {9, loss_kind::kSilenceAtStart, "vm-2", 1790000000123}}});
-  progress.untold_runs = 100;
+  progress.unreported_runs = 100;
   const auto decoded =
       DecodePoolRecord(Encode(progress_record{"job", progress}));
   REQUIRE(decoded);
--- a/tests/peers/owner_links_test.cc
+++ b/tests/peers/owner_links_test.cc
@@ -40,7 +40,7 @@
             respond({status, {}, "answer"});
           }
         });
-    links.book().Note(kPartition, {1, address});
+    links.book().NoteAnnouncement(kPartition, {1, address});
   }
 
   static owner_link_settings Settings() {
--- a/tests/runtime/daemon_options_test.cc
+++ b/tests/runtime/daemon_options_test.cc
@@ -12,8 +12,7 @@
     settings.patience = std::chrono::seconds(7);
     CHECK(HttpOptions(settings).greatest_patience == settings.patience);
     CHECK(HttpOptions(settings).default_patience <= settings.patience);
-    CHECK(CoreOptions(settings, {}).planner.greatest_deadline ==
-          settings.patience);
+    CHECK(CoreOptions(settings, {}).planner.max_deadline == settings.patience);
   }
 
   // An endpoint answers with more than a frame can carry. The owner would lose
