--- a/src/core/fleet/error_budget.cc
+++ b/src/core/fleet/error_budget.cc
@@ -19,7 +19,7 @@
     const ledger_resolution& resolution = kLedgerResolutions[i];
     auto& kept = periods[i];
     kept[PeriodOf(at, resolution.width)] += counts;
-    while (kept.size() > resolution.kept) {
+    while (kept.size() > resolution.max_periods) {
       kept.erase(kept.begin());
     }
   }
@@ -29,7 +29,8 @@
   std::size_t chosen = 0;
   while (chosen + 1 < kLedgerResolutions.size() &&
          kLedgerResolutions[chosen].width *
-                 static_cast<std::int64_t>(kLedgerResolutions[chosen].kept) <
+                 static_cast<std::int64_t>(
+                     kLedgerResolutions[chosen].max_periods) <
              window) {
     ++chosen;
   }
