--- a/tests/core/jobs/vm_restart_test.cc
+++ b/tests/core/jobs/vm_restart_test.cc
@@ -13,7 +13,7 @@
 constexpr std::int64_t kFirstIncarnation = 1'790'000'000'000;
 constexpr std::int64_t kNextIncarnation = kFirstIncarnation + 7000;
 
-/// A pool of two VMs, one of which begins again under its id.
+/// A pool of two VMs, one of which restarts under its id.
 class restarted_vm {
  public:
   restarted_vm() {
@@ -26,8 +26,8 @@
     return vm;
   }
 
-  /// Lists the VM's entry as its next life writes it.
-  void Register() {
+  /// Registers the VM with the entry that its next incarnation writes.
+  void RegisterNextIncarnation() {
     driver.scheduler.UpdateVms({Described(kNextIncarnation), Vm("vm-2", 1000)},
                                driver.now);
   }
@@ -55,7 +55,7 @@
 
   duration FirstClock() const { return driver.now.time_since_epoch(); }
 
-  /// Lets a job with this many tasks end as done on the first life.
+  /// Lets a job with `count` tasks end as done on the first incarnation.
   void EndTasksOfFirstIncarnation(std::uint32_t count) {
     driver.Add(Job("before", {Step(count, 1500)}));
     driver.StartAll();
@@ -71,9 +71,10 @@
   const task_name task{"job", 0, 0, 0};
 };
 
-// Guards against tasks that run twice: the first ends of a VM that begins again
-// under its id passed for ends of its former life that were taken before.
-TEST_CASE("Ends of a VM's next life are taken from the first one on") {
+// Guards against tasks that run twice. The first ends of a VM that restarts
+// under its id were mistaken for ends of its previous incarnation that were
+// processed before.
+TEST_CASE("All ends of the next incarnation of a VM are processed") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   vm.EndTasksOfFirstIncarnation(3);
@@ -86,7 +87,7 @@
 
   const auto clock = GENERATE(as<duration>(), seconds(1), seconds(9'000'000));
   vm.List(kNextIncarnation, clock);
-  vm.Register();
+  vm.RegisterNextIncarnation();
   driver.Add(Job("job", {Step(1, 2000)}));
   REQUIRE(driver.StartAll().size() == 1);
   driver.Pass(milliseconds(500));
@@ -100,9 +101,9 @@
   CHECK(driver.StartAll().empty());
 }
 
-// Guards against runs that a VM lost with its former life and that go on as if
-// they were on the next one.
-TEST_CASE("What ran in a VM's former life is over when the next one is heard") {
+// Guards against runs that were lost with the previous incarnation of a VM and
+// are treated as if they were on the next one.
+TEST_CASE("Runs of an incarnation have ended when the next one answers") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -115,15 +116,15 @@
     driver.Store();
     CHECK(driver.StartAll().empty());
 
-    SECTION("and it takes tasks once the registry has its entry") {
-      vm.Register();
+    SECTION("and it accepts tasks once the registry has its entry") {
+      vm.RegisterNextIncarnation();
       const auto starts = driver.StartAll();
       REQUIRE(starts.size() == 1);
       CHECK(starts[0].target.run == 2);
     }
 
-    SECTION("and a late answer of the former life changes nothing") {
-      vm.Register();
+    SECTION("and a late answer of the previous incarnation is ignored") {
+      vm.RegisterNextIncarnation();
       REQUIRE(driver.StartAll().size() == 1);
       vm.ListSentAt(driver.now - seconds(1), kFirstIncarnation, vm.FirstClock(),
                     {}, {Ended(1, vm.task, 1, end_kind::kStopped)});
@@ -138,8 +139,8 @@
     }
   }
 
-  SECTION("by the registry, and it takes tasks once it is heard") {
-    vm.Register();
+  SECTION("by the registry, and it accepts tasks once it has answered") {
+    vm.RegisterNextIncarnation();
     driver.Store();
     CHECK(driver.StartAll().empty());
     vm.List(kNextIncarnation, seconds(1));
@@ -148,9 +149,10 @@
   }
 }
 
-// Guards against tasks that crash their VMs and start without limit: the next
-// life of a VM under its id passed for one that had only been cut off.
-TEST_CASE("A run that a VM's former life lost counts against its task") {
+// Guards against tasks that crash their VMs and start without limit. The next
+// incarnation of a VM under its id was mistaken for a VM that had only been
+// disconnected.
+TEST_CASE("A run lost by a previous incarnation counts against its task") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -158,7 +160,7 @@
   driver.scheduler.OnHoldUnanswered("vm-1");
   driver.Pass(seconds(2));
   vm.List(kNextIncarnation, seconds(1));
-  vm.Register();
+  vm.RegisterNextIncarnation();
   driver.Starts();
   vm.List(kNextIncarnation, seconds(1));
   const auto losses = driver.scheduler.TakeLosses();
@@ -171,8 +173,8 @@
   CHECK(progress.tasks[0].losses.size() == 1);
 }
 
-// Guards against the same where another owner has recorded the loss.
-TEST_CASE("A loss in a VM's former life isn't withdrawn by its next one") {
+// Guards against the same error if another owner has recorded the loss.
+TEST_CASE("A loss is not withdrawn by the next incarnation of its VM") {
   const auto incarnation = GENERATE(kFirstIncarnation, kNextIncarnation);
   scheduler_driver driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -197,9 +199,9 @@
   CHECK(progress.tasks[0].losses.empty() == (incarnation == kFirstIncarnation));
 }
 
-// Guards against a start of the former life that the next one carries out late,
-// beside a newer run.
-TEST_CASE("A start without an answer is settled with a VM's next life, too") {
+// Guards against a start of the previous incarnation that the next one carries
+// out late, concurrently with a newer run.
+TEST_CASE("An unanswered start is also resolved with the next incarnation") {
   restarted_vm vm;
   scheduler_driver& driver = vm.driver;
   driver.Add(Job("job", {Step(1, 2000)}));
@@ -208,28 +210,28 @@
   driver.scheduler.OnStartAnswer(starts[0].target, start_result::kUnknown,
                                  driver.now);
 
-  SECTION("when the former life was lost before it confirmed the stop") {
+  SECTION("when the previous incarnation ended before it confirmed the stop") {
     driver.scheduler.OnHoldUnanswered("vm-1");
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     driver.Pass(seconds(2));
     vm.List(kNextIncarnation, seconds(1));
-    vm.Register();
-    // Whichever life confirmed this stop, it may have been the former one.
+    vm.RegisterNextIncarnation();
+    // The previous incarnation may have confirmed this stop.
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
     vm.List(kNextIncarnation, seconds(1));
     driver.Store();
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("when the former life had confirmed the stop") {
+  SECTION("when the previous incarnation had confirmed the stop") {
     driver.Starts();
     driver.scheduler.OnStopAnswer(starts[0].target, true, driver.now);
     vm.List(kFirstIncarnation, vm.FirstClock() + milliseconds(1));
     driver.Store();
     driver.Pass(milliseconds(1));
     vm.List(kNextIncarnation, seconds(1));
-    vm.Register();
+    vm.RegisterNextIncarnation();
     driver.Starts();
   }
   REQUIRE(driver.stops.size() == 1);
