--- a/src/core/fleet/operation_tracker.cc
+++ b/src/core/fleet/operation_tracker.cc
@@ -14,8 +14,8 @@
   const auto [found, is_new] = entries_.try_emplace(id);
   entry& item = found->second;
   item.requested_at = now;
-  if (item.end) {
-    return item.end;
+  if (item.result) {
+    return item.result;
   }
   const bool is_due = item.retry_at ? now >= *item.retry_at
                                     : now - item.sent_at >= resend_after_;
@@ -30,7 +30,7 @@
 void operation_tracker::Finish(const operation_finished& event,
                                time_point now) {
   const auto found = entries_.find(event.operation);
-  if (found == entries_.end() || found->second.end) {
+  if (found == entries_.end() || found->second.result) {
     return;
   }
   entry& item = found->second;
@@ -39,19 +39,20 @@
     item.retry_at = now + retry_delay_;
     return;
   }
-  item.end = event.result;
+  item.result = event.result;
   item.ended_at = now;
 }
 
 bool operation_tracker::HasEnded(const operation_id& id) const {
   const auto found = entries_.find(id);
-  return found != entries_.end() && found->second.end.has_value();
+  return found != entries_.end() && found->second.result.has_value();
 }
 
 std::optional<time_point> operation_tracker::DoneAt(
     const operation_id& id) const {
   const auto found = entries_.find(id);
-  if (found == entries_.end() || found->second.end != operation_result::kDone) {
+  if (found == entries_.end() ||
+      found->second.result != operation_result::kDone) {
     return std::nullopt;
   }
   return found->second.ended_at;
--- a/tests/core/jobs/pool_scheduler_test.cc
+++ b/tests/core/jobs/pool_scheduler_test.cc
@@ -21,7 +21,7 @@
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 2);
 
-    SECTION("it waits while a task of the first isn't done") {
+    SECTION("it waits while a task of the first is not done") {
       driver.Pass(milliseconds(100));
       driver.List(starts[0].target.vm, {Running({"job", 0, 0, 1}, 1)},
                   {Ended(1, {"job", 0, 0, 0}, 1, end_kind::kDone)});
@@ -38,13 +38,13 @@
     }
   }
 
-  SECTION("it packs tasks by what they need and never over a VM's capacity") {
+  SECTION("it packs tasks by demand and never exceeds a VM's capacity") {
     driver.Add(Job("job", {Step(5, 5000)}));
     const auto starts = driver.StartAll();
     REQUIRE(starts.size() == 2);
     CHECK(starts[0].target.vm != starts[1].target.vm);
 
-    SECTION("a task that is being stopped still takes its room") {
+    SECTION("a task that is being stopped still uses its capacity") {
       driver.scheduler.CancelJob("job");
       driver.Add(Job("other", {Step(1, 5000)}));
       CHECK(driver.Starts().empty());
@@ -58,8 +58,8 @@
     }
   }
 
-  // Guards against starts by the capacity that a VM had before it shrank.
-  SECTION("it keeps to what a VM says of its capacity while that changes") {
+  // Guards against starts that use the capacity that a VM had before it shrank.
+  SECTION("it uses the latest capacity of a VM while that changes") {
     driver.Add(Job("first", {Step(4, 1000)}));
     REQUIRE(driver.StartAll().size() == 4);
     driver.scheduler.UpdateVms({Vm("vm-1", 3000), Vm("vm-2", 1000)},
@@ -76,7 +76,7 @@
     CHECK(more[1].target.vm == "vm-1");
   }
 
-  SECTION("a limit of tasks of a step on one VM holds") {
+  SECTION("it observes the limit of tasks of a step on one VM") {
     step_spec step = Step(3);
     step.max_per_vm = 1;
     driver.Add(Job("job", {step}));
@@ -90,7 +90,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("a gang starts whole or not at all, under one run number") {
+  SECTION("a gang starts completely or not at all, under one run number") {
     step_spec gang = Step(3, 6000);
     gang.gang = true;
     driver.Add(Job("job", {gang}));
@@ -100,7 +100,7 @@
     REQUIRE(starts.size() == 3);
     CHECK(starts[0].target.run == starts[2].target.run);
 
-    SECTION("and one end as done stands for all members") {
+    SECTION("and one end as done completes all members") {
       driver.Pass(milliseconds(100));
       driver.List(starts[0].target.vm, {},
                   {Ended(1, starts[0].target.task, 1, end_kind::kDone)});
@@ -124,10 +124,10 @@
   }
 }
 
-// A caller is told that its job runs, and an operator that nothing waits, while
-// no VM has taken any task of it: the orders were lost, or refused. A job whose
-// first task was only ordered still waits.
-TEST_CASE("A job runs once a VM has taken one of its tasks") {
+// Guards against jobs that are reported as running, and not counted as waiting,
+// while no VM has accepted any of their tasks because the orders were lost or
+// rejected. A job whose first task was only ordered is still waiting.
+TEST_CASE("A job is running once a VM has accepted one of its tasks") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   driver.Add(Job("job", {Step(1)}));
@@ -155,7 +155,7 @@
     CHECK(phase() == job_phase::kRunning);
   }
 
-  SECTION("and not when it has no room") {
+  SECTION("and not when it lacks capacity") {
     driver.scheduler.OnStartAnswer(starts[0].target, start_result::kNoCapacity,
                                    driver.now);
     CHECK(phase() == job_phase::kQueued);
@@ -172,13 +172,13 @@
   driver.List(first[0].target.vm, {},
               {Ended(1, first[0].target.task, 1, end_kind::kFailed)});
 
-  SECTION("the second attempt goes to another VM, under a higher run") {
+  SECTION("the second attempt uses another VM and a higher run number") {
     const auto second = driver.StartAll();
     REQUIRE(second.size() == 1);
     CHECK(second[0].target.vm != first[0].target.vm);
     CHECK(second[0].target.run == 2);
 
-    SECTION("and when it fails too, so does the job") {
+    SECTION("and when it fails as well, so does the job") {
       driver.Pass(milliseconds(100));
       driver.List(second[0].target.vm, {},
                   {Ended(1, second[0].target.task, 2, end_kind::kFailed)});
@@ -195,10 +195,11 @@
   }
 }
 
-// A lasting step has one task on each VM. One fails, and all other VMs hold a
-// task of the step already. If it never went back to its VM it would stay down
-// for good, with room for it.
-TEST_CASE("A failed task goes back to its VM when no other may take it") {
+// Guards against a task that stays down although there is capacity for it. A
+// long-running step has one task on each VM. One task fails, and all other VMs
+// already hold a task of the step, so that it can only start again on the same
+// VM.
+TEST_CASE("A failed task returns to its VM when no other may run it") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   step_spec step = Step(2);
@@ -236,7 +237,7 @@
   CHECK(driver.scheduler.NextHold("vm-1", driver.now).acknowledged_through ==
         0);
 
-  SECTION("also when nothing else is to be stored meanwhile") {
+  SECTION("also when nothing else is to be stored in the meantime") {
     CHECK_FALSE(driver.scheduler.TakeBatch());
     CHECK(driver.scheduler.NextHold("vm-1", driver.now).acknowledged_through ==
           0);
@@ -246,11 +247,11 @@
         1);
 }
 
-// The order to start a task has no answer. The VM may carry it out seconds
-// later, after the task has been started elsewhere: the task would run twice.
-// So nothing starts elsewhere until the VM has confirmed a stop of that run and
-// then shown that it doesn't have it.
-TEST_CASE("A start without an answer is settled before the task starts again") {
+// Guards against a task that runs twice. The order to start it is not answered,
+// and the VM may carry it out seconds later, after the task was started
+// elsewhere. Therefore nothing starts elsewhere until the VM has confirmed a
+// stop of that run and then sent a listing without it.
+TEST_CASE("An unanswered start is resolved before the task starts again") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
@@ -262,7 +263,7 @@
   CHECK(driver.Starts().empty());
   REQUIRE(driver.stops.size() == 1);
 
-  SECTION("a stop without an answer is sent again") {
+  SECTION("a stop that is not answered is sent again") {
     driver.scheduler.OnStopAnswer(target, false, driver.now);
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
@@ -271,14 +272,14 @@
     CHECK(driver.stops.size() == 1);
   }
 
-  SECTION("a listing that was asked for before the stop proves nothing") {
+  SECTION("a listing that was requested before the stop is no evidence") {
     const time_point asked_at = driver.now;
     driver.Pass(milliseconds(10));
     driver.scheduler.OnStopAnswer(target, true, driver.now);
     driver.ListSentAt(target.vm, asked_at, {}, {});
     CHECK(driver.Starts().empty());
 
-    SECTION("one that was asked for after it does") {
+    SECTION("one that was requested after it is") {
       driver.Pass(milliseconds(10));
       driver.List("vm-1", {}, {});
       driver.List("vm-2", {}, {});
@@ -302,9 +303,9 @@
   }
 }
 
-// A VM falls silent. Its task may run on until the lease is over, so that it
-// starts elsewhere only then; the VM's clock may be slow.
-TEST_CASE("The tasks of a silent VM start elsewhere when its lease is over") {
+// A VM stops answering. Its task may continue until the lease has expired, so
+// that it starts elsewhere only after that; the clock of the VM may be slow.
+TEST_CASE("The tasks of an unresponsive VM start elsewhere after its lease") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}), Policy(1));
@@ -321,8 +322,9 @@
   CHECK(driver.Starts().empty());
   driver.Pass(milliseconds(400));
   driver.List(other, {}, {});
-  // A newer owner may have heard the VM, and may have acknowledged the end of
-  // the task there. The store refuses this owner's record then.
+  // A newer owner may have received a listing of the VM and acknowledged the
+  // end of the task there. In that case the store rejects the record of this
+  // owner.
   CHECK(driver.Starts().empty());
   driver.Store();
   const auto again = driver.StartAll();
@@ -336,23 +338,24 @@
     CHECK(driver.Store().back().jobs[0].second.phase == job_phase::kFailed);
   }
 
-  SECTION("a run that it still has is stopped") {
+  SECTION("a run that the VM still has is stopped") {
     driver.List(unresponsive, {Running(starts[0].target.task, 1)}, {});
     driver.Starts();
     REQUIRE(driver.stops.size() == 1);
     CHECK(driver.stops[0].target.run == 1);
   }
 
-  SECTION("another life of it ends the wait at once") {
+  SECTION("another incarnation of it ends the wait at once") {
     driver.scheduler.OnReplaced(unresponsive, driver.now);
     driver.Register({Vm(other)});
     CHECK(driver.scheduler.Vms().size() == 1);
   }
 }
 
-// Every task that a VM is given fails, while its health looks good. It is idle
-// soon and draws the next tasks, until jobs run out of attempts.
-TEST_CASE("A VM that fails every task is set aside, a job that fails isn't") {
+// Guards against a VM that fails every task although its health checks pass. It
+// soon becomes idle and attracts the next tasks, until jobs run out of
+// attempts.
+TEST_CASE("A VM that fails every task is quarantined") {
   scheduler_driver driver;
   std::vector<vm_description> vms;
   for (int i = 0; i < 4; ++i) {
@@ -367,7 +370,7 @@
     driver.Add(Job(id, {Step(1)}), Policy(9));
   }
 
-  SECTION("failures of several jobs in a row set it aside") {
+  SECTION("consecutive failures of several jobs quarantine it") {
     fail("a", 1);
     fail("b", 2);
     fail("c", 3);
@@ -376,7 +379,7 @@
     }
   }
 
-  SECTION("failures of one job don't") {
+  SECTION("failures of one job do not") {
     fail("a", 1);
     driver.Add(Job("d", {Step(1)}), Policy(9));
     bool is_used = false;
@@ -387,7 +390,7 @@
   }
 }
 
-TEST_CASE("A task without progress is stopped and goes to another VM") {
+TEST_CASE("A task without progress is stopped and moved to another VM") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   driver.Add(Job("job", {Step(1)}));
@@ -412,7 +415,7 @@
   CHECK(again[0].target.vm != target.vm);
 }
 
-TEST_CASE("A VM that is emptied keeps what may not be disturbed") {
+TEST_CASE("A VM that is emptied keeps tasks that may not be interrupted") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1"), Vm("vm-2"), Vm("vm-3")});
   step_spec long_running = Step(2);
@@ -426,7 +429,7 @@
   const run_ref other = starts[1].target;
   driver.scheduler.CloseVm(moved.vm, driver.now);
 
-  SECTION("a lasting task stays while the other one isn't at work") {
+  SECTION("a long-running task stays while the other one is not ready") {
     driver.List(moved.vm, {Running(moved.task, 1, 100)}, {});
     driver.List(other.vm, {Running(other.task, 1, 60)}, {});
     driver.Starts();
@@ -441,7 +444,7 @@
     }
   }
 
-  SECTION("a VM that leaves by itself is left at once") {
+  SECTION("a VM that is draining is emptied at once") {
     auto leaving = Vm(moved.vm);
     leaving.draining = true;
     driver.scheduler.UpdateVms({leaving, Vm(other.vm)}, driver.now);
@@ -451,7 +454,7 @@
   }
 }
 
-TEST_CASE("Tasks that only fill are slowed before they hurt those that serve") {
+TEST_CASE("Best-effort tasks are throttled for latency-sensitive ones") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   step_spec latency_sensitive = Step(1);
@@ -485,10 +488,11 @@
   CHECK(driver.paces[0].percent == 20);
 }
 
-// The store answers an owner's renewals, and none of its readings. The owner
-// doesn't learn of cancellations, and would go on to start tasks of jobs whose
-// callers were told seconds ago that they are cancelled.
-TEST_CASE("Nothing starts while it isn't known what was cancelled") {
+// Guards against starts of cancelled jobs. The store answers the renewals of an
+// owner but none of its reads. The owner does not learn of cancellations, and
+// would start tasks of jobs whose callers were told seconds ago that they are
+// cancelled.
+TEST_CASE("Nothing starts while the known cancellations are outdated") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1")});
   const time_point read_at = driver.now;
@@ -498,12 +502,12 @@
   driver.List("vm-1", {}, {});
   CHECK(driver.Starts().empty());
 
-  SECTION("and starts as soon as that is known again") {
+  SECTION("and tasks start as soon as they are up to date") {
     driver.scheduler.NoteCancellationsRead(driver.now - milliseconds(2600));
     CHECK(driver.Starts().size() == 1);
   }
 
-  SECTION("what is to be stopped is stopped all the same") {
+  SECTION("tasks are still stopped") {
     driver.scheduler.NoteCancellationsRead(driver.now);
     REQUIRE(driver.Starts().size() == 1);
     driver.scheduler.OnStartAnswer({"vm-1", {"job", 0, 0, 0}, 1},
@@ -515,7 +519,7 @@
   }
 }
 
-TEST_CASE("A cancelled job starts nothing and its tasks are stopped") {
+TEST_CASE("A cancelled job starts no tasks and its tasks are stopped") {
   scheduler_driver driver;
   driver.Register({Vm("vm-1", 1000)});
   driver.Add(Job("job", {Step(3)}));
--- a/tests/core/jobs/takeover_test.cc
+++ b/tests/core/jobs/takeover_test.cc
@@ -18,9 +18,10 @@
   return bounds;
 }
 
-// Guards against a pool that stands still for the length of a lease after each
-// change of its owner, for VMs that were emptied and moved away before.
-TEST_CASE("A new owner doesn't wait for VMs that were recorded as vacant") {
+// Guards against a pool that starts nothing for the length of a lease after
+// each change of its owner, because of VMs that were emptied and removed
+// before.
+TEST_CASE("A new owner does not wait for VMs that are recorded as vacant") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -34,7 +35,7 @@
     CHECK(driver.Starts().size() == 2);
   }
 
-  SECTION("one that is listed and silent") {
+  SECTION("one that is registered and does not answer") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.scheduler.OnHoldUnanswered("vm-2");
@@ -42,14 +43,14 @@
     CHECK(driver.Starts().size() == 2);
   }
 
-  SECTION("but for all others") {
+  SECTION("but it waits for all others") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.List("vm-2", {}, {});
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("and what it tells to run all the same isn't started again") {
+  SECTION("and a task that it lists nevertheless is not started again") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.scheduler.CloseVm("vm-2", driver.now);
     driver.List("vm-2", {Running({"job", 0, 0, 0}, 1)}, {});
@@ -60,9 +61,9 @@
   }
 }
 
-// Guards against the same for VMs whose records of use were dropped, and that
-// the registry lists for some seconds more.
-TEST_CASE("A new owner doesn't wait for vacant VMs that are only listed yet") {
+// Guards against the same delay because of VMs whose records were deleted and
+// that the registry lists for some more seconds.
+TEST_CASE("A new owner does not wait for vacant VMs that are only registered") {
   scheduler_driver driver(Bounds());
   driver.scheduler.RestoreVacantVms({"vm-2"});
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
@@ -73,9 +74,9 @@
   CHECK(driver.Starts().size() == 2);
 }
 
-// Guards against a takeover that waits for records of leases that have ended,
-// one after the other, on VMs that were vacant.
-TEST_CASE("The end of a vacant VM's lease holds up no takeover") {
+// Guards against a takeover that waits, one after the other, for records of
+// expired leases of vacant VMs.
+TEST_CASE("The end of a vacant VM's lease does not delay a takeover") {
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-2"] = kClaimed;
   scheduler_driver driver(bounds);
@@ -89,9 +90,9 @@
   CHECK(driver.Starts().size() == 2);
 }
 
-// Guards against a VM that is recorded as vacant before all that it tells is
-// known: the next owner doesn't ask it, and would start its task again.
-TEST_CASE("A VM that tells an end of an unknown job isn't empty") {
+// Guards against a VM that is recorded as vacant before its whole listing is
+// processed: the next owner does not query it and would start its task again.
+TEST_CASE("A VM that lists an end of an unknown job is not empty") {
   scheduler_driver driver(Bounds());
   driver.Register({Vm("vm-1")});
   CHECK(driver.scheduler.IsEmpty("vm-1"));
@@ -99,23 +100,23 @@
   CHECK_FALSE(driver.scheduler.IsEmpty("vm-1"));
 }
 
-// An owner is replaced. What it started runs on, and VMs that the new owner
-// hasn't heard may hold any task of the jobs that were accepted before. A task
-// that started at once would run twice.
-TEST_CASE("A new owner asks all VMs before it starts what may be running") {
+// Guards against tasks that run twice after a change of the owner. The runs of
+// the earlier owner continue, and VMs that the new owner has not heard from may
+// hold any task of the jobs that were accepted before.
+TEST_CASE("A new owner queries all VMs before it starts tasks again") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
   driver.Add(Job("job", {Step(2)}));
   const task_name first{"job", 0, 0, 0};
 
-  SECTION("also one that the registry doesn't list") {
+  SECTION("also one that is not registered") {
     driver.scheduler.UpdateVms({Vm("vm-1")}, driver.now);
     CHECK(driver.scheduler.Vms().size() == 2);
     driver.List("vm-1", {}, {});
     CHECK(driver.Starts().empty());
 
-    SECTION("what it tells is running isn't started again") {
+    SECTION("a task that it lists is not started again") {
       driver.Pass(milliseconds(10));
       driver.List("vm-2", {Running(first, 3)}, {});
       const auto starts = driver.Starts();
@@ -123,7 +124,7 @@
       CHECK(starts[0].target.task.index == 1);
     }
 
-    SECTION("it is waited for until its last lease is over") {
+    SECTION("the owner waits for it until its last lease has expired") {
       driver.Pass(seconds(6));
       driver.List("vm-1", {}, {});
       CHECK(driver.Starts().empty());
@@ -135,17 +136,17 @@
     }
   }
 
-  SECTION("a VM is heard only when its listing was taken in whole") {
+  SECTION("a VM is reconciled only when its whole listing was processed") {
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.List("vm-2", {}, {});
-    // The end of a job that isn't known here holds back the second one.
+    // The end of a job that is unknown here blocks the second end.
     driver.List("vm-1", {},
                 {Ended(1, {"unknown", 0, 0, 0}, 1, end_kind::kDone),
                  Ended(2, first, 1, end_kind::kDone)});
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("ends of jobs that have ended hold nothing back") {
+  SECTION("ends of jobs that have ended do not block other ends") {
     driver.scheduler.AddEndedJob("ended");
     driver.scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver.now);
     driver.List("vm-2", {}, {});
@@ -157,7 +158,7 @@
     CHECK(starts[0].target.task.index == 1);
   }
 
-  SECTION("a job that was accepted since can't be running anywhere") {
+  SECTION("a job that was accepted since cannot be running anywhere") {
     driver.scheduler.UpdateVms({Vm("vm-1")}, driver.now);
     driver.List("vm-1", {}, {});
     driver.Pass(seconds(3));
@@ -168,7 +169,7 @@
     CHECK(starts[0].target.task.job == "fresh");
   }
 
-  SECTION("a known end of a VM's lease goes before the general bound") {
+  SECTION("a known end of a VM's lease overrides the default") {
     takeover_bounds bounds = Bounds();
     bounds.lease_ends["vm-2"] = kClaimed + seconds(1);
     scheduler_driver informed(bounds);
@@ -186,25 +187,25 @@
   }
 }
 
-// Two runs of a task were seen at once. The owner before had read a job that
-// was accepted during the takeover, and started it before the VM heard of the
-// new owner. A read of the new one was slow, so that the VM listed the run
-// first, of a job that wasn't known, and the job was read later. It was started
-// elsewhere before the VM's next listing.
-TEST_CASE("A job that is read after a VM has told of it isn't started again") {
+// Guards against two concurrent runs of a task. The earlier owner reads and
+// starts a job that is accepted during the takeover before the VM is fenced by
+// the new owner. A read of the new owner is slow, so that the VM lists the run
+// before its job is known. The task was started elsewhere before the next
+// listing of the VM.
+TEST_CASE("A job that is read after a VM listed it is not started again") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
   const task_name task{"job", 0, 0, 0};
 
-  SECTION("when the VM has told that its task runs") {
+  SECTION("when the VM has listed its task as running") {
     driver.List("vm-1", {Running(task, 1)}, {});
     driver.Pass(milliseconds(1500));
     driver.Add(Job("job", {Step(1)}));
     CHECK(driver.Starts().empty());
     CHECK(driver.stops.empty());
 
-    SECTION("and when that run is over, the next one has a higher number") {
+    SECTION("and when that run has ended, the next one has a higher number") {
       driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
       const auto starts = driver.Starts();
       REQUIRE(starts.size() == 1);
@@ -212,7 +213,7 @@
     }
   }
 
-  SECTION("when the VM has told that its task ended") {
+  SECTION("when the VM has listed the end of its task") {
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kDone)});
     driver.Pass(milliseconds(1500));
     driver.Add(Job("job", {Step(1)}));
@@ -223,16 +224,17 @@
           job_phase::kCompleted);
   }
 
-  SECTION("a job of which no VM has told starts at once") {
+  SECTION("a job that no VM has listed starts at once") {
     driver.List("vm-1", {Running({"other", 0, 0, 0}, 1)}, {});
     driver.Add(Job("job", {Step(1)}));
     CHECK(driver.Starts().size() == 1);
   }
 }
 
-// The run of a job that ended under the earlier owner is still on a VM. How
-// much room it takes isn't known here; a start beside it could exceed the VM.
-TEST_CASE("A run of an ended job closes its VM until it is gone") {
+// Guards against exceeding the capacity of a VM. The run of a job that ended
+// under the earlier owner is still on the VM, and its resources are unknown
+// here.
+TEST_CASE("A run of an ended job blocks its VM until it has ended") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddEndedJob("ended");
@@ -248,20 +250,20 @@
   CHECK(driver.Starts().size() == 1);
 }
 
-// An owner started run 1 of a task on vm-1 and recorded nothing of it. By the
-// time it is replaced, the VM's lease is over and the VM is silent. Its heir
-// drops the record of the VM; if the heir is replaced before it gives another
-// run, the next owner knows of neither VM nor run and gives number 1 again.
-// When vm-1 tells the end of the old run, that passes for the end of the new
-// one, and the task is started a second time while it runs.
-TEST_CASE(
-    "The end of a run that nobody has heard doesn't pass for a newer one") {
+// Guards against reused run numbers. An owner starts run 1 of a task on vm-1
+// and records nothing of it. When it is replaced, the lease of vm-1 has expired
+// and vm-1 does not answer. The second owner deletes the record of vm-1. If it
+// is replaced before it starts another run, the third owner knows neither the
+// VM nor the run and uses number 1 again. When vm-1 lists the end of the old
+// run, it is mistaken for the end of the new one, and the task is started a
+// second time while it runs.
+TEST_CASE("The end of an unreported run is not mistaken for a newer one") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
   const known_vm unresponsive{"vm-1", "10.0.0.1:80"};
 
-  // Brings the silent VM back while the task's new run is on vm-2.
+  // Lets the unresponsive VM answer while the new run of the task is on vm-2.
   const auto bring_back = [&](scheduler_driver* driver, std::uint32_t run) {
     driver->Pass(milliseconds(500));
     driver->scheduler.UpdateVms({Vm("vm-1"), Vm("vm-2")}, driver->now);
@@ -274,7 +276,7 @@
   successor.scheduler.AddKnownVm(unresponsive);
   successor.Add(Job("job", {Step(1)}));
 
-  SECTION("under the heir that dropped the VM's record") {
+  SECTION("under the owner that deleted the VM's record") {
     successor.Starts();
     successor.Register({Vm("vm-2")});
     const auto starts = successor.StartAll();
@@ -283,7 +285,7 @@
     CHECK(successor.Starts().empty());
   }
 
-  SECTION("under an owner that replaces the heir before it has started any") {
+  SECTION("under an owner that replaces it before it has started any") {
     successor.Starts();
     job_progress recorded;
     bool is_vm_recorded = true;
@@ -309,19 +311,20 @@
   }
 }
 
-// An heir leaves out 100 run numbers because of a VM that never told. It gives
-// the next number to a run before a record of that is stored, and is replaced.
-// The next owner knows nothing of it, leaves out the same 100 because the VM of
-// that run is silent, and gives the same number. The end of the first of the
-// two runs then passes for the end of the second one, which still runs.
-TEST_CASE("A number that was given before a record of it is not given again") {
+// Guards against reused run numbers. An owner skips 100 run numbers because of
+// a VM without a listing, uses the next number for a run before the record of
+// that is stored, and is replaced. The next owner knows nothing of it, skips
+// the same 100 because the VM of that run does not answer, and uses the same
+// number. The end of the first run is then mistaken for the end of the second
+// one, which still runs.
+TEST_CASE("A number that was used before it was recorded is not reused") {
   const task_name task{"job", 0, 0, 0};
   takeover_bounds bounds = Bounds();
   bounds.lease_ends["vm-1"] = kClaimed;
   scheduler_driver successor(bounds);
   std::vector<start_order> given;
 
-  SECTION("to a job that is read after the silent VM's record was dropped") {
+  SECTION("for a job that is read after the VM's record was deleted") {
     successor.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
     successor.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
     successor.Starts();
@@ -332,7 +335,7 @@
     given = successor.StartAll();
   }
 
-  SECTION("because of a VM of which no record was kept") {
+  SECTION("because of a VM without a record") {
     bounds.lease_ends["vm-1"] = kClaimed + milliseconds(100);
     scheduler_driver other(bounds);
     other.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -346,7 +349,8 @@
     given = other.StartAll();
   }
 
-  // Nothing is to be started before the record; if so, no number can recur.
+  // Nothing may be started before the record is stored; then no number can be
+  // reused.
   if (given.empty()) {
     return;
   }
@@ -373,11 +377,11 @@
   CHECK(next.Starts().empty());
 }
 
-// An earlier owner started a job that the new one hasn't read, and the task is
-// done. The VM tells that end. The read that would bring the job hangs, or the
-// store is away, for longer than ends of unknown jobs are kept: then the end is
-// acknowledged and forgotten, and the job, once read, starts again.
-TEST_CASE("A job that is read late isn't started again after its end") {
+// Guards against a job that starts again although its task is done. An earlier
+// owner started it, the new one has not read it, and the VM lists the end. The
+// read of the job hangs, or the store is unavailable, for longer than ends of
+// unknown jobs were kept: then the end was acknowledged and dropped.
+TEST_CASE("A job that is read late is not started again after its end") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
@@ -394,12 +398,13 @@
   CHECK(driver.Starts().empty());
 }
 
-// The new owner has heard that a run of a job that it hasn't read is on a VM.
-// The store falls silent, all leases end, and the run is forgotten with its VM.
-// When the store answers again the job is read before the VM is heard, counts
-// as new and gets the same number. The end of the old run passes for the new
-// one's, and the task is started beside itself.
-TEST_CASE("A run that was told before its job was read keeps its number") {
+// Guards against reused run numbers. The new owner knows from a VM of a run of
+// a job that it has not read. The store becomes unavailable, all leases expire,
+// and the run is removed with its VM. When the store is available again, the
+// job is read before the VM answers, counts as new and gets the same run
+// number. The end of the old run is mistaken for that of the new one, and the
+// task runs twice at the same time.
+TEST_CASE("The number of a run listed before its job was read is not reused") {
   scheduler_driver driver(Bounds());
   driver.now = kClaimed;
   driver.Register({Vm("vm-1"), Vm("vm-2")});
@@ -419,7 +424,7 @@
     driver.List("vm-2", {Running(task, starts[0].target.run)}, {});
   };
 
-  SECTION("one that ran") {
+  SECTION("of a run that was running") {
     driver.List("vm-1", {Running(task, 1)}, {});
     start_after_read();
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kLeaseExpired)});
@@ -428,7 +433,7 @@
     CHECK(driver.Starts().empty());
   }
 
-  SECTION("one that had ended") {
+  SECTION("of a run that had ended") {
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kFailed)});
     start_after_read();
     driver.List("vm-1", {}, {Ended(1, task, 1, end_kind::kFailed)});
@@ -438,7 +443,7 @@
   }
 }
 
-TEST_CASE("What an earlier owner recorded is kept") {
+TEST_CASE("The state that an earlier owner recorded is kept") {
   scheduler_driver driver(Bounds());
   step_spec second = Step(1);
   second.depends_on = {0};
@@ -456,7 +461,7 @@
   CHECK(starts[0].target.run == 3);
   CHECK(starts[0].checkpoint == "saved");
 
-  SECTION("a recorded end that a VM lists again is no second failure") {
+  SECTION("a recorded end that is listed again is not counted twice") {
     driver.Pass(milliseconds(10));
     driver.List("vm-1", {Running(starts[0].target.task, 3)},
                 {Ended(1, starts[0].target.task, 2, end_kind::kFailed)});
@@ -467,7 +472,7 @@
     }
   }
 
-  SECTION("and a batch tells the same to the next owner") {
+  SECTION("and a batch passes the same state to the next owner") {
     driver.Pass(milliseconds(10));
     driver.List("vm-1", {},
                 {Ended(1, starts[0].target.task, 3, end_kind::kFailed)});
@@ -477,10 +482,11 @@
   }
 }
 
-// A task failed twice under an owner that couldn't reach the store, so that
-// nothing of it is recorded. The new owner hears the VM of the second run
-// first. A failure that is passed over would allow a third run.
-TEST_CASE("Failures are counted in whatever order VMs tell of them") {
+// Guards against failures that are not counted. A task failed twice under an
+// owner that could not reach the store, so that nothing is recorded. The new
+// owner hears from the VM of the second run first. If a failure were ignored, a
+// third run would be permitted.
+TEST_CASE("Failures are counted in whatever order VMs list them") {
   scheduler_driver driver(Bounds());
   driver.scheduler.AddKnownVm({"vm-1", "10.0.0.1:80"});
   driver.scheduler.AddKnownVm({"vm-2", "10.0.0.2:80"});
@@ -504,7 +510,7 @@
   CHECK(batches[0].used_vms.size() == 1);
   CHECK(driver.StartAll().size() == 1);
 
-  SECTION("and dropped from the records when its lease is over") {
+  SECTION("and its record is deleted when its lease has expired") {
     driver.scheduler.OnHoldUnanswered("vm-1");
     driver.Pass(seconds(6));
     driver.Starts();
