--- a/src/platform/platform_link.cc
+++ b/src/platform/platform_link.cc
@@ -38,8 +38,8 @@
 // Marks a worker as ended when its thread no longer uses the link.
 class running_worker_guard {
  public:
-  running_worker_guard(link_context* context, link_worker* worker)
-      : context_(*context), worker_(*worker) {}
+  running_worker_guard(link_context* context, link_worker* link_worker)
+      : context_(*context), worker_(*link_worker) {}
   ~running_worker_guard() {
     const std::lock_guard lock(context_.mutex);
     worker_.set_ended();
