--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -50,7 +50,7 @@
 constexpr milliseconds kStopPollInterval = milliseconds(50);
 // Event loop lag that is logged. Responses of VMs take some milliseconds, and a
 // renewal that is seconds late loses the process its pools.
-constexpr milliseconds kLoopLagThreshold = milliseconds(250);
+constexpr milliseconds kLoopLate = milliseconds(250);
 // The process ends this long before the grace period does, whatever is still
 // open.
 constexpr milliseconds kStopMargin = milliseconds(700);
@@ -326,7 +326,7 @@
 
   void NoteLag(core::duration lag) {
     meters_.NoteLoopLag(lag);
-    if (lag >= kLoopLagThreshold) {
+    if (lag >= kLoopLate) {
       LogEvent(job_event::kLoopLate, {{"ms", MillisOf(lag)}});
     }
   }
