--- a/src/jobs/fleet_owner_reading.cc
+++ b/src/jobs/fleet_owner_reading.cc
@@ -120,19 +120,20 @@
 }
 
 void fleet_owner::impl::ListPage(const std::string& page) {
-  client_.List(page, settings_.order_timeout,
-               [self = weak_from_this()](const adapter::fleet_page& reply) {
-                 const auto owner = self.lock();
-                 if (owner && !owner->is_closed_) {
-                   owner->OnPage(reply);
-                 }
-               });
+  client_.ListHosts(
+      page, settings_.order_timeout,
+      [self = weak_from_this()](const adapter::fleet_page& reply) {
+        const auto owner = self.lock();
+        if (owner && !owner->is_closed_) {
+          owner->OnPage(reply);
+        }
+      });
 }
 
 void fleet_owner::impl::OnPage(const adapter::fleet_page& reply) {
   const auto work = Meter();
   if (!reply.is_read) {
-    for (const adapter::unreadable_host& row : reply.faults) {
+    for (const adapter::unreadable_host& row : reply.unreadable_hosts) {
       deps_.view->faults().Note(kFleetList, row.host, row.fault);
     }
     is_listing_ = false;
@@ -140,8 +141,8 @@
     return;
   }
   page_hosts_.insert(page_hosts_.end(), reply.hosts.begin(), reply.hosts.end());
-  page_faults_.insert(page_faults_.end(), reply.faults.begin(),
-                      reply.faults.end());
+  page_faults_.insert(page_faults_.end(), reply.unreadable_hosts.begin(),
+                      reply.unreadable_hosts.end());
   if (!reply.next_page_token.empty()) {
     ListPage(reply.next_page_token);
     return;
--- a/src/jobs/pending_job_counter.cc
+++ b/src/jobs/pending_job_counter.cc
@@ -4,7 +4,7 @@
 
 #include "jobs/clocks.h"
 #include "jobs/event_log.h"
-#include "jobs/refusal.h"
+#include "jobs/unavailable_response.h"
 #include "platform/ingress_codec.h"
 
 namespace plantainhead::jobs {
--- a/src/jobs/pending_job_counter.h
+++ b/src/jobs/pending_job_counter.h
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <memory>
 
-#include "jobs/job_world.h"
+#include "jobs/store_view.h"
 #include "net/http_message.h"
 #include "plantainhead/core/jobs/routing.h"
 
--- a/src/peers/owner_client.cc
+++ b/src/peers/owner_client.cc
@@ -74,7 +74,7 @@
     owner_connection& found = connections_[owner.address];
     if (!found.client) {
       net::http_client_options options;
-      options.most_connections = settings_.most_connections;
+      options.max_connections = settings_.max_connections;
       found.client =
           std::make_unique<net::http_client>(&context_, owner.address, options);
     }
--- a/src/peers/owner_client.h
+++ b/src/peers/owner_client.h
@@ -26,7 +26,7 @@
   /// that have reached it are not repeated elsewhere.
   std::chrono::milliseconds silence_timeout = std::chrono::milliseconds(700);
   /// Maximum number of connections to one owner.
-  std::size_t most_connections = 8;
+  std::size_t max_connections = 8;
 };
 
 /// Outcome of forwarding a request to an owner.
