--- a/tests/operators/control_test.cc
+++ b/tests/operators/control_test.cc
@@ -116,7 +116,7 @@
   SECTION("from a file with mistakes, and no entry is asked") {
     const temporary_file wrong("version: 1\nservies: []\n");
     CHECK(fleet.Publish(wrong.path()) == exit_code::kBadInput);
-    CHECK(fleet.err.str().find(":2:1: 'servies' is not known") !=
+    CHECK(fleet.err.str().find(":2:1: 'servies' is not a known key") !=
           std::string::npos);
     CHECK(fleet.first.requests == 0);
   }
