--- a/src/core/entry/entry_core_follow.cc
+++ b/src/core/entry/entry_core_follow.cc
@@ -50,14 +50,15 @@
   UpdateClaimsView(now, out);
 }
 
-// A key's home entry that is suspected or disconnected is skipped like one that
-// is stopping; otherwise its keys would be rejected until it is expelled. If it
-// is still alive, both entries write claims, and the order of the log decides.
+// A key's coordinator that is suspected or disconnected is skipped like one
+// that is stopping; otherwise its keys would be rejected until it is expelled.
+// If it is still alive, both entries write claims, and the order of the log
+// decides.
 void entry_core::UpdateClaimsView(time_point now, effects& out) {
   std::set<incarnation> excluded = stopping_members_;
   excluded.insert(suspects_.begin(), suspects_.end());
   excluded.insert(disconnected_members_.begin(), disconnected_members_.end());
-  // A stopping entry remains home of its keys until its stop notice has
+  // A stopping entry remains coordinator of its keys until its stop notice has
   // elapsed: the others need several heartbeats to learn of the stop, and their
   // callers would be rejected meanwhile.
   if (!rejecting_requests_) {
--- a/src/core/entry/entry_core_readiness.cc
+++ b/src/core/entry/entry_core_readiness.cc
@@ -99,8 +99,8 @@
 }
 
 // The other entries must learn that this entry is stopping before it forwards
-// its keys to them: a key's next home rejects the key until it considers itself
-// the home.
+// its keys to them: a key's next coordinator rejects the key until it considers
+// itself the coordinator.
 void entry_core::StartHandover(time_point now) {
   const bool is_due = stopping() && now >= *stop_requested_at_ + kHandoverDelay;
   if (is_due && stopping_members_.insert(options_.self.who).second) {
--- a/src/jobs/pool_owner.cc
+++ b/src/jobs/pool_owner.cc
@@ -180,7 +180,7 @@
 }
 
 // An owner whose ownership is not confirmed sends no orders and holds no VM, so
-// that the tasks running there lapse with their lease.
+// that the tasks running there end when its lease expires.
 void pool_owner::impl::LogOwnershipConfirmation(bool is_ownership_confirmed) {
   if (is_ownership_confirmed != was_confirmed_) {
     was_confirmed_ = is_ownership_confirmed;
--- a/src/jobs/pool_owner_fleet.cc
+++ b/src/jobs/pool_owner_fleet.cc
@@ -143,7 +143,7 @@
 }
 
 // Returns records of the VMs that were found vacant, and the removals for VMs
-// whose lives ended a while ago.
+// whose incarnations ended a while ago.
 std::vector<adapter::keyed_record> pool_owner::impl::TakeVacancyRecords() {
   const core::jobs::vacancy_batch batch =
       vacancy_manager_.TakeBatch(BootTime());
--- a/src/jobs/record_codec.h
+++ b/src/jobs/record_codec.h
@@ -57,7 +57,8 @@
 };
 
 /// The VM is empty, and no owner of the pool uses it any more. Key: "vacant/"
-/// followed by the VM id; removed some time after the VM's life has ended.
+/// followed by the VM id; removed some time after the incarnation
+/// of the VM has ended.
 struct vacancy_record {
   core::jobs::vm_id vm;
   bool is_dropped = false;
--- a/tests/core/entry/entry_core_test.cc
+++ b/tests/core/entry/entry_core_test.cc
@@ -86,9 +86,9 @@
   }
 
   // A caller gets no answer from one entry and sends the same key to another
-  // while the first still runs the request. Both entries ask the key's home,
-  // which reports that the request is in progress, so the endpoint runs it
-  // once.
+  // while the first still runs the request. Both entries ask the key's
+  // coordinator, which reports that the request is in progress, so the endpoint
+  // runs it once.
   SECTION("and a retry through another entry runs once") {
     const std::uint64_t first = fleet.SendRequest(kFirst, "k");
     fleet.StepFor(std::chrono::milliseconds(60));
@@ -116,8 +116,8 @@
 }
 
 // Callers of the other entries get an answer to each of their requests.
-// Requests at the killed entry, as the home of a key or as an owner of
-// endpoints, end as unknown unless they were certainly not sent. The killed
+// Requests at the killed entry, as the coordinator of a key or as an owner
+// of endpoints, end as unknown unless they were certainly not sent. The killed
 // entry is then expelled, and its endpoints and keys move to the others.
 TEST_CASE("An entry is killed under load") {
   entry_core_fixture fleet;
@@ -132,11 +132,13 @@
   CHECK(fleet.Count(outcome::kDone) > asked * 8 / 10);
 }
 
-// Callers keep sending keys right after the home of their keys was killed.
-// Their entry detects the lost connection and asks the next home. The killed
-// entry remains a member until it is expelled, so the next home must take over
-// on its own; otherwise it would reject these keys for several seconds.
-TEST_CASE("A key's next home takes over as soon as the connection is lost") {
+// Callers keep sending keys right after the coordinator of their keys was
+// killed. Their entry detects the lost connection and asks the next one. The
+// killed entry remains a member until it is expelled, so the next coordinator
+// must take over on its own; otherwise it would reject these keys for several
+// seconds.
+TEST_CASE(
+    "The next coordinator of a key takes over when the connection is lost") {
   entry_core_fixture fleet;
   fleet.SendRequestsFor(seconds(1), "a");
   fleet.StepFor(seconds(2));
@@ -152,8 +154,8 @@
 
 // Two of three zones fail at once. The remaining entries are no majority and
 // cannot expel the dead ones, which therefore remain members; for some keys,
-// all homes that an entry stores are dead. Callers of the remaining entries
-// must be served all the same: the next home is the first live entry.
+// all coordinators that an entry stores are dead. Callers of the remaining
+// entries must be served all the same: the next one is the first live entry.
 TEST_CASE("Three of nine entries remain") {
   entry_core_fixture fleet(9);
   for (std::uint64_t dead = 4; dead <= 9; ++dead) {
@@ -169,9 +171,9 @@
 }
 
 // An entry starts while the platform's VM list is slow. If it became a member,
-// it would be home of keys and owner of endpoints without knowing any endpoint,
-// and its callers with keys would be told that there is no endpoint. It must
-// join only after it has read the list.
+// it would be coordinator of keys and owner of endpoints without knowing any
+// endpoint, and its callers with keys would be told that there is no endpoint.
+// It must join only after it has read the list.
 TEST_CASE("An entry that has not read the VM list does not join") {
   entry_core_fixture fleet;
   fleet.Add(4).list_is_down = true;
