--- a/include/plantainhead/core/entry/messages.h
+++ b/include/plantainhead/core/entry/messages.h
@@ -97,8 +97,9 @@
   /// Requests in flight at VMs that are not serving; a VM that is not listed
   /// has none.
   std::vector<vm_in_flight> in_flight;
-  /// False if `load` and `in_flight` were omitted to save bandwidth. The values
-  /// sent before then still apply as of the offset they were sent with.
+  /// False if `load` and `in_flight` were omitted to save bandwidth. The
+  /// receiver then keeps those of the last complete heartbeat, together with
+  /// its `offset`.
   bool complete = true;
   /// Members that the sender monitors itself and suspects, not those whose
   /// suspicion was reported by others.
--- a/include/plantainhead/core/fleet/capacity.h
+++ b/include/plantainhead/core/fleet/capacity.h
@@ -12,7 +12,7 @@
 
 /// Capacity that one pool requires, in VMs.
 struct pool_capacity {
-  /// False if the demand of all of the pool's services is unknown.
+  /// False if the demand is known for none of the pool's services.
   bool is_known = false;
   /// Minimum number of VMs that serves the demand within the latency targets of
   /// the pool's classes.
--- a/include/plantainhead/core/jobs/record_faults.h
+++ b/include/plantainhead/core/jobs/record_faults.h
@@ -15,7 +15,7 @@
 /// have stored any value under any key.
 namespace plantainhead::core::jobs {
 
-/// The kind of fault in a record.
+/// States what makes a record unusable.
 enum class fault_kind {
   /// The frame, the key or the encoding around the value cannot be decoded.
   kUnreadable,
--- a/include/plantainhead/core/jobs/vacancy_manager.h
+++ b/include/plantainhead/core/jobs/vacancy_manager.h
@@ -18,7 +18,9 @@
 
 namespace plantainhead::core::jobs {
 
-/// Times for which the vacancy manager keeps records and waits for hints.
+/// How long the vacancy manager keeps records, and when it sends hints again. A
+/// hint is a record in the store by which the owner of a pool reports a vacant
+/// VM to the owner of the fleet (see `vacancy_hint`).
 struct vacancy_manager_settings {
   /// How long the record of a vacant VM is kept after the VM has ended. The
   /// registry misses VMs for some seconds after the store was unavailable.
@@ -36,7 +38,8 @@
   std::vector<vm_id> dropped;
 };
 
-/// A VM of which the owner of the fleet may be notified.
+/// A drained VM, and the reason for which it was drained. The owner of the
+/// fleet may be notified of it, to move or service its host.
 struct vacant_vm {
   vm_id vm;
   vacancy_reason reason = vacancy_reason::kOffered;
@@ -44,7 +47,7 @@
   bool operator==(const vacant_vm&) const = default;
 };
 
-/// Where a VM is still known.
+/// States who still knows a VM.
 struct vm_presence {
   /// The pool's owner still manages the VM.
   bool is_held = true;
@@ -55,8 +58,9 @@
 };
 
 /// Decides which VMs the owner of a pool closes to new tasks, and tracks each
-/// closed VM until it is handed over to the owner of the fleet. A VM is closed,
-/// found empty, being recorded, recorded as vacant, and then reported.
+/// closed VM until it is handed over to the owner of the fleet. These steps
+/// follow each other: the VM is closed, it is found empty, its record is being
+/// stored, it is recorded as vacant, and it is reported.
 ///
 /// A VM that is recorded as vacant may be moved or serviced at any moment,
 /// which would terminate a task that was started there after a change of owner
@@ -141,7 +145,7 @@
     std::optional<time_point> hint_due;
   };
 
-  /// A VM that is drained in order to be released.
+  /// A VM that its pool gives up. It is drained first.
   struct released_vm {
     vm_id vm;
     pool_id pool;
@@ -162,8 +166,8 @@
   vacancy_manager_settings settings_;
   std::unordered_map<vm_id, closed_vm> entries_;
   std::set<vm_id> for_service_;
-  /// Released VMs whose records have not been requested yet, in the order of
-  /// their release.
+  /// Released VMs of which this object has not yet requested a record of
+  /// vacancy, in the order of their release.
   std::map<std::uint64_t, released_vm> released_;
   std::uint64_t next_release_ = 0;
   std::set<vm_id> empty_;
--- a/src/core/fleet/pool_planner.cc
+++ b/src/core/fleet/pool_planner.cc
@@ -12,8 +12,9 @@
 using pool_rules::IsMoving;
 using pool_rules::SpecOf;
 
-/// Returns true if the pool can rely on the VM: it is in service, or is
-/// expected back from maintenance.
+/// Returns true if the pool can rely on the VM: it serves and is listed as live
+/// and healthy, or it is expected back from maintenance. Quarantined and moving
+/// VMs do not count.
 bool IsMember(const planner_context& context, const vm_view& vm) {
   if (vm.state == nullptr || vm.state->quarantined || IsMoving(vm)) {
     return false;
@@ -165,8 +166,8 @@
         vm.listing->pool == vm.state->pool) {
       continue;
     }
-    // A readmission already sends the pool to the platform; the list shows it
-    // with a delay.
+    // A readmission reports the VM's pool to the platform itself; the list
+    // shows it with a delay.
     const operation_id& own = vm.state->operation;
     const std::optional<time_point> done = context.operations.DoneAt(own);
     const bool is_under_way = !own.empty() && !context.operations.HasEnded(own);
--- a/src/settings/units.h
+++ b/src/settings/units.h
@@ -14,7 +14,7 @@
 namespace plantainhead::settings {
 
 /// Thrown when a value cannot be parsed. The message describes the error and
-/// the expected format; it contains no location.
+/// the expected format, but not the file, line or key.
 class unit_error : public std::invalid_argument {
  public:
   using std::invalid_argument::invalid_argument;
